--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -12,16 +12,16 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::counted::Counted;
-use super::ended::EndedJobs;
+use super::counted_store::CountedStore;
+use super::ended_jobs::EndedJobs;
 use super::follow::Feeds;
 use super::homes::Homes;
 use super::live::Live;
-use super::peer::{Detour, Peers};
+use super::peer::{FallbackStore, Peers};
 use super::ports::Ports;
+use super::remote_jobs::RemoteJobs;
 use super::slots::Slots;
 use super::usage::Usage;
-use super::views::Views;
 use crate::decide::comeback::come_back;
 use crate::decide::scale::Load;
 use crate::decide::{Demand, Routes};
@@ -43,18 +43,18 @@
     /// The store, if need be through another node.
     pub(super) store: Arc<dyn Store>,
     /// The store as this node reaches it itself.
-    pub(super) direct: Arc<dyn Store>,
-    pub(super) detour: Detour,
+    pub(super) direct_store: Arc<dyn Store>,
+    pub(super) fallback_store: FallbackStore,
     pub(super) peers: Arc<dyn Peers>,
     /// Nodes that did not answer, and until when they are not asked.
-    pub(super) shunned: Mutex<HashMap<SocketAddr, Moment>>,
+    pub(super) unreachable_peers: Mutex<HashMap<SocketAddr, Moment>>,
     pub(super) replicas: Arc<dyn Replicas>,
     pub(super) notices: Arc<dyn Notices>,
     pub(super) duties: Arc<dyn Duties>,
     /// Usage; none where nobody wants it reported.
     pub(super) usage: Option<Arc<Usage>>,
     /// This incarnation of the process.
-    pub(super) life: Name,
+    pub(super) incarnation: Name,
     pub(super) routes: Mutex<Option<Arc<Routes>>>,
     pub(super) versions: Mutex<BTreeMap<Name, u64>>,
     /// What steps bring, here and, at who gives orders, at other homes.
@@ -62,28 +62,28 @@
     /// What the samples of all homes want, at the holder of duties.
     pub(super) load: Mutex<Load>,
     pub(super) slots: Slots,
-    pub(super) live: Mutex<Live>,
-    pub(super) homes: Homes,
-    pub(super) ended: EndedJobs,
+    pub(super) membership: Mutex<Live>,
+    pub(super) owned_jobs: Homes,
+    pub(super) ended_jobs: EndedJobs,
     pub(super) feeds: Feeds,
-    pub(super) views: Views,
+    pub(super) remote_jobs: RemoteJobs,
     /// Counts changes of versions, replicas and nodes.
-    pub(super) news: watch::Sender<u64>,
+    pub(super) view_changes: watch::Sender<u64>,
     pub(super) lease: Mutex<Lease>,
     /// When this node gave its last order, or did another duty.
-    pub(super) ordered: Mutex<Option<Moment>>,
+    pub(super) last_duty: Mutex<Option<Moment>>,
     pub(super) draining: AtomicBool,
-    pub(super) listed: AtomicBool,
+    pub(super) registered: AtomicBool,
     /// Whether the routes are another node's, and the store has not been heard of since.
-    pub(super) old_routes: AtomicBool,
+    pub(super) stale_routes: AtomicBool,
     pub(super) draws: AtomicU64,
     /// Counts watches that were cut: the store's history may have gone with them.
-    pub(super) doubts: AtomicU64,
+    pub(super) watch_gaps: AtomicU64,
     /// Cancelled when the process is to stop its own work.
     pub(super) stop: CancellationToken,
     tasks: TaskTracker,
     /// Cancelled when the process is gone: every task ends where it is.
-    pub(super) gone: CancellationToken,
+    pub(super) abort: CancellationToken,
     begun: Instant,
 }
 
@@ -93,9 +93,9 @@
     /// Its number; 0 for none.
     pub id: u64,
     /// Until when it surely holds.
-    pub until: Moment,
+    pub valid_until: Moment,
     /// The revision of the node's key under it.
-    pub key: u64,
+    pub key_revision: u64,
 }
 
 impl App {
@@ -108,51 +108,51 @@
         let life = format!("{}.{:08x}", settings.name, rand::random::<u32>()).into();
         let tally = Arc::new(Tally::default());
         let peers = peers(tally.clone());
-        let direct = Arc::new(Counted::new(store, notices.clone(), tally.clone()));
-        let detour = Detour::new(direct.clone(), peers.clone(), settings.seeds.clone());
+        let direct = Arc::new(CountedStore::new(store, notices.clone(), tally.clone()));
+        let detour = FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
         let slots = Slots::new(settings.zone.clone());
         let usage = settings.usage.map(|windows| Arc::new(Usage::new(windows, clock)));
         Arc::new(Self {
             settings,
             tally,
             store: Arc::new(detour.clone()),
-            direct,
-            detour,
+            direct_store: direct,
+            fallback_store: detour,
             peers,
-            shunned: Mutex::default(),
+            unreachable_peers: Mutex::default(),
             replicas,
             notices,
             duties,
             usage,
-            life,
+            incarnation: life,
             routes: Mutex::default(),
             versions: Mutex::default(),
             demand: Mutex::default(),
             load: Mutex::default(),
             slots,
-            live: Mutex::default(),
-            homes: Homes::default(),
-            ended: EndedJobs::default(),
+            membership: Mutex::default(),
+            owned_jobs: Homes::default(),
+            ended_jobs: EndedJobs::default(),
             feeds: Feeds::default(),
-            views: Views::default(),
-            news: watch::Sender::new(0),
+            remote_jobs: RemoteJobs::default(),
+            view_changes: watch::Sender::new(0),
             lease: Mutex::default(),
-            ordered: Mutex::default(),
+            last_duty: Mutex::default(),
             draining: AtomicBool::new(false),
-            listed: AtomicBool::new(false),
-            old_routes: AtomicBool::new(false),
+            registered: AtomicBool::new(false),
+            stale_routes: AtomicBool::new(false),
             draws: AtomicU64::new(u64::from(rand::random::<u32>())),
-            doubts: AtomicU64::new(0),
+            watch_gaps: AtomicU64::new(0),
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
-            gone: CancellationToken::new(),
+            abort: CancellationToken::new(),
             begun: Instant::now(),
         })
     }
 
     /// Runs a task for as long as the process lasts.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let gone = self.gone.clone();
+        let gone = self.abort.clone();
         self.tasks.spawn(async move {
             tokio::select! {
                 () = gone.cancelled() => {}
@@ -168,7 +168,7 @@
 
     /// The present as missing nodes are judged by: it stands while the store is away.
     pub(super) fn store_time(&self) -> Moment {
-        self.detour.store_time()
+        self.fallback_store.store_time()
     }
 
     /// The configuration in force; none before the first.
@@ -178,7 +178,7 @@
 
     /// The text of all counters and gauges.
     pub fn metrics(&self) -> String {
-        self.tally.open_jobs.set(self.homes.all().len() as i64);
+        self.tally.open_jobs.set(self.owned_jobs.all().len() as i64);
         self.tally.routes.set(self.routes().map_or(0, |r| r.version as i64));
         self.tally.lines_dropped.set(crate::logs::dropped() as i64);
         self.tally.text()
@@ -186,13 +186,13 @@
 
     /// Whether a route that is not there may have come since: the store does not answer, and
     /// the routes are those that another node had.
-    pub fn may_lack_routes(&self) -> bool {
-        self.old_routes.load(Ordering::Relaxed)
+    pub fn routes_may_be_stale(&self) -> bool {
+        self.stale_routes.load(Ordering::Relaxed)
     }
 
     /// Whether clients may be sent here.
     pub fn ready(&self) -> bool {
-        let known = self.routes.lock().is_some() && self.listed.load(Ordering::Relaxed);
+        let known = self.routes.lock().is_some() && self.registered.load(Ordering::Relaxed);
         known && !self.draining()
     }
 
@@ -208,42 +208,42 @@
     }
 
     /// Tells all who wait for news.
-    pub(super) fn tell(&self) {
-        self.news.send_modify(|n| *n += 1);
+    pub(super) fn notify_view_change(&self) {
+        self.view_changes.send_modify(|n| *n += 1);
     }
 
     /// Whether the store answers this node itself, as far as is known.
-    pub(super) fn reaches(&self) -> bool {
-        self.detour.open()
+    pub(super) fn reaches_store(&self) -> bool {
+        self.fallback_store.is_direct()
     }
 
     /// When a client that is refused now is to come back.
-    pub fn come_back(&self) -> Duration {
-        come_back(self.detour.away(), self.draw())
+    pub fn retry_after(&self) -> Duration {
+        come_back(self.fallback_store.outage_duration(), self.draw())
     }
 
     /// Whether the node may give orders: it has renewed its lease within half of its time.
     /// Whoever is holder after it counts on that, see [`App::turn`].
     pub(super) fn may_order(&self) -> bool {
         let half = self.settings.lease / 2;
-        self.lease.lock().until > self.now() + half
+        self.lease.lock().valid_until > self.now() + half
     }
 
     /// Whether a term surely lasts: the lease does, and no other holder was seen.
-    pub(super) fn holds(&self, fence: u64) -> bool {
-        let seen = self.live.lock().holder().map(|seen| seen.revision);
+    pub(super) fn holds_term(&self, fence: u64) -> bool {
+        let seen = self.membership.lock().holder().map(|seen| seen.revision);
         self.may_order() && seen.is_none_or(|revision| revision <= fence)
     }
 
     /// How long a new holder waits before its first order. The one before gave its last
     /// order half a lease before its key went, at the latest.
-    pub(super) fn turn(&self) -> Duration {
+    pub(super) fn takeover_delay(&self) -> Duration {
         self.settings.turn.saturating_sub(self.settings.lease / 2)
     }
 
     /// Whether the node's lease surely holds now.
-    pub(super) fn leased(&self) -> bool {
-        self.lease.lock().until > self.now()
+    pub(super) fn has_lease(&self) -> bool {
+        self.lease.lock().valid_until > self.now()
     }
 }
 
--- a/src/entry/counted.rs
+++ b/src/entry/counted_store.rs
@@ -12,13 +12,13 @@
 
 /// The store behind it, and where calls are counted.
 #[derive(Debug)]
-pub(super) struct Counted {
+pub(super) struct CountedStore {
     store: Arc<dyn Store>,
     notices: Arc<dyn Notices>,
     tally: Arc<Tally>,
 }
 
-impl Counted {
+impl CountedStore {
     /// Counts the calls to a store.
     pub(super) fn new(store: Arc<dyn Store>, notices: Arc<dyn Notices>, tally: Arc<Tally>) -> Self {
         Self { store, notices, tally }
@@ -66,7 +66,7 @@
     }
 }
 
-impl Store for Counted {
+impl Store for CountedStore {
     fn get(&self, key: &str) -> Answer<Option<Item>> {
         self.count(StoreCall::Get, self.purpose(key), self.store.get(key))
     }
--- a/src/entry/end.rs
+++ b/src/entry/end_job.rs
@@ -17,9 +17,9 @@
 
 impl App {
     /// Ends a job: nothing of it runs any more.
-    pub async fn end(self: &Arc<Self>, job: &str) -> Found<()> {
+    pub async fn end_job(self: &Arc<Self>, job: &str) -> Found<()> {
         let begun = self.now();
-        let here = self.homes.get(job);
+        let here = self.owned_jobs.get(job);
         if let Some(home) = &here {
             self.halt(home);
         }
@@ -45,7 +45,7 @@
                     self.tally.job(JobStep::Ended);
                     tracing::info!(event = "job_ended", job);
                     if let Some(home) = here {
-                        self.keep_ended(home);
+                        self.retain_ended(home);
                     }
                     return Found::There(());
                 }
@@ -64,7 +64,7 @@
                     if self.now().saturating_sub(begun) > TRY {
                         return Found::Unsure;
                     }
-                    self.detour.rest(PAUSE).await;
+                    self.fallback_store.wait_for_recovery(PAUSE).await;
                 }
             }
         }
--- a/src/entry/ended.rs
+++ b/src/entry/ended_jobs.rs
@@ -22,9 +22,9 @@
 
 /// One of them.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct EndedJob {
     pub spec: Arc<Spec>,
-    pub listed: Vec<Arc<Listing>>,
+    pub results: Vec<Arc<Listing>>,
 }
 
 /// All that are kept, the newest at the end.
@@ -35,29 +35,29 @@
 
 #[derive(Debug, Default)]
 struct State {
-    jobs: ByName<(Arc<Ended>, usize)>,
+    jobs: ByName<(Arc<EndedJob>, usize)>,
     order: VecDeque<Name>,
     bytes: usize,
 }
 
-impl Ended {
+impl EndedJob {
     /// Results from a position on.
     pub(super) fn read(&self, after: usize) -> Read {
-        Read::Page { total: self.spec.items.len(), results: page(&self.listed, after) }
+        Read::Page { total: self.spec.items.len(), results: page(&self.results, after) }
     }
 
     fn bytes(&self) -> usize {
-        let listed: usize = self.listed.iter().map(|listing| listing.size()).sum();
+        let listed: usize = self.results.iter().map(|listing| listing.size()).sum();
         listed + self.spec.size()
     }
 }
 
 impl EndedJobs {
-    pub(super) fn get(&self, job: &str) -> Option<Arc<Ended>> {
+    pub(super) fn get(&self, job: &str) -> Option<Arc<EndedJob>> {
         self.state.lock().jobs.get(job).map(|(ended, _)| ended.clone())
     }
 
-    pub(super) fn add(&self, ended: Ended) {
+    pub(super) fn add(&self, ended: EndedJob) {
         let (id, bytes) = (ended.spec.id.clone(), ended.bytes());
         let mut state = self.state.lock();
         if state.jobs.insert(id.clone(), (Arc::new(ended), bytes)).is_some() {
@@ -85,7 +85,7 @@
 impl App {
     /// The store has it that a job which ran here is ended. What this node has of it is all
     /// there will ever be, unless a write of results was not answered.
-    pub(super) fn keep_ended(self: &Arc<Self>, home: Arc<Home>) {
+    pub(super) fn retain_ended(self: &Arc<Self>, home: Arc<Home>) {
         let app = self.clone();
         self.spawn(async move {
             let _written = home.writing.lock().await;
@@ -93,8 +93,8 @@
                 return;
             }
             let job = home.job.lock();
-            let ended = Ended { spec: job.spec.clone(), listed: job.listed().to_vec() };
-            app.ended.add(ended);
+            let ended = EndedJob { spec: job.spec.clone(), results: job.listed().to_vec() };
+            app.ended_jobs.add(ended);
         });
     }
 }
--- a/src/entry/entry.rs
+++ b/src/entry/entry_node.rs
@@ -8,7 +8,7 @@
 use super::follow::{Topic, follow};
 use super::peer::Peers;
 use super::ports::Ports;
-use super::usage::send_notes;
+use super::usage::share_counts;
 use super::{member, mover, takeover};
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
@@ -23,11 +23,11 @@
 
 /// The handle.
 #[derive(Debug)]
-pub struct Entry {
+pub struct EntryNode {
     app: Arc<App>,
 }
 
-impl Entry {
+impl EntryNode {
     /// Begins to follow the store, and to serve once its view is whole.
     pub fn spawn(
         settings: EntrySettings,
@@ -35,19 +35,19 @@
         peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
     ) -> Self {
         let app = App::new(settings, ports, peers);
-        tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.life);
+        tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.incarnation);
         if app.settings.keeps {
             app.spawn(follow(app.clone(), Topic::Retirements));
         }
         if app.settings.callers.is_some() {
             app.spawn(follow(app.clone(), Topic::Routes));
             app.spawn(follow(app.clone(), Topic::Replicas));
-            app.spawn(follow(app.clone(), Topic::Live));
+            app.spawn(follow(app.clone(), Topic::Nodes));
             app.spawn(member::keep(app.clone()));
             app.spawn(takeover::follow(app.clone()));
             app.spawn(mover::give(app.clone()));
             if let Some(usage) = app.usage.clone() {
-                app.spawn(send_notes(app.clone(), usage));
+                app.spawn(share_counts(app.clone(), usage));
             }
             let looking = app.clone();
             app.spawn(async move { looking.look().await });
@@ -62,7 +62,7 @@
 
     /// Leaves: jobs are handed over, clients sent elsewhere. Returns once no client should
     /// come any more; the listeners serve until then.
-    pub async fn leave(&self) {
+    pub async fn drain(&self) {
         self.app.draining.store(true, Ordering::Relaxed);
         tracing::info!(event = "process_leaves", node = %self.app.settings.name);
         self.app.stop.cancel();
@@ -85,8 +85,8 @@
     }
 }
 
-impl Drop for Entry {
+impl Drop for EntryNode {
     fn drop(&mut self) {
-        self.app.gone.cancel();
+        self.app.abort.cancel();
     }
 }
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -8,7 +8,7 @@
 use crate::edge::notice::Notice;
 use crate::edge::store::{Change, Item, Page, Watched};
 use crate::entry::app::App;
-use crate::entry::peer::Followed;
+use crate::entry::peer::FeedTopic;
 
 /// How long a replica that vanished from the list over an outage of the store may still be
 /// there: entries that lapsed are back two seconds after the store is.
@@ -19,8 +19,8 @@
     pub(super) fn load(self: &Arc<Self>, topic: Topic, page: &Page, prefix: &str) {
         match topic {
             Topic::Replicas => self.relist(page, prefix),
-            Topic::Live => {
-                self.live.lock().load(page, self.store_time());
+            Topic::Nodes => {
+                self.membership.lock().load(page, self.store_time());
                 self.know_peers();
             }
             Topic::Routes | Topic::Versions | Topic::Retirements => {
@@ -28,7 +28,7 @@
             }
         }
         self.slots.pump(self.now());
-        self.tell();
+        self.notify_view_change();
     }
 
     /// Takes over changes.
@@ -40,7 +40,7 @@
             self.change(topic, change);
         }
         self.slots.pump(self.now());
-        self.tell();
+        self.notify_view_change();
     }
 
     fn change(&self, topic: Topic, change: &Change) {
@@ -49,8 +49,8 @@
             (Topic::Replicas, Change::Removed { key, .. }) => {
                 self.unlist(&self.notices.replica_id(key));
             }
-            (Topic::Live, change) => {
-                self.live.lock().change(change, self.store_time());
+            (Topic::Nodes, change) => {
+                self.membership.lock().change(change, self.store_time());
                 self.know_peers();
             }
             (_, Change::Put(item)) => self.notice(item),
@@ -61,10 +61,11 @@
 
     /// Who can be asked for a call to the store, in an order of this node's own.
     fn know_peers(&self) {
-        let nodes = self.live.lock().peers();
+        let nodes = self.membership.lock().peers();
         let others = nodes.keys().filter(|n| **n != self.settings.name).map(|n| &**n);
         let ranked = rank(&self.settings.name, others);
-        self.detour.know(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
+        self.fallback_store
+            .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
 
     fn notice(&self, item: &Item) {
@@ -123,7 +124,7 @@
             let id = self.notices.replica_id(&item.key);
             missing.retain(|m| *m != id);
         }
-        let since = self.detour.since_back().unwrap_or(LAPSE);
+        let since = self.fallback_store.time_since_recovery().unwrap_or(LAPSE);
         let wait = LAPSE.saturating_sub(since);
         if wait.is_zero() {
             missing.iter().for_each(|id| self.unlist(id));
@@ -136,10 +137,10 @@
         self.spawn(async move {
             tokio::time::sleep(wait).await;
             // Entries lapse anew in another outage; the whole is read after it.
-            if app.detour.nobody() {
+            if app.fallback_store.is_down() {
                 return;
             }
-            let feed = app.feeds.of(Followed::Replicas);
+            let feed = app.feeds.get(FeedTopic::Replicas);
             let gone = missing.iter().filter(|id| !feed.has(&format!("{prefix}{id}")));
             gone.for_each(|id| app.unlist(id));
         });
--- a/src/entry/follow/feed.rs
+++ b/src/entry/follow/feed.rs
@@ -26,9 +26,9 @@
 
 /// What a node hears of a prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum FeedUpdate {
     /// All of it.
-    Whole {
+    Snapshot {
         /// The keys.
         page: Page,
         /// How long ago the store was last heard of it.
@@ -38,11 +38,11 @@
     Changes(Watched),
 }
 
-impl News {
+impl FeedUpdate {
     /// The bytes of all values in it.
     pub(super) fn bytes(&self) -> usize {
         match self {
-            Self::Whole { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
+            Self::Snapshot { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
             Self::Changes(watched) => watched.changes.iter().map(Change::bytes).sum(),
         }
     }
@@ -79,12 +79,12 @@
 
 impl Feed {
     /// The whole was read from the store, and is watched from there.
-    pub fn open(&self, page: &Page) {
+    pub fn begin_watch(&self, page: &Page) {
         self.set(page, true);
     }
 
     /// The whole was heard from another node, so long ago.
-    pub fn copy(&self, page: &Page, age: Duration) {
+    pub fn copy_from_peer(&self, page: &Page, age: Duration) {
         self.set(page, false);
         self.state.lock().heard = Instant::now().checked_sub(age);
     }
@@ -104,13 +104,13 @@
     }
 
     /// The own watch ended.
-    pub fn close(&self) {
+    pub fn end_watch(&self) {
         self.state.lock().open = false;
         self.tell();
     }
 
     /// These have changed since.
-    pub fn add(&self, watched: &Watched) {
+    pub fn apply(&self, watched: &Watched) {
         let mut state = self.state.lock();
         for change in &watched.changes {
             match change {
@@ -127,12 +127,12 @@
 
     /// Changes after a revision, as soon as there is one or `wait` is over; the whole where
     /// some are missing here. None if there is no own watch.
-    pub async fn after(&self, after: u64, wait: Duration) -> Option<News> {
+    pub async fn wait_for_update(&self, after: u64, wait: Duration) -> Option<FeedUpdate> {
         let mut news = self.news.subscribe();
         let ends = Instant::now() + wait;
         loop {
             let seen = self.seen(after)?;
-            if !matches!(&seen, News::Changes(watched) if watched.changes.is_empty()) {
+            if !matches!(&seen, FeedUpdate::Changes(watched) if watched.changes.is_empty()) {
                 return Some(seen);
             }
             if tokio::time::timeout_at(ends, news.changed()).await.is_err() {
@@ -142,21 +142,21 @@
     }
 
     /// All of it, as soon as anything is known or `wait` is over.
-    pub async fn first(&self, wait: Duration) -> Option<News> {
+    pub async fn wait_for_snapshot(&self, wait: Duration) -> Option<FeedUpdate> {
         let mut news = self.news.subscribe();
         let known = async {
             loop {
-                if let Some(whole) = self.whole() {
+                if let Some(whole) = self.snapshot() {
                     return whole;
                 }
                 let _ = news.changed().await;
             }
         };
-        tokio::time::timeout(wait, known).await.ok().or_else(|| self.whole())
+        tokio::time::timeout(wait, known).await.ok().or_else(|| self.snapshot())
     }
 
     /// All of it, also from another node and from before an outage; none before the first.
-    pub fn whole(&self) -> Option<News> {
+    pub fn snapshot(&self) -> Option<FeedUpdate> {
         let state = self.state.lock();
         let age = if state.open { Duration::ZERO } else { state.heard?.elapsed() };
         state.heard?;
@@ -168,7 +168,7 @@
         self.state.lock().items.contains_key(key)
     }
 
-    fn seen(&self, after: u64) -> Option<News> {
+    fn seen(&self, after: u64) -> Option<FeedUpdate> {
         let state = self.state.lock();
         if !state.open {
             return None;
@@ -178,7 +178,7 @@
         }
         let changes = state.changes.iter().filter(|change| change.revision() > after);
         let changes = changes.cloned().collect();
-        Some(News::Changes(Watched { changes, revision: state.revision.max(after) }))
+        Some(FeedUpdate::Changes(Watched { changes, revision: state.revision.max(after) }))
     }
 
     fn tell(&self) {
@@ -200,8 +200,8 @@
         }
     }
 
-    fn whole(&self, age: Duration) -> News {
+    fn whole(&self, age: Duration) -> FeedUpdate {
         let items = self.items.values().cloned().collect();
-        News::Whole { page: Page { items, revision: self.revision }, age }
+        FeedUpdate::Snapshot { page: Page { items, revision: self.revision }, age }
     }
 }
--- a/src/entry/follow/follow.rs
+++ b/src/entry/follow/follower.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use super::feed::News;
-use super::source::Told;
+use super::feed::FeedUpdate;
+use super::sources::PeerUpdate;
 use super::topic::Topic;
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
@@ -84,7 +84,7 @@
         {
             tracing::info!(event = "old_view_taken", topic = self.topic.as_str());
             if self.topic == Topic::Routes {
-                self.app.old_routes.store(true, Ordering::Relaxed);
+                self.app.stale_routes.store(true, Ordering::Relaxed);
             }
             self.take(told);
         }
@@ -92,24 +92,24 @@
     }
 
     /// Takes over what another node said.
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, told: PeerUpdate) {
         let Some(followed) = self.topic.followed() else { return };
-        let feed = self.app.feeds.of(followed);
+        let feed = self.app.feeds.get(followed);
         self.log(&told);
         match told.news {
-            News::Whole { page, age } => {
+            FeedUpdate::Snapshot { page, age } => {
                 if self.begun {
                     // What readers of jobs have seen may have a gap as well.
-                    self.app.doubts.fetch_add(1, Ordering::Relaxed);
+                    self.app.watch_gaps.fetch_add(1, Ordering::Relaxed);
                 }
-                feed.copy(&page, age);
+                feed.copy_from_peer(&page, age);
                 self.heard = Some(Heard { revision: page.revision, own: None });
                 self.begun = true;
                 self.app.load(self.topic, &page, &self.prefix);
             }
-            News::Changes(watched) => {
-                feed.close();
-                feed.add(&watched);
+            FeedUpdate::Changes(watched) => {
+                feed.end_watch();
+                feed.apply(&watched);
                 self.heard = Some(Heard { revision: watched.revision, own: None });
                 self.app.catch_up(self.topic, &watched);
             }
@@ -118,31 +118,31 @@
 
     /// One line for a view that was replaced and for a configuration; changes of replicas and
     /// nodes show one by one.
-    fn log(&self, told: &Told) {
+    fn log(&self, told: &PeerUpdate) {
         let (from, bytes, topic) = (told.from, told.news.bytes(), self.topic.as_str());
         match &told.news {
-            News::Whole { page, .. } => {
+            FeedUpdate::Snapshot { page, .. } => {
                 let revision = page.revision;
                 tracing::info!(event = "whole_heard", topic, %from, revision, bytes);
             }
-            News::Changes(watched) if self.topic == Topic::Routes && bytes > 0 => {
+            FeedUpdate::Changes(watched) if self.topic == Topic::Routes && bytes > 0 => {
                 let revision = watched.revision;
                 tracing::info!(event = "routes_heard", %from, revision, bytes);
             }
-            News::Changes(_) => {}
+            FeedUpdate::Changes(_) => {}
         }
     }
 
     /// Reads the whole from the store, or goes on with the own watch.
     async fn own(&mut self) -> Result<(), StoreError> {
         let app = self.app.clone();
-        let feed = self.topic.followed().map(|followed| app.feeds.of(followed));
-        let doubts = app.doubts.load(Ordering::Relaxed);
+        let feed = self.topic.followed().map(|followed| app.feeds.get(followed));
+        let doubts = app.watch_gaps.load(Ordering::Relaxed);
         let going = self.heard.filter(|heard| heard.own == Some(doubts));
         let Some(heard) = going else {
             let page = app.store.range(&self.prefix).await?;
             if let Some(feed) = feed {
-                feed.open(&page);
+                feed.begin_watch(&page);
             }
             self.heard = Some(Heard { revision: page.revision, own: Some(doubts) });
             self.begun = true;
@@ -158,14 +158,14 @@
             Err(e) => {
                 // A watch that was cut may go on from a history that is gone and hear nothing
                 // for seconds, without an error: all is read whole again.
-                app.doubts.fetch_add(1, Ordering::Relaxed);
+                app.watch_gaps.fetch_add(1, Ordering::Relaxed);
                 return Err(e);
             }
         };
         let revision = heard.revision.max(watched.revision);
         self.heard = Some(Heard { revision, ..heard });
         if let Some(feed) = feed {
-            feed.add(&watched);
+            feed.apply(&watched);
         }
         if !watched.changes.is_empty() {
             app.catch_up(self.topic, &watched);
@@ -177,7 +177,7 @@
     fn back(&mut self) {
         self.pause = FIRST;
         if self.topic == Topic::Routes {
-            self.app.old_routes.store(false, Ordering::Relaxed);
+            self.app.stale_routes.store(false, Ordering::Relaxed);
         }
         if std::mem::take(&mut self.lost) {
             tracing::info!(event = "store_back", topic = self.topic.as_str());
@@ -187,7 +187,7 @@
     async fn fail(&mut self, e: StoreError) {
         self.heard = None;
         if let Some(followed) = self.topic.followed() {
-            self.app.feeds.of(followed).close();
+            self.app.feeds.get(followed).end_watch();
         }
         if !self.lost && e != StoreError::Compacted {
             tracing::warn!(event = "store_lost", topic = self.topic.as_str(), error = %e);
@@ -195,10 +195,10 @@
         }
         tracing::debug!(event = "read_failed", topic = self.topic.as_str(), error = %e);
         // A call from before the store's return fails after it; others wait for this reading.
-        if self.app.detour.since_back().is_some_and(|since| since < BACK) {
+        if self.app.fallback_store.time_since_recovery().is_some_and(|since| since < BACK) {
             self.pause = FIRST;
         }
-        self.app.detour.rest(self.pause).await;
+        self.app.fallback_store.wait_for_recovery(self.pause).await;
         self.pause = (self.pause * 2).min(LONGEST);
     }
 }
--- a/src/entry/follow/mod.rs
+++ b/src/entry/follow/mod.rs
@@ -3,11 +3,11 @@
 
 mod apply;
 mod feed;
-mod follow;
-mod source;
+mod follower;
+mod sources;
 mod topic;
 
-pub use feed::{Feed, News};
-pub(super) use follow::follow;
-pub(super) use source::Feeds;
+pub use feed::{Feed, FeedUpdate};
+pub(super) use follower::follow;
+pub(super) use sources::Feeds;
 pub(super) use topic::Topic;
--- a/src/entry/follow/source.rs
+++ b/src/entry/follow/sources.rs
@@ -11,11 +11,11 @@
 use futures_util::stream::FuturesUnordered;
 use parking_lot::Mutex;
 
-use super::feed::{Feed, News};
+use super::feed::{Feed, FeedUpdate};
 use crate::decide::{rank, score};
 use crate::edge::store::Page;
 use crate::entry::app::App;
-use crate::entry::peer::Followed;
+use crate::entry::peer::FeedTopic;
 use crate::{Moment, Name};
 
 /// Up to so many nodes each watches for itself: with three watchers nothing would be saved.
@@ -44,34 +44,34 @@
 
 /// What another node said.
 #[derive(Debug)]
-pub(super) struct Told {
+pub(super) struct PeerUpdate {
     pub(super) from: SocketAddr,
-    pub(super) news: News,
+    pub(super) news: FeedUpdate,
 }
 
 /// The feeds of what other nodes may follow here.
 #[derive(Debug, Default)]
 pub(in crate::entry) struct Feeds {
     /// Who was the first to say anything.
-    first: Mutex<Option<SocketAddr>>,
+    first_source: Mutex<Option<SocketAddr>>,
     routes: Feed,
     replicas: Feed,
-    live: Feed,
+    nodes: Feed,
 }
 
 impl Feeds {
-    pub(in crate::entry) fn of(&self, followed: Followed) -> &Feed {
+    pub(in crate::entry) fn get(&self, followed: FeedTopic) -> &Feed {
         match followed {
-            Followed::Routes => &self.routes,
-            Followed::Replicas => &self.replicas,
-            Followed::Live => &self.live,
+            FeedTopic::Routes => &self.routes,
+            FeedTopic::Replicas => &self.replicas,
+            FeedTopic::Nodes => &self.nodes,
         }
     }
 }
 
 impl App {
-    /// News from a node that watches for others; none where this node is to watch itself.
-    pub(super) async fn hear(&self, followed: Followed, after: u64) -> Option<Told> {
+    /// FeedUpdate from a node that watches for others; none where this node is to watch itself.
+    pub(super) async fn hear(&self, followed: FeedTopic, after: u64) -> Option<PeerUpdate> {
         let mut round = 0;
         loop {
             let sources = self.sources();
@@ -80,15 +80,15 @@
             }
             for from in sources {
                 if let Some(news) = self.follow_at(from, followed, after).await {
-                    return Some(Told { from, news });
+                    return Some(PeerUpdate { from, news });
                 }
             }
             // Where the store is away from everybody, an own watch would bring nothing.
-            round = if self.detour.nobody() { 0 } else { round + 1 };
+            round = if self.fallback_store.is_down() { 0 } else { round + 1 };
             if round > ROUNDS {
                 return None;
             }
-            self.detour.rest(PAUSE).await;
+            self.fallback_store.wait_for_recovery(PAUSE).await;
         }
     }
 
@@ -97,7 +97,7 @@
     /// Load pattern: hundreds of nodes start at once, first of all or after a loss of power.
     /// Where each read the store, they made seven calls each, 1,750 of 250 nodes; now those
     /// that are named in the settings read it, and the others wait for one of them.
-    pub(super) async fn hear_first(&self, followed: Followed) -> Option<Told> {
+    pub(super) async fn hear_first(&self, followed: FeedTopic) -> Option<PeerUpdate> {
         if self.is_seed() {
             return None;
         }
@@ -118,13 +118,21 @@
 
     /// What a node believes, as soon as it knows anything; none if it doesn't until `ends`, or
     /// does not hear the store itself.
-    async fn first_at(&self, seed: SocketAddr, followed: Followed, ends: Moment) -> Option<Told> {
+    async fn first_at(
+        &self,
+        seed: SocketAddr,
+        followed: FeedTopic,
+        ends: Moment,
+    ) -> Option<PeerUpdate> {
         loop {
             let left = ends.saturating_sub(self.now());
             match self.whole_at(seed, followed, left).await {
-                Some(News::Whole { page, age }) if age <= FRESH => {
-                    *self.feeds.first.lock() = Some(seed);
-                    return Some(Told { from: seed, news: News::Whole { page, age } });
+                Some(FeedUpdate::Snapshot { page, age }) if age <= FRESH => {
+                    *self.feeds.first_source.lock() = Some(seed);
+                    return Some(PeerUpdate {
+                        from: seed,
+                        news: FeedUpdate::Snapshot { page, age },
+                    });
                 }
                 Some(_) => return None,
                 None if self.now() >= ends => return None,
@@ -135,7 +143,7 @@
 
     /// The newest of what they believed before: better than nothing where the store does not
     /// answer.
-    pub(super) async fn hear_old(&self, followed: Followed) -> Option<Told> {
+    pub(super) async fn hear_old(&self, followed: FeedTopic) -> Option<PeerUpdate> {
         let seeds = self.other_seeds();
         let asks = seeds
             .iter()
@@ -143,12 +151,12 @@
         let mut asked: FuturesUnordered<_> = asks.collect();
         let mut best: Option<(Duration, Page, SocketAddr)> = None;
         while let Some((seed, news)) = asked.next().await {
-            let Some(News::Whole { page, age }) = news else { continue };
+            let Some(FeedUpdate::Snapshot { page, age }) = news else { continue };
             if best.as_ref().is_none_or(|(known, ..)| age < *known) {
                 best = Some((age, page, seed));
             }
         }
-        best.map(|(age, page, from)| Told { from, news: News::Whole { page, age } })
+        best.map(|(age, page, from)| PeerUpdate { from, news: FeedUpdate::Snapshot { page, age } })
     }
 
     /// Whether other nodes ask this one as they start. It reads the store at once.
@@ -169,15 +177,15 @@
     /// are listed, as in the first second of all, that is who spoke first.
     fn sources(&self) -> Vec<SocketAddr> {
         let Some(watchers) = self.watchers() else {
-            let first = self.feeds.first.lock().filter(|_| !self.is_seed());
-            return first.filter(|at| !self.shunned(*at)).into_iter().collect();
+            let first = self.feeds.first_source.lock().filter(|_| !self.is_seed());
+            return first.filter(|at| !self.is_unreachable(*at)).into_iter().collect();
         };
         if !self.follows() {
             return Vec::new();
         }
         let ranked = rank(&self.settings.name, watchers.iter().map(|(name, _)| &**name));
         let ordered = ranked.iter().filter_map(|n| watchers.iter().find(|(name, _)| **name == **n));
-        ordered.map(|(_, at)| *at).filter(|at| !self.shunned(*at)).take(ASKED).collect()
+        ordered.map(|(_, at)| *at).filter(|at| !self.is_unreachable(*at)).take(ASKED).collect()
     }
 
     /// Whether others watch for this node.
@@ -188,7 +196,7 @@
 
     /// The nodes that watch for others; none where each watches for itself.
     pub(super) fn watchers(&self) -> Option<Vec<(Name, SocketAddr)>> {
-        let nodes = self.live.lock().peers_around(self.store_time());
+        let nodes = self.membership.lock().peers_around(self.store_time());
         if nodes.len() <= FEW {
             return None;
         }
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -4,7 +4,7 @@
 
 use crate::entry::app::App;
 use crate::entry::keys::LIVE;
-use crate::entry::peer::Followed;
+use crate::entry::peer::FeedTopic;
 
 /// How long before work must have stopped going to a replica that leaves its report has to
 /// be seen here: for the answer of a store that is sixty times as slow as usual, an attempt
@@ -30,7 +30,7 @@
     /// The list of replicas.
     Replicas,
     /// Nodes and the holder of orders.
-    Live,
+    Nodes,
 }
 
 impl Topic {
@@ -41,7 +41,7 @@
             Self::Versions => app.notices.versions().to_owned(),
             Self::Retirements => app.notices.retirements().to_owned(),
             Self::Replicas => app.notices.replicas().to_owned(),
-            Self::Live => LIVE.to_owned(),
+            Self::Nodes => LIVE.to_owned(),
         }
     }
 
@@ -52,7 +52,7 @@
     pub(super) async fn rest(self, app: &App) {
         match self {
             Self::Routes | Self::Versions | Self::Retirements => {}
-            Self::Live => tokio::time::sleep(LIVE_GATHER).await,
+            Self::Nodes => tokio::time::sleep(LIVE_GATHER).await,
             Self::Replicas => {
                 tokio::time::sleep(GATHER).await;
                 // Others hear of changes here.
@@ -60,17 +60,17 @@
                     return;
                 }
                 let longer = app.settings.drain.saturating_sub(AHEAD + GATHER);
-                let _ = tokio::time::timeout(longer, app.homes.work()).await;
+                let _ = tokio::time::timeout(longer, app.owned_jobs.work()).await;
             }
         }
     }
 
     /// What other nodes may follow of it.
-    pub(super) fn followed(self) -> Option<Followed> {
+    pub(super) fn followed(self) -> Option<FeedTopic> {
         match self {
-            Self::Routes => Some(Followed::Routes),
-            Self::Replicas => Some(Followed::Replicas),
-            Self::Live => Some(Followed::Live),
+            Self::Routes => Some(FeedTopic::Routes),
+            Self::Replicas => Some(FeedTopic::Replicas),
+            Self::Nodes => Some(FeedTopic::Nodes),
             Self::Versions | Self::Retirements => None,
         }
     }
@@ -81,7 +81,7 @@
             Self::Versions => "versions",
             Self::Retirements => "retirements",
             Self::Replicas => "replicas",
-            Self::Live => "live",
+            Self::Nodes => "live",
         }
     }
 }
--- a/src/entry/home.rs
+++ b/src/entry/home.rs
@@ -47,7 +47,7 @@
         if let Some(model) = &spec.model {
             self.demand.lock().note(model, spec.work(), self.now());
         }
-        let turn = self.homes.turn(&spec);
+        let turn = self.owned_jobs.turn(&spec);
         let job = Job::new(spec, listed);
         let places = match &job.spec.model {
             Some(model) => self.slots.fleet.lock().places(model, job.spec.oldest),
@@ -67,7 +67,7 @@
             stop: CancellationToken::new(),
             turn,
         });
-        let Some(home) = self.homes.insert(&id, home) else { return };
+        let Some(home) = self.owned_jobs.insert(&id, home) else { return };
         let unfinished = home.texts.lock().len();
         tracing::info!(event = "job_begins", job = %id, listed = count, todo = todo.len(), unfinished);
         for (index, item) in todo.into_iter().enumerate() {
@@ -90,12 +90,12 @@
         home.job.lock().end();
         home.stop.cancel();
         let id = home.job.lock().spec.id.clone();
-        self.homes.remove(&id);
+        self.owned_jobs.remove(&id);
     }
 
     /// Stops all jobs that run here, so that others can take them, and writes what is there.
     pub(super) async fn hand_over(self: &Arc<Self>) {
-        let homes = self.homes.all();
+        let homes = self.owned_jobs.all();
         for (_, home) in &homes {
             home.stop.cancel();
         }
@@ -103,7 +103,7 @@
             let app = self.clone();
             async move {
                 write_all(&app, &home, &id, HANDOVER).await;
-                app.homes.remove(&id);
+                app.owned_jobs.remove(&id);
                 app.tally.job(JobStep::HandedOver);
                 tracing::info!(event = "job_handed_over", job = %id);
             }
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -150,7 +150,7 @@
                 if home.stop.is_cancelled() {
                     return false;
                 }
-                app.detour.rest(PAUSE).await;
+                app.fallback_store.wait_for_recovery(PAUSE).await;
             }
         }
     }
@@ -196,7 +196,7 @@
     if item.revision < key.revision {
         return true;
     }
-    if value.life != app.life {
+    if value.life != app.incarnation {
         return false;
     }
     let ended = value.ended;
@@ -204,7 +204,7 @@
     drop(key);
     if ended && !home.job.lock().ended() {
         app.halt(home);
-        app.keep_ended(home.clone());
+        app.retain_ended(home.clone());
     }
     true
 }
@@ -214,5 +214,5 @@
     app.tally.job(JobStep::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is home");
     home.stop.cancel();
-    app.homes.remove(id);
+    app.owned_jobs.remove(id);
 }
--- a/src/entry/member.rs
+++ b/src/entry/member.rs
@@ -17,13 +17,13 @@
 
 /// Keeps the node listed until it stops.
 pub(super) async fn keep(app: Arc<App>) {
-    while app.routes().is_none() || !app.live.lock().loaded() {
+    while app.routes().is_none() || !app.membership.lock().loaded() {
         tokio::time::sleep(LOOK).await;
     }
     while !app.stop.is_cancelled() {
         if let Err(e) = hold(&app).await {
             tracing::warn!(event = "lease_failed", error = %e);
-            app.detour.rest(PAUSE).await;
+            app.fallback_store.wait_for_recovery(PAUSE).await;
         }
     }
 }
@@ -34,31 +34,31 @@
     let sent = app.now();
     let lease = app.store.grant(ttl).await?;
     let (callers, peers) = (app.settings.callers, app.settings.peers);
-    let value = NodeValue { life: app.life.clone(), callers, peers };
+    let value = NodeValue { life: app.incarnation.clone(), callers, peers };
     let value = serde_json::to_vec(&value).map_err(|e| StoreError::Refused(e.to_string()))?;
     let key = node(&app.settings.name);
     let txn = Txn::default().put_leased(key, value, lease);
     let TxnEnd::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
-    *app.lease.lock() = Lease { id: lease, until: sent + ttl, key: written };
-    app.listed.store(true, Ordering::Relaxed);
-    tracing::info!(event = "node_listed", life = %app.life, lease);
-    app.tell();
+    *app.lease.lock() = Lease { id: lease, valid_until: sent + ttl, key_revision: written };
+    app.registered.store(true, Ordering::Relaxed);
+    tracing::info!(event = "node_listed", life = %app.incarnation, lease);
+    app.notify_view_change();
     let mut pause = ttl / RENEWALS;
     loop {
         tokio::select! {
             () = app.stop.cancelled() => return Ok(()),
-            () = app.detour.rest(pause) => {}
+            () = app.fallback_store.wait_for_recovery(pause) => {}
         }
         let sent = app.now();
         match app.store.keep(lease).await {
             Ok(true) => {
-                app.lease.lock().until = sent + ttl;
+                app.lease.lock().valid_until = sent + ttl;
                 pause = ttl / RENEWALS;
             }
             Ok(false) => {
                 tracing::warn!(event = "lease_ended", lease);
                 *app.lease.lock() = Lease::default();
-                app.tell();
+                app.notify_view_change();
                 return Ok(());
             }
             Err(e) => {
@@ -72,7 +72,7 @@
 impl App {
     /// Waits until this node's last order is as old as the next holder takes it to be.
     pub(super) async fn rest_from_orders(&self) {
-        let Some(last) = *self.ordered.lock() else { return };
+        let Some(last) = *self.last_duty.lock() else { return };
         let until = last + self.settings.lease / 2;
         tokio::time::sleep(until.saturating_sub(self.now())).await;
     }
@@ -85,7 +85,7 @@
         }
         let key = node(&self.settings.name);
         // Under a condition: an answer may be lost, and this node be back by then.
-        let gone = Txn::when(key.clone(), lease.key).remove(key);
+        let gone = Txn::when(key.clone(), lease.key_revision).remove(key);
         if let Err(e) = self.store.txn(gone).await {
             tracing::warn!(event = "node_not_removed", error = %e);
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,10 +6,10 @@
 
 mod addresses;
 mod app;
-mod counted;
-mod end;
-mod ended;
-mod entry;
+mod counted_store;
+mod end_job;
+mod ended_jobs;
+mod entry_node;
 mod follow;
 mod home;
 mod homes;
@@ -23,6 +23,7 @@
 mod read;
 mod record;
 mod relay;
+mod remote_jobs;
 mod retire;
 mod run;
 mod sample;
@@ -33,13 +34,13 @@
 mod submit;
 mod takeover;
 mod usage;
-mod views;
 
 pub use app::App;
-pub use entry::Entry;
-pub use follow::{Feed, News};
+pub use entry_node::EntryNode;
+pub use follow::{Feed, FeedUpdate};
 pub use peer::{
-    Door, Followed, PeerAsk, PeerDoor, PeerLine, PeerReply, Peers, StoreAsk, StoreReply,
+    FeedTopic, HttpPeers, PeerReply, PeerRequest, PeerResponder, PeerServer, Peers, StoreReply,
+    StoreRequest,
 };
 pub use ports::Ports;
 pub use read::{Found, Read};
--- a/src/entry/mover.rs
+++ b/src/entry/mover.rs
@@ -12,8 +12,8 @@
 use super::app::App;
 use super::follow::{Topic, follow};
 use super::keys::{HOLDER, HolderValue};
-use super::scale::scale;
-use super::usage::report;
+use super::scale::run_autoscaling;
+use super::usage::report_usage;
 use crate::Name;
 use crate::decide::moves::{self, Move, Standing};
 use crate::decide::rank;
@@ -50,9 +50,9 @@
                 tokio::select! {
                     () = app.stop.cancelled() => {}
                     () = hold(&app, fence) => {}
-                    () = app.hear_demand() => {}
-                    () = report(&app, fence) => {}
-                    () = scale(&app, fence) => {}
+                    () = app.poll_demand() => {}
+                    () = report_usage(&app, fence) => {}
+                    () = run_autoscaling(&app, fence) => {}
                     () = follow(app.clone(), Topic::Versions) => {}
                 }
                 tracing::info!(event = "orders_given_up", fence);
@@ -68,31 +68,31 @@
 
 /// Waits until this node is holder and returns its fencing token.
 async fn acquire(app: &Arc<App>) -> u64 {
-    let mut news = app.news.subscribe();
+    let mut news = app.view_changes.subscribe();
     let mut free = None;
     loop {
         let _ = tokio::time::timeout(LOOK, news.changed()).await;
         let now = app.now();
         let (taken, able) = {
-            let live = app.live.lock();
+            let live = app.membership.lock();
             (live.holder().cloned(), live.able())
         };
         if let Some(seen) = taken {
             free = None;
             // A key of an earlier term of this very process.
-            if seen.value.life == app.life && app.leased() {
+            if seen.value.life == app.incarnation && app.has_lease() {
                 return seen.revision;
             }
             continue;
         }
         let since = *free.get_or_insert(now);
         let ranked = rank(HOLDER, able.iter().map(|l| &**l));
-        let Some(place) = ranked.iter().position(|l| **l == *app.life) else { continue };
+        let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
         let lease = app.lease.lock().id;
-        if lease == 0 || !app.leased() || now < since + STEP * place as u32 {
+        if lease == 0 || !app.has_lease() || now < since + STEP * place as u32 {
             continue;
         }
-        let Ok(value) = serde_json::to_vec(&HolderValue { life: app.life.clone() }) else {
+        let Ok(value) = serde_json::to_vec(&HolderValue { life: app.incarnation.clone() }) else {
             continue;
         };
         let txn = Txn::when(HOLDER, 0).put_leased(HOLDER, value, lease);
@@ -106,12 +106,12 @@
 
 /// Gives orders until the term is over.
 async fn hold(app: &Arc<App>, fence: u64) {
-    tokio::time::sleep(app.turn()).await;
-    let mut news = app.news.subscribe();
+    tokio::time::sleep(app.takeover_delay()).await;
+    let mut news = app.view_changes.subscribe();
     let mut busy: BTreeMap<Name, Name> = BTreeMap::new();
     let mut running: JoinSet<(Name, Moved)> = JoinSet::new();
     loop {
-        if !app.holds(fence) {
+        if !app.holds_term(fence) {
             return;
         }
         for wanted in wanted(app, &busy) {
@@ -176,7 +176,7 @@
         app.slots.fleet.lock().seen(&target, &wanted.model, has);
         return Moved::Done;
     }
-    if stance.busy || !app.holds(fence) {
+    if stance.busy || !app.holds_term(fence) {
         return Moved::Failed;
     }
     let one_version = app.routes().is_some_and(|r| r.any_one_version());
@@ -188,7 +188,7 @@
         fence,
         sequence: stance.sequence,
     };
-    *app.ordered.lock() = Some(app.now());
+    *app.last_duty.lock() = Some(app.now());
     let end = app.replicas.order(&target, order, CALL).await;
     tracing::info!(
         event = "order_given",
--- a/src/entry/peer/detour.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -9,8 +9,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use super::message::{PeerAsk, PeerReply, StoreAsk, StoreReply};
-use super::port::Peers;
+use super::messages::{PeerReply, PeerRequest, StoreReply, StoreRequest};
+use super::peers::Peers;
 use crate::Moment;
 use crate::decide::detour::{self, Way};
 use crate::edge::peer::PeerError;
@@ -31,7 +31,7 @@
 
 /// The store as a node reaches it. Cloning it shares what is believed.
 #[derive(Debug, Clone)]
-pub(in crate::entry) struct Detour {
+pub(in crate::entry) struct FallbackStore {
     pub(super) direct: Arc<dyn Store>,
     peers: Arc<dyn Peers>,
     state: Arc<Mutex<State>>,
@@ -84,7 +84,7 @@
     Unsure(StoreError),
 }
 
-impl Detour {
+impl FallbackStore {
     pub(in crate::entry) fn new(
         direct: Arc<dyn Store>,
         peers: Arc<dyn Peers>,
@@ -111,17 +111,17 @@
     }
 
     /// Whether the store answers this node, as far as is known.
-    pub(in crate::entry) fn open(&self) -> bool {
+    pub(in crate::entry) fn is_direct(&self) -> bool {
         self.state.lock().way.open()
     }
 
     /// Whether the store is away from everybody, as far as is known.
-    pub(in crate::entry) fn nobody(&self) -> bool {
+    pub(in crate::entry) fn is_down(&self) -> bool {
         self.state.lock().way.nobody()
     }
 
     /// How long the store has been away from everybody; none while it is not.
-    pub(in crate::entry) fn away(&self) -> Option<Duration> {
+    pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
         let away = self.begun.elapsed().saturating_sub(state.heard);
         state.way.nobody().then_some(away)
@@ -136,13 +136,13 @@
     }
 
     /// How long ago the store came back after an outage; none if there was none.
-    pub(in crate::entry) fn since_back(&self) -> Option<Duration> {
+    pub(in crate::entry) fn time_since_recovery(&self) -> Option<Duration> {
         let back = self.state.lock().back?;
         Some(self.begun.elapsed().saturating_sub(back))
     }
 
     /// Takes over who can be asked.
-    pub(in crate::entry) fn know(&self, nodes: Vec<SocketAddr>) {
+    pub(in crate::entry) fn set_peers(&self, nodes: Vec<SocketAddr>) {
         if nodes.is_empty() {
             return;
         }
@@ -163,7 +163,7 @@
     pub(super) async fn call<T>(
         self,
         direct: Answer<T>,
-        ask: StoreAsk,
+        ask: StoreRequest,
         again: bool,
         open: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
@@ -198,7 +198,7 @@
             Err(e) => {
                 // Whoever watches has to learn that the watch was cut. That is one connection's
                 // end; the next call shows whether the way is closed.
-                if matches!(ask, StoreAsk::Watch { .. }) {
+                if matches!(ask, StoreRequest::Watch { .. }) {
                     return Err(e);
                 }
                 self.failed(&e);
@@ -212,7 +212,7 @@
     }
 
     /// Looks whether the own way is open, whoever looked when. One call.
-    pub(in crate::entry) async fn opens(&self, key: &str) -> bool {
+    pub(in crate::entry) async fn probe(&self, key: &str) -> bool {
         match look(self.direct.get(key)).await {
             Ok(_) => {
                 self.answered();
@@ -231,7 +231,7 @@
 
     async fn ask<T>(
         self,
-        ask: StoreAsk,
+        ask: StoreRequest,
         again: bool,
         failed: Option<StoreError>,
         open: fn(StoreReply) -> Option<T>,
@@ -260,14 +260,14 @@
     async fn help<T>(
         &self,
         node: SocketAddr,
-        ask: StoreAsk,
+        ask: StoreRequest,
         open: fn(StoreReply) -> Option<T>,
     ) -> Helped<T> {
         let limit = match &ask {
-            StoreAsk::Watch { wait, .. } => LIMIT + *wait,
+            StoreRequest::Watch { wait, .. } => LIMIT + *wait,
             _ => LIMIT,
         };
-        match self.peers.ask(node, PeerAsk::Store(ask), limit).await {
+        match self.peers.ask(node, PeerRequest::Store(ask), limit).await {
             Ok(PeerReply::Store(Ok(reply))) => Helped::Answered(
                 open(reply).ok_or_else(|| StoreError::Unknown("another answer".to_owned())),
             ),
@@ -329,13 +329,14 @@
     /// Tells the others that the store is back: they look now and not in a while.
     async fn tell(self) {
         let nodes = self.state.lock().nodes.clone();
-        let asks = nodes.into_iter().map(|to| self.peers.ask(to, PeerAsk::Reached, TELL));
+        let asks =
+            nodes.into_iter().map(|to| self.peers.ask(to, PeerRequest::StoreRecovered, TELL));
         let mut asks = futures_util::stream::iter(asks).buffer_unordered(TOLD);
         while asks.next().await.is_some() {}
     }
 
     /// Another node says that the store is back. Whoever is told does not tell on.
-    pub(super) fn told(&self) {
+    pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
             if !state.way.nobody() {
@@ -349,7 +350,7 @@
     }
 
     /// Waits for a pause to be over, or for the store to be back.
-    pub(in crate::entry) async fn rest(&self, pause: Duration) {
+    pub(in crate::entry) async fn wait_for_recovery(&self, pause: Duration) {
         let mut opened = self.opened.subscribe();
         let _ = tokio::time::timeout(pause, opened.changed()).await;
     }
--- a/src/entry/peer/line.rs
+++ b/src/entry/peer/http_peers.rs
@@ -6,30 +6,30 @@
 
 use futures_util::future::BoxFuture;
 
-use super::message::{PeerAsk, PeerReply};
-use super::port::Peers;
+use super::messages::{PeerReply, PeerRequest};
+use super::peers::Peers;
 use crate::edge::peer::{PeerClient, PeerError};
 use crate::metrics::Tally;
 
 /// The client.
 #[derive(Debug, Clone)]
-pub struct PeerLine {
-    client: PeerClient<PeerAsk>,
+pub struct HttpPeers {
+    client: PeerClient<PeerRequest>,
 }
 
-impl PeerLine {
+impl HttpPeers {
     /// A client whose messages are counted.
     pub fn new(tally: Arc<Tally>) -> Self {
-        let counts = move |ask: &PeerAsk| tally.peer(ask.purpose());
+        let counts = move |ask: &PeerRequest| tally.peer(ask.purpose());
         Self { client: PeerClient::new(counts) }
     }
 }
 
-impl Peers for PeerLine {
+impl Peers for HttpPeers {
     fn ask(
         &self,
         to: SocketAddr,
-        ask: PeerAsk,
+        ask: PeerRequest,
         limit: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>> {
         let client = self.client.clone();
--- a/src/entry/peer/message.rs
+++ b/src/entry/peer/messages.rs
@@ -10,18 +10,18 @@
 use crate::decide::usage::WindowNote;
 use crate::edge::peer::Message;
 use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
-use crate::entry::follow::News;
+use crate::entry::follow::FeedUpdate;
 use crate::entry::read::Read;
 use crate::entry::submit::Submitted;
 use crate::metrics::PeerUse;
 
 /// A request to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum PeerAsk {
+pub enum PeerRequest {
     /// Be home to this job.
     Submit(Spec),
     /// Say whether you have this job.
-    Find(Name),
+    OwnsJob(Name),
     /// The body of a sample of a job that you have.
     Body {
         /// The job.
@@ -39,16 +39,16 @@
         wait: Duration,
     },
     /// All of what you believe.
-    Whole {
+    Snapshot {
         /// Of what.
-        followed: Followed,
+        followed: FeedTopic,
         /// How long to wait for it, where nothing is known yet.
         wait: Duration,
     },
     /// Changes that you have watched.
     Follow {
         /// Of what.
-        followed: Followed,
+        followed: FeedTopic,
         /// After this revision.
         after: u64,
         /// How long to wait for one.
@@ -57,7 +57,7 @@
     /// Say what the steps of each model bring at you.
     Demand,
     /// Call the store for me.
-    Store(StoreAsk),
+    Store(StoreRequest),
     /// What you should know of the requests that have begun at me.
     Usage {
         /// The incarnation that counted them.
@@ -68,23 +68,23 @@
         notes: Vec<WindowNote>,
     },
     /// The store answers again.
-    Reached,
+    StoreRecovered,
 }
 
 /// What one node may follow at another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Followed {
+pub enum FeedTopic {
     /// The configuration.
     Routes,
     /// The list of replicas.
     Replicas,
     /// Nodes and the holder of orders.
-    Live,
+    Nodes,
 }
 
 /// A call to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum StoreAsk {
+pub enum StoreRequest {
     /// A key.
     Get(Name),
     /// All keys under a prefix.
@@ -120,7 +120,7 @@
     /// The body; none where this node does not have it.
     Body(Option<Bytes>),
     /// What was heard; none where this node can't say.
-    Followed(Option<News>),
+    Followed(Option<FeedUpdate>),
     /// What the steps of each model bring.
     Demand {
         /// The work of one step, by model.
@@ -162,18 +162,18 @@
     Ended,
 }
 
-impl Message for PeerAsk {
+impl Message for PeerRequest {
     type Reply = PeerReply;
 }
 
-impl PeerAsk {
+impl PeerRequest {
     /// What its bytes, and those of its reply, count for.
     pub fn purpose(&self) -> PeerUse {
         match self {
             Self::Submit(_) => PeerUse::Submit,
-            Self::Find(_) | Self::Body { .. } | Self::Read { .. } => PeerUse::Read,
-            Self::Whole { .. } | Self::Follow { .. } | Self::Demand => PeerUse::Follow,
-            Self::Store(_) | Self::Reached => PeerUse::Store,
+            Self::OwnsJob(_) | Self::Body { .. } | Self::Read { .. } => PeerUse::Read,
+            Self::Snapshot { .. } | Self::Follow { .. } | Self::Demand => PeerUse::Follow,
+            Self::Store(_) | Self::StoreRecovered => PeerUse::Store,
             Self::Usage { .. } => PeerUse::Usage,
         }
     }
--- a/src/entry/peer/port.rs
+++ b/src/entry/peer/peers.rs
@@ -5,7 +5,7 @@
 
 use futures_util::future::BoxFuture;
 
-use super::message::{PeerAsk, PeerReply};
+use super::messages::{PeerReply, PeerRequest};
 use crate::edge::peer::PeerError;
 
 /// The other nodes.
@@ -14,7 +14,7 @@
     fn ask(
         &self,
         to: SocketAddr,
-        ask: PeerAsk,
+        ask: PeerRequest,
         limit: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>>;
 }
--- a/src/entry/peer/home.rs
+++ b/src/entry/peer/requests.rs
@@ -8,17 +8,17 @@
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
 
-use super::message::{Followed, PeerAsk, PeerReply};
+use super::messages::{FeedTopic, PeerReply, PeerRequest};
 use crate::Name;
 use crate::decide::affinity;
 use crate::decide::job::Spec;
 use crate::edge::peer::PeerError;
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::follow::News;
+use crate::entry::follow::FeedUpdate;
 use crate::entry::read::Read;
+use crate::entry::remote_jobs::{JobLocation, RemoteJob};
 use crate::entry::submit::Submitted;
-use crate::entry::views::{At, View};
 
 /// How long a home may take to accept a job: one write, in the slowest store that was seen
 /// a quarter of a second.
@@ -40,7 +40,7 @@
 
 /// What became of a job that was handed to another node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::entry) enum Passed {
+pub(in crate::entry) enum ForwardOutcome {
     /// It is kept there.
     Kept,
     /// It is not.
@@ -51,16 +51,16 @@
 
 impl App {
     /// Hands a job to the node that is to be its home, if that is another one.
-    pub(in crate::entry) async fn pass_on(&self, spec: &Spec) -> Passed {
-        let Some(to) = self.preferred(spec) else { return Passed::Not };
-        let reply = self.ask(to, PeerAsk::Submit(spec.clone()), SUBMIT).await;
+    pub(in crate::entry) async fn forward_job(&self, spec: &Spec) -> ForwardOutcome {
+        let Some(to) = self.preferred(spec) else { return ForwardOutcome::Not };
+        let reply = self.ask(to, PeerRequest::Submit(spec.clone()), SUBMIT).await;
         let passed = match &reply {
-            Ok(PeerReply::Submitted(Submitted::Kept)) => Passed::Kept,
-            Ok(PeerReply::Submitted(Submitted::Refused(_))) => Passed::Not,
-            Err(PeerError::Connect { .. }) => Passed::Not,
-            Ok(_) | Err(_) => Passed::Unsure,
+            Ok(PeerReply::Submitted(Submitted::Kept)) => ForwardOutcome::Kept,
+            Ok(PeerReply::Submitted(Submitted::Refused(_))) => ForwardOutcome::Not,
+            Err(PeerError::Connect { .. }) => ForwardOutcome::Not,
+            Ok(_) | Err(_) => ForwardOutcome::Unsure,
         };
-        if passed == Passed::Kept {
+        if passed == ForwardOutcome::Kept {
             tracing::info!(event = "job_passed_on", job = %spec.id, %to);
         } else {
             tracing::info!(event = "job_not_passed_on", job = %spec.id, %to, ?passed, ?reply);
@@ -72,12 +72,12 @@
     fn preferred(&self, spec: &Spec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
-        let nodes = self.live.lock().peers();
+        let nodes = self.membership.lock().peers();
         let names: Vec<Name> = nodes.keys().cloned().collect();
         let homes = affinity::preferred(&routes.batch(), &names);
         let home = homes.get(&route.name).filter(|home| **home != self.settings.name)?;
         let to = *nodes.get(home)?;
-        (!self.shunned(to)).then_some(to)
+        (!self.is_unreachable(to)).then_some(to)
     }
 
     /// Reads at a job's home; none if that does not answer, or is this node.
@@ -87,17 +87,18 @@
         after: usize,
         wait: Duration,
     ) -> Result<Option<Read>, StoreError> {
-        let view = self.views.get(job);
+        let view = self.remote_jobs.get(job);
         let Some(life) = self.at(job, &view).await? else { return Ok(None) };
-        let Some(to) = self.live.lock().peer(&life).filter(|to| !self.shunned(*to)) else {
+        let Some(to) = self.membership.lock().peer(&life).filter(|to| !self.is_unreachable(*to))
+        else {
             return Ok(None);
         };
-        let ask = PeerAsk::Read { job: job.into(), after, wait };
+        let ask = PeerRequest::Read { job: job.into(), after, wait };
         match self.ask(to, ask, wait + READ).await {
             Ok(PeerReply::Read(Some(read))) => Ok(Some(read)),
             // It is home no more, or does not know what its last write came to.
             Ok(_) => {
-                view.state.lock().at = At::Unknown;
+                view.state.lock().location = JobLocation::Unknown;
                 Ok(None)
             }
             Err(_) => Ok(None),
@@ -106,14 +107,14 @@
 
     /// The body of a sample from the node that has its job; none where that can't be asked.
     pub(in crate::entry) async fn body_at_home(&self, job: &str, item: &str) -> Option<Bytes> {
-        let view = self.views.get(job);
-        let known = match &view.state.lock().at {
-            At::Home { life, .. } => Some(life.clone()),
-            At::Store | At::Unknown => None,
+        let view = self.remote_jobs.get(job);
+        let known = match &view.state.lock().location {
+            JobLocation::Home { life, .. } => Some(life.clone()),
+            JobLocation::Store | JobLocation::Unknown => None,
         };
         let life = self.find(job, known).await?;
-        let to = self.live.lock().peer(&life)?;
-        let ask = PeerAsk::Body { job: job.into(), item: item.into() };
+        let to = self.membership.lock().peer(&life)?;
+        let ask = PeerRequest::Body { job: job.into(), item: item.into() };
         match self.ask(to, ask, READ).await {
             Ok(PeerReply::Body(body)) => body,
             _ => None,
@@ -124,10 +125,11 @@
     /// route are handed to. It answers for itself, so nothing depends on this.
     async fn find(&self, job: &str, known: Option<Name>) -> Option<Name> {
         let asked = self.likely_homes(known);
-        let asks = asked.into_iter().filter(|(_, to)| !self.shunned(*to)).map(|(life, to)| {
-            let ask = self.peers.ask(to, PeerAsk::Find(job.into()), FIND);
-            async move { matches!(ask.await, Ok(PeerReply::Found(true))).then_some(life) }
-        });
+        let asks =
+            asked.into_iter().filter(|(_, to)| !self.is_unreachable(*to)).map(|(life, to)| {
+                let ask = self.peers.ask(to, PeerRequest::OwnsJob(job.into()), FIND);
+                async move { matches!(ask.await, Ok(PeerReply::Found(true))).then_some(life) }
+            });
         let mut asks: FuturesUnordered<_> = asks.collect();
         while let Some(found) = asks.next().await {
             if found.is_some() {
@@ -138,7 +140,7 @@
     }
 
     fn likely_homes(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
-        let live = self.live.lock();
+        let live = self.membership.lock();
         if let Some(life) = known
             && let Some(to) = live.peer(&life)
         {
@@ -155,20 +157,20 @@
 
     /// Asks the homes of the routes what their steps bring, for as long as this node gives
     /// orders. What is not heard keeps its last value.
-    pub(in crate::entry) async fn hear_demand(&self) {
+    pub(in crate::entry) async fn poll_demand(&self) {
         loop {
             tokio::time::sleep(DEMAND).await;
             let asks = self
                 .likely_homes(None)
                 .into_iter()
-                .map(|(_, to)| async move { self.peers.ask(to, PeerAsk::Demand, FIND).await });
+                .map(|(_, to)| async move { self.peers.ask(to, PeerRequest::Demand, FIND).await });
             let heard = futures_util::future::join_all(asks).await;
             let now = self.now();
             let (mut demand, mut load) = (self.demand.lock(), self.load.lock());
             let mut note = |life: &Name, wanted: Vec<(Name, u64)>| {
                 wanted.iter().for_each(|(service, total)| load.note(life, service, *total, now));
             };
-            note(&self.life, self.slots.wanted.totals());
+            note(&self.incarnation, self.slots.wanted.totals());
             for reply in heard {
                 let Ok(PeerReply::Demand { steps, life, wanted }) = reply else { continue };
                 steps.iter().for_each(|(model, work)| demand.note(model, *work, now));
@@ -178,30 +180,32 @@
     }
 
     /// The life that is home to a job, from what the store said since nodes last went.
-    async fn at(&self, job: &str, view: &View) -> Result<Option<Name>, StoreError> {
-        let sure = (self.doubts.load(Ordering::Relaxed), self.live.lock().departures());
-        match &view.state.lock().at {
-            At::Home { life, sure: then } if *then == sure => return Ok(Some(life.clone())),
-            At::Store => return Ok(None),
-            At::Home { .. } | At::Unknown => {}
+    async fn at(&self, job: &str, view: &RemoteJob) -> Result<Option<Name>, StoreError> {
+        let sure = (self.watch_gaps.load(Ordering::Relaxed), self.membership.lock().departures());
+        match &view.state.lock().location {
+            JobLocation::Home { life, sure: then } if *then == sure => {
+                return Ok(Some(life.clone()));
+            }
+            JobLocation::Store => return Ok(None),
+            JobLocation::Home { .. } | JobLocation::Unknown => {}
         }
-        let known = match &view.state.lock().at {
-            At::Home { life, .. } => Some(life.clone()),
-            At::Store | At::Unknown => None,
+        let known = match &view.state.lock().location {
+            JobLocation::Home { life, .. } => Some(life.clone()),
+            JobLocation::Store | JobLocation::Unknown => None,
         };
         if let Some(life) = self.find(job, known).await {
-            view.state.lock().at = At::Home { life: life.clone(), sure };
+            view.state.lock().location = JobLocation::Home { life: life.clone(), sure };
             return Ok(Some(life));
         }
         let Some(seen) = self.home_of(job).await? else { return Ok(None) };
         let mut state = view.state.lock();
-        state.total = Some(seen.value.total);
+        state.sample_count = Some(seen.value.total);
         if seen.value.ended {
-            state.at = At::Store;
+            state.location = JobLocation::Store;
             state.ended = true;
             return Ok(None);
         }
-        state.at = At::Home { life: seen.value.life.clone(), sure };
+        state.location = JobLocation::Home { life: seen.value.life.clone(), sure };
         Ok(Some(seen.value.life))
     }
 
@@ -209,10 +213,10 @@
     pub(in crate::entry) async fn follow_at(
         &self,
         to: SocketAddr,
-        followed: Followed,
+        followed: FeedTopic,
         after: u64,
-    ) -> Option<News> {
-        let ask = PeerAsk::Follow { followed, after, wait: FOLLOW };
+    ) -> Option<FeedUpdate> {
+        let ask = PeerRequest::Follow { followed, after, wait: FOLLOW };
         match self.ask(to, ask, FOLLOW + READ).await {
             Ok(PeerReply::Followed(news)) => news,
             _ => None,
@@ -223,10 +227,10 @@
     pub(in crate::entry) async fn whole_at(
         &self,
         to: SocketAddr,
-        followed: Followed,
+        followed: FeedTopic,
         wait: Duration,
-    ) -> Option<News> {
-        match self.peers.ask(to, PeerAsk::Whole { followed, wait }, WHOLE + wait).await {
+    ) -> Option<FeedUpdate> {
+        match self.peers.ask(to, PeerRequest::Snapshot { followed, wait }, WHOLE + wait).await {
             Ok(PeerReply::Followed(news)) => news,
             _ => None,
         }
@@ -235,7 +239,7 @@
     async fn ask(
         &self,
         to: SocketAddr,
-        ask: PeerAsk,
+        ask: PeerRequest,
         limit: Duration,
     ) -> Result<PeerReply, PeerError> {
         let purpose = ask.purpose();
@@ -244,14 +248,14 @@
             self.tally.peer_given_up(purpose);
             tracing::info!(event = "peer_not_reached", %to, asked = ?purpose, error = %e);
             let until = self.now() + SHUNNED;
-            self.shunned.lock().insert(to, until);
+            self.unreachable_peers.lock().insert(to, until);
         }
         reply
     }
 
-    pub(in crate::entry) fn shunned(&self, to: SocketAddr) -> bool {
+    pub(in crate::entry) fn is_unreachable(&self, to: SocketAddr) -> bool {
         let now = self.now();
-        let mut shunned = self.shunned.lock();
+        let mut shunned = self.unreachable_peers.lock();
         shunned.retain(|_, until| *until > now);
         shunned.contains_key(&to)
     }
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::detour::Detour;
-use super::message::{StoreAsk, StoreReply};
+use super::fallback_store::FallbackStore;
+use super::messages::{StoreReply, StoreRequest};
 use crate::Name;
 use crate::edge::store::{Answer, Item, Page, Store, Txn, TxnEnd, Watched};
 
@@ -19,41 +19,41 @@
     };
 }
 
-impl Store for Detour {
+impl Store for FallbackStore {
     fn get(&self, key: &str) -> Answer<Option<Item>> {
-        let ask = StoreAsk::Get(Name::from(key));
+        let ask = StoreRequest::Get(Name::from(key));
         Box::pin(self.clone().call(self.direct.get(key), ask, true, reply!(Item)))
     }
 
     fn range(&self, prefix: &str) -> Answer<Page> {
-        let ask = StoreAsk::Range(Name::from(prefix));
+        let ask = StoreRequest::Range(Name::from(prefix));
         Box::pin(self.clone().call(self.direct.range(prefix), ask, true, reply!(Page)))
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Answer<Watched> {
         let direct = self.until_closed(self.direct.watch(prefix, after, wait));
-        let ask = StoreAsk::Watch { prefix: prefix.into(), after, wait: wait.min(WATCH) };
+        let ask = StoreRequest::Watch { prefix: prefix.into(), after, wait: wait.min(WATCH) };
         Box::pin(self.clone().call(direct, ask, false, reply!(Watched)))
     }
 
     fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
-        let ask = StoreAsk::Txn(txn.clone());
+        let ask = StoreRequest::Txn(txn.clone());
         Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
     }
 
     fn grant(&self, ttl: Duration) -> Answer<u64> {
-        let ask = StoreAsk::Grant(ttl);
+        let ask = StoreRequest::Grant(ttl);
         Box::pin(self.clone().call(self.direct.grant(ttl), ask, true, reply!(Lease)))
     }
 
     fn keep(&self, lease: u64) -> Answer<bool> {
-        let ask = StoreAsk::Keep(lease);
+        let ask = StoreRequest::Keep(lease);
         Box::pin(self.clone().call(self.direct.keep(lease), ask, true, reply!(Kept)))
     }
 
     fn end(&self, lease: u64) -> Answer<()> {
         let open = |reply| matches!(reply, StoreReply::Ended).then_some(());
-        let ask = StoreAsk::End(lease);
+        let ask = StoreRequest::End(lease);
         Box::pin(self.clone().call(self.direct.end(lease), ask, true, open))
     }
 }
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -11,7 +11,7 @@
 use super::homes::Home;
 use super::keys::{HomeValue, all_results, home as home_key, parts};
 use super::live::Seen;
-use super::views::{View, ViewState};
+use super::remote_jobs::{RemoteJob, RemoteJobState};
 use crate::Moment;
 use crate::decide::job::{Listing, Spec, State};
 use crate::edge::store::{Change, StoreError};
@@ -58,12 +58,12 @@
     /// Results of a job from a position on; waits for one if there is none yet.
     pub async fn read(self: &Arc<Self>, job: &str, after: usize, wait: Duration) -> Read {
         let ends = self.now() + wait;
-        if let Some(home) = self.homes.get(job)
+        if let Some(home) = self.owned_jobs.get(job)
             && let Some(read) = self.read_home(&home, after, ends).await
         {
             return read;
         }
-        if let Some(ended) = self.ended.get(job) {
+        if let Some(ended) = self.ended_jobs.get(job) {
             return ended.read(after);
         }
         let read = match self.read_at_home(job, after, wait).await {
@@ -103,7 +103,7 @@
     }
 
     async fn read_view(&self, job: &str, after: usize, ends: Moment) -> Result<Read, StoreError> {
-        let view = self.views.get(job);
+        let view = self.remote_jobs.get(job);
         let Some(total) = self.total_of(job, &view).await? else { return Ok(Read::Unknown) };
         // An empty page is only given from what the store said during this read.
         let mut fresh = false;
@@ -111,12 +111,12 @@
             self.fill(job, &view).await?;
             fresh = true;
         }
-        if view.state.lock().all {
-            return Ok(Read::Page { total, results: page(&view.state.lock().listed, after) });
+        if view.state.lock().complete {
+            return Ok(Read::Page { total, results: page(&view.state.lock().results, after) });
         }
         loop {
-            let results = page(&view.state.lock().listed, after);
-            let over = view.state.lock().listed.len() >= total;
+            let results = page(&view.state.lock().results, after);
+            let over = view.state.lock().results.len() >= total;
             let left = ends.saturating_sub(self.now());
             if !results.is_empty() || over || (fresh && left.is_zero()) {
                 return Ok(Read::Page { total, results });
@@ -129,7 +129,7 @@
                 Ok(watched) => {
                     let mut state = view.state.lock();
                     state.revision = state.revision.max(Some(watched.revision));
-                    state.heard = self.now();
+                    state.last_update = self.now();
                     for change in &watched.changes {
                         if let Change::Put(item) = change {
                             state.add(job, item);
@@ -146,26 +146,26 @@
     }
 
     /// The number of a job's samples; none if there is no such job.
-    async fn total_of(&self, job: &str, view: &View) -> Result<Option<usize>, StoreError> {
-        if let Some(total) = view.state.lock().total {
+    async fn total_of(&self, job: &str, view: &RemoteJob) -> Result<Option<usize>, StoreError> {
+        if let Some(total) = view.state.lock().sample_count {
             return Ok(Some(total));
         }
         let seen = self.home_of(job).await?;
         let total = seen.map(|seen| seen.value.total);
-        view.state.lock().total = total;
+        view.state.lock().sample_count = total;
         Ok(total)
     }
 
     /// Whether a watch can go on from where a view stands.
-    fn sure(&self, view: &View) -> bool {
+    fn sure(&self, view: &RemoteJob) -> bool {
         let state = view.state.lock();
-        let rested = self.now().saturating_sub(state.heard);
-        let whole = state.doubts == self.doubts.load(Ordering::Relaxed) && rested < RESTED;
-        state.all || state.revision.is_some() && whole
+        let rested = self.now().saturating_sub(state.last_update);
+        let whole = state.watch_gaps == self.watch_gaps.load(Ordering::Relaxed) && rested < RESTED;
+        state.complete || state.revision.is_some() && whole
     }
 
-    async fn fill(&self, job: &str, view: &View) -> Result<(), StoreError> {
-        let doubts = self.doubts.load(Ordering::Relaxed);
+    async fn fill(&self, job: &str, view: &RemoteJob) -> Result<(), StoreError> {
+        let doubts = self.watch_gaps.load(Ordering::Relaxed);
         let ended = view.state.lock().ended;
         let page = self.store.range(&all_results(job)).await?;
         let mut state = view.state.lock();
@@ -173,9 +173,9 @@
             state.add(job, item);
         }
         state.revision = state.revision.max(Some(page.revision));
-        state.doubts = doubts;
-        state.all = ended;
-        state.heard = self.now();
+        state.watch_gaps = doubts;
+        state.complete = ended;
+        state.last_update = self.now();
         Ok(())
     }
 
@@ -210,15 +210,15 @@
 
     /// The body of a sample of a job that this node has.
     pub(super) fn own_body(&self, job: &str, item: &str) -> Option<Bytes> {
-        let spec = match self.homes.get(job) {
+        let spec = match self.owned_jobs.get(job) {
             Some(home) => home.job.lock().spec.clone(),
-            None => self.ended.get(job)?.spec.clone(),
+            None => self.ended_jobs.get(job)?.spec.clone(),
         };
         body_of(&spec, item)
     }
 
     async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
-        let view = self.views.get(job);
+        let view = self.remote_jobs.get(job);
         if let Some(spec) = view.spec.lock().clone() {
             return Ok(Some(spec));
         }
@@ -244,11 +244,11 @@
     /// Reads all results of a job from the store.
     pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<Listing>>, StoreError> {
         let page = self.store.range(&all_results(job)).await?;
-        let mut state = ViewState::default();
+        let mut state = RemoteJobState::default();
         for item in &page.items {
             state.add(job, item);
         }
-        Ok(state.listed)
+        Ok(state.results)
     }
 }
 
--- a/src/entry/views.rs
+++ b/src/entry/remote_jobs.rs
@@ -13,41 +13,41 @@
 
 /// Jobs of other homes, as far as they were read here.
 #[derive(Debug, Default)]
-pub(super) struct Views {
-    views: Mutex<ByName<Arc<View>>>,
+pub(super) struct RemoteJobs {
+    views: Mutex<ByName<Arc<RemoteJob>>>,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct View {
-    pub state: Mutex<ViewState>,
+pub(super) struct RemoteJob {
+    pub state: Mutex<RemoteJobState>,
     pub spec: Mutex<Option<Arc<Spec>>>,
 }
 
 #[derive(Debug, Default)]
-pub(super) struct ViewState {
+pub(super) struct RemoteJobState {
     /// The number of its samples, once that is known.
-    pub total: Option<usize>,
-    pub listed: Vec<Arc<Listing>>,
+    pub sample_count: Option<usize>,
+    pub results: Vec<Arc<Listing>>,
     /// The revision from which a watch goes on; none before the first read.
     pub revision: Option<u64>,
     /// The node's count of cut watches at the last whole read.
-    pub doubts: u64,
+    pub watch_gaps: u64,
     /// Whether the store has said that its trainer ended it: nothing comes to it any more.
     pub ended: bool,
     /// Whether these are all results that it will ever have.
-    pub all: bool,
+    pub complete: bool,
     /// When the store was last heard about it.
-    pub heard: Moment,
-    pub at: At,
+    pub last_update: Moment,
+    pub location: JobLocation,
 }
 
 /// Where a job is read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) enum At {
+pub(super) enum JobLocation {
     /// Nobody has asked yet.
     #[default]
     Unknown,
-    /// At its home.
+    /// JobLocation its home.
     Home {
         /// The incarnation that runs it.
         life: Name,
@@ -58,10 +58,10 @@
     Store,
 }
 
-impl Views {
+impl RemoteJobs {
     /// Forgets views that were not heard of for so long.
     pub(super) fn forget(&self, now: Moment, kept: Duration) {
-        let rested = |view: &View| now.saturating_sub(view.state.lock().heard);
+        let rested = |view: &RemoteJob| now.saturating_sub(view.state.lock().last_update);
         self.views.lock().retain(|_, view| rested(view) <= kept);
     }
 
@@ -69,21 +69,21 @@
         self.views.lock().remove(job);
     }
 
-    pub(super) fn get(&self, job: &str) -> Arc<View> {
+    pub(super) fn get(&self, job: &str) -> Arc<RemoteJob> {
         let mut views = self.views.lock();
         views.entry(job.into()).or_default().clone()
     }
 }
 
-impl ViewState {
+impl RemoteJobState {
     /// Takes over results, if they begin where the known ones end.
     pub(super) fn add(&mut self, job: &str, item: &Item) {
-        if *item.key != *results(job, self.listed.len()) {
+        if *item.key != *results(job, self.results.len()) {
             return;
         }
         let config = bincode::config::standard();
         match bincode::serde::decode_from_slice::<Vec<Arc<Listing>>, _>(&item.value, config) {
-            Ok((batch, _)) => self.listed.extend(batch),
+            Ok((batch, _)) => self.results.extend(batch),
             Err(e) => tracing::error!(event = "results_unreadable", job, error = %e),
         }
     }
--- a/src/entry/scale/mod.rs
+++ b/src/entry/scale/mod.rs
@@ -1,7 +1,7 @@
 //! Replicas are ordered where the samples of steps want more places than there are.
 
-mod order;
-mod wanted;
+mod orders;
+mod slot_demand;
 
-pub(super) use order::scale;
-pub(super) use wanted::{Wanted, WantedPlace};
+pub(super) use orders::run_autoscaling;
+pub(super) use slot_demand::{SlotDemand, SlotDemandGuard};
--- a/src/entry/scale/order.rs
+++ b/src/entry/scale/orders.rs
@@ -41,7 +41,7 @@
 }
 
 /// Orders replicas until the term is over.
-pub(in crate::entry) async fn scale(app: &Arc<App>, fence: u64) {
+pub(in crate::entry) async fn run_autoscaling(app: &Arc<App>, fence: u64) {
     if app.settings.duties.is_none() {
         return std::future::pending().await;
     }
@@ -52,7 +52,7 @@
         planners: BTreeMap::new(),
         sent: BTreeMap::new(),
     };
-    tokio::time::sleep(app.turn()).await;
+    tokio::time::sleep(app.takeover_delay()).await;
     let mut read = false;
     loop {
         let step = if read { orders.step().await } else { orders.read().await };
@@ -134,7 +134,7 @@
                 spot: limits.spot,
                 desired: base + extra,
             };
-            if !self.due(&order, limits, there) || !self.app.holds(self.fence) {
+            if !self.due(&order, limits, there) || !self.app.holds_term(self.fence) {
                 continue;
             }
             let end = self.order(&order).await;
@@ -159,7 +159,7 @@
 
     async fn order(&self, order: &ScaleOrder) -> DutyEnd {
         let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
-        *self.app.ordered.lock() = Some(self.app.now());
+        *self.app.last_duty.lock() = Some(self.app.now());
         let end = self.app.duties.scale(term, order.clone(), CALL).await;
         self.app.tally.scale(end);
         tracing::info!(
--- a/src/entry/scale/wanted.rs
+++ b/src/entry/scale/slot_demand.rs
@@ -10,7 +10,7 @@
 
 /// The totals of all services.
 #[derive(Debug, Default)]
-pub(in crate::entry) struct Wanted {
+pub(in crate::entry) struct SlotDemand {
     services: Mutex<HashMap<Name, Total>>,
 }
 
@@ -25,8 +25,8 @@
 
 /// One sample that waits for a place or has one.
 #[derive(Debug)]
-pub(in crate::entry) struct WantedPlace {
-    wanted: Arc<Wanted>,
+pub(in crate::entry) struct SlotDemandGuard {
+    wanted: Arc<SlotDemand>,
     service: Name,
 }
 
@@ -38,11 +38,11 @@
     }
 }
 
-impl Wanted {
+impl SlotDemand {
     /// A sample begins to wait.
-    pub(in crate::entry) fn begin(self: &Arc<Self>, service: Name) -> WantedPlace {
+    pub(in crate::entry) fn begin(self: &Arc<Self>, service: Name) -> SlotDemandGuard {
         self.change(&service, |samples| samples + 1);
-        WantedPlace { wanted: self.clone(), service }
+        SlotDemandGuard { wanted: self.clone(), service }
     }
 
     /// The total of each service, in place milliseconds.
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for WantedPlace {
+impl Drop for SlotDemandGuard {
     fn drop(&mut self) {
         self.wanted.change(&self.service, |samples| samples.saturating_sub(1));
     }
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::app::App;
-use super::scale::{Wanted, WantedPlace};
+use super::scale::{SlotDemand, SlotDemandGuard};
 use crate::decide::{Ended, Fleet, Position, Waiting, Want, Wish};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
@@ -23,7 +23,7 @@
     pub(super) fleet: Mutex<Fleet>,
     waiting: Mutex<Queue>,
     /// The time that samples have wanted places.
-    pub(super) wanted: Arc<Wanted>,
+    pub(super) wanted: Arc<SlotDemand>,
     /// Told when someone begins to wait.
     begun: Notify,
 }
@@ -89,7 +89,7 @@
     model: Option<Name>,
     ended: Ended,
     /// Of a sample, from when it began to wait.
-    _wanted: Option<WantedPlace>,
+    _wanted: Option<SlotDemandGuard>,
 }
 
 impl<'a> Held<'a> {
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -10,7 +10,7 @@
 use super::home::Kept;
 use super::keys::{HomeValue, home, part};
 use super::live::Seen;
-use super::peer::Passed;
+use super::peer::ForwardOutcome;
 use super::takeover;
 use crate::Name;
 use crate::decide::job::Spec;
@@ -41,14 +41,18 @@
 impl App {
     /// Takes in a job.
     pub async fn submit(self: &Arc<Self>, spec: Spec) -> Submitted {
-        let kept = self.homes.get(&spec.id).is_some();
-        let passed = if kept || self.draining() { Passed::Not } else { self.pass_on(&spec).await };
+        let kept = self.owned_jobs.get(&spec.id).is_some();
+        let passed = if kept || self.draining() {
+            ForwardOutcome::Not
+        } else {
+            self.forward_job(&spec).await
+        };
         match passed {
-            Passed::Kept => Submitted::Kept,
-            Passed::Not => self.accept(spec).await,
+            ForwardOutcome::Kept => Submitted::Kept,
+            ForwardOutcome::Not => self.accept(spec).await,
             // What the other may have written is found there as this node writes. Where it
             // can't, nobody knows.
-            Passed::Unsure => match self.accept(spec).await {
+            ForwardOutcome::Unsure => match self.accept(spec).await {
                 Submitted::Refused(_) => Submitted::Unknown,
                 submitted => submitted,
             },
@@ -68,7 +72,7 @@
 
     async fn take_in(self: &Arc<Self>, spec: Spec) -> Submitted {
         let id = spec.id.clone();
-        if self.homes.get(&id).is_some() {
+        if self.owned_jobs.get(&id).is_some() {
             return Submitted::Kept;
         }
         if self.draining() {
@@ -85,7 +89,7 @@
             return Submitted::Refused("too_large".into());
         }
         let value = HomeValue {
-            life: self.life.clone(),
+            life: self.incarnation.clone(),
             total: spec.items.len(),
             parts: parts.len(),
             done: false,
@@ -120,7 +124,7 @@
                     let own = items.first().and_then(|item| {
                         let value: HomeValue = serde_json::from_slice(&item.value).ok()?;
                         let seen = Seen { value, revision: item.revision };
-                        (seen.value.life == self.life && !seen.value.done).then_some(seen)
+                        (seen.value.life == self.incarnation && !seen.value.done).then_some(seen)
                     });
                     // Results may lie there by now: it is read rather than begun anew.
                     if let Some(seen) = own {
@@ -140,7 +144,7 @@
             tracing::warn!(event = "submission_not_written", job = %spec.id, unsure, %reason);
             if self.now().saturating_sub(begun) > TRY {
                 // An outage that has just ended costs no step: one look, and one try more.
-                if !looked && self.detour.opens(&home(&spec.id)).await {
+                if !looked && self.fallback_store.probe(&home(&spec.id)).await {
                     looked = true;
                     continue;
                 }
@@ -150,7 +154,7 @@
                 }
                 return Submitted::Refused("store_away".into());
             }
-            self.detour.rest(PAUSE).await;
+            self.fallback_store.wait_for_recovery(PAUSE).await;
         }
     }
 }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -37,7 +37,7 @@
 
 /// Looks for orphans whenever nodes have changed, until the process stops.
 pub(super) async fn follow(app: Arc<App>) {
-    let mut news = app.news.subscribe();
+    let mut news = app.view_changes.subscribe();
     let mut known: BTreeSet<Name> = BTreeSet::new();
     let mut due: Option<Moment> = None;
     loop {
@@ -52,7 +52,7 @@
         }
         let now = app.now();
         let place = {
-            let mut live = app.live.lock();
+            let mut live = app.membership.lock();
             let heard = app.store_time();
             live.forget(heard);
             app.tidy(now);
@@ -62,7 +62,7 @@
                 known = lives;
                 due = None;
             }
-            rank(HOMES, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.life)
+            rank(HOMES, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.incarnation)
         };
         let Some(place) = place.filter(|place| *place < LOOKERS) else {
             due = None;
@@ -72,7 +72,7 @@
         if now < at {
             continue;
         }
-        if !app.leased() {
+        if !app.has_lease() {
             due = Some(now + AGAIN);
             continue;
         }
@@ -105,16 +105,16 @@
             }
             continue;
         }
-        if app.homes.get(&job).is_some() {
+        if app.owned_jobs.get(&job).is_some() {
             continue;
         }
         let seen = Seen { value, revision: item.revision };
-        if seen.value.life == app.life {
+        if seen.value.life == app.incarnation {
             settled &= begin(app, &job, seen).await;
             continue;
         }
         let (alive, back) = {
-            let live = app.live.lock();
+            let live = app.membership.lock();
             (live.lives(app.store_time()).contains(&seen.value.life), live.listed(&seen.value.life))
         };
         if !alive {
@@ -128,7 +128,7 @@
 
 /// Makes this node home to a job. False if that is to be looked at again.
 async fn take(app: &Arc<App>, job: &Name, seen: Seen<HomeValue>) -> bool {
-    let value = HomeValue { life: app.life.clone(), ..seen.value.clone() };
+    let value = HomeValue { life: app.incarnation.clone(), ..seen.value.clone() };
     let Ok(written) = serde_json::to_vec(&value) else { return true };
     let key = home_key(job);
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
@@ -216,9 +216,9 @@
         app.store.txn(txn).await?;
     }
     app.store.txn(Txn::when(key.clone(), revision).remove(key)).await?;
-    app.homes.remove(job);
-    app.ended.remove(job);
-    app.views.remove(job);
+    app.owned_jobs.remove(job);
+    app.ended_jobs.remove(job);
+    app.remote_jobs.remove(job);
     tracing::info!(event = "job_forgotten", %job, keys = keys.len());
     Ok(())
 }
@@ -226,11 +226,11 @@
 impl App {
     /// Forgets views and finished homes that nobody may ask for any more.
     fn tidy(&self, now: Moment) {
-        self.views.forget(now, self.settings.kept * 2);
-        for (job, home) in self.homes.all() {
+        self.remote_jobs.forget(now, self.settings.kept * 2);
+        for (job, home) in self.owned_jobs.all() {
             let over = home.job.lock().complete();
             if over && old(self, &home.key.lock().value) {
-                self.homes.remove(&job);
+                self.owned_jobs.remove(&job);
             }
         }
     }
@@ -241,11 +241,11 @@
         self.spawn(async move {
             for _ in 0..LATE {
                 tokio::time::sleep(ASK).await;
-                if app.draining() || app.homes.get(&job).is_some() {
+                if app.draining() || app.owned_jobs.get(&job).is_some() {
                     return;
                 }
                 let Ok(Some(seen)) = app.home_of(&job).await else { continue };
-                if seen.value.life == app.life && !seen.value.done {
+                if seen.value.life == app.incarnation && !seen.value.done {
                     begin(&app, &job, seen).await;
                 }
                 return;
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -41,29 +41,29 @@
     }
 
     /// What another node says the time is.
-    pub(in crate::entry) fn hear(&self, node: &Name, time: Duration) {
+    pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
         let running = self.clock.read().running;
         self.agreed.lock().hear(node, time, running);
     }
 
     /// The present window.
-    pub(in crate::entry) fn window(&self) -> u64 {
+    pub(in crate::entry) fn current_window(&self) -> u64 {
         self.windows.at(self.time())
     }
 
     /// A request is sent. It counts as begun now, unless it came without an organisation or is
     /// said not to have run.
-    pub(in crate::entry) fn begin(self: &Arc<Self>, organisation: &Option<Name>) -> MeteredRun {
-        let Some(organisation) = organisation.clone() else { return MeteredRun::default() };
-        let window = self.window();
+    pub(in crate::entry) fn begin(self: &Arc<Self>, organisation: &Option<Name>) -> MeteredRequest {
+        let Some(organisation) = organisation.clone() else { return MeteredRequest::default() };
+        let window = self.current_window();
         self.meter.lock().sent(window);
-        MeteredRun { counted: Some(Counted { usage: self.clone(), window, organisation }) }
+        MeteredRequest { counted: Some(Counted { usage: self.clone(), window, organisation }) }
     }
 }
 
 /// A request that may have begun. It is counted when dropped.
 #[derive(Debug, Default)]
-pub(in crate::entry) struct MeteredRun {
+pub(in crate::entry) struct MeteredRequest {
     counted: Option<Counted>,
 }
 
@@ -74,7 +74,7 @@
     organisation: Name,
 }
 
-impl MeteredRun {
+impl MeteredRequest {
     /// It did not run.
     pub(in crate::entry) fn not_run(&mut self) {
         if let Some(counted) = self.counted.take() {
@@ -91,7 +91,7 @@
     }
 }
 
-impl Drop for MeteredRun {
+impl Drop for MeteredRequest {
     fn drop(&mut self) {
         if let Some(counted) = self.counted.take() {
             counted.settle(true);
--- a/src/entry/usage/mod.rs
+++ b/src/entry/usage/mod.rs
@@ -1,9 +1,9 @@
 //! Usage: each node counts what it sends, the holder of duties gathers and reports it.
 
 mod meter;
-mod note;
 mod report;
+mod sharing;
 
 pub(super) use meter::Usage;
-pub(super) use note::send_notes;
-pub(super) use report::report;
+pub(super) use report::report_usage;
+pub(super) use sharing::share_counts;
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -51,11 +51,11 @@
 }
 
 /// Reports until the term is over.
-pub(in crate::entry) async fn report(app: &Arc<App>, fence: u64) {
+pub(in crate::entry) async fn report_usage(app: &Arc<App>, fence: u64) {
     let Some(usage) = app.usage.clone() else { return std::future::pending().await };
     let mut reporter =
         Reporter { app: app.clone(), usage, fence, record: Record::new(USAGE, fence) };
-    tokio::time::sleep(app.turn()).await;
+    tokio::time::sleep(app.takeover_delay()).await;
     let mut next = None;
     loop {
         match reporter.step(&mut next).await {
@@ -64,7 +64,7 @@
             Err(e) => {
                 tracing::warn!(event = "usage_not_fixed", fence, error = %e);
                 next = None;
-                app.detour.rest(PAUSE).await;
+                app.fallback_store.wait_for_recovery(PAUSE).await;
             }
         }
     }
@@ -77,7 +77,7 @@
             Some(window) => window,
             None => {
                 let Some(fixed) = self.record.read::<Fixed>(&self.app).await? else {
-                    *next = Some(self.usage.window());
+                    *next = Some(self.usage.current_window());
                     return Ok(Course::On);
                 };
                 *next = Some(fixed.window + 1);
@@ -114,7 +114,7 @@
         let latest = windows.end(window) + windows.late / 10 * CLOSING;
         loop {
             let now = self.usage.time();
-            let lives = self.app.live.lock().able();
+            let lives = self.app.membership.lock().able();
             let total = self.usage.ledger.lock().total(window, &lives);
             if now > latest || (now > windows.end(window) && total.missing.is_empty()) {
                 return Some(total);
@@ -129,13 +129,13 @@
         let window = fixed.window;
         let mut pause = PAUSE;
         while self.usage.time() <= self.usage.windows.due(window) {
-            if !self.app.holds(self.fence) {
+            if !self.app.holds_term(self.fence) {
                 tokio::time::sleep(LOOK).await;
                 continue;
             }
             let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
             let report = UsageReport { window, counts: fixed.counts.clone() };
-            *self.app.ordered.lock() = Some(self.app.now());
+            *self.app.last_duty.lock() = Some(self.app.now());
             let end = self.app.duties.report(term, report, CALL).await;
             self.app.tally.usage(end);
             tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
--- a/src/entry/usage/note.rs
+++ b/src/entry/usage/sharing.rs
@@ -14,7 +14,7 @@
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
 use crate::entry::keys::HOLDER;
-use crate::entry::peer::{PeerAsk, PeerReply};
+use crate::entry::peer::{PeerReply, PeerRequest};
 
 /// How long counts are gathered for one message.
 const GATHER: Duration = Duration::from_millis(100);
@@ -26,19 +26,19 @@
 const TOLD: usize = 2;
 
 /// Tells counts for as long as the process lasts.
-pub(in crate::entry) async fn send_notes(app: Arc<App>, usage: Arc<Usage>) {
-    let mut news = app.news.subscribe();
+pub(in crate::entry) async fn share_counts(app: Arc<App>, usage: Arc<Usage>) {
+    let mut news = app.view_changes.subscribe();
     let mut told: HashMap<SocketAddr, Vec<WindowNote>> = HashMap::new();
     loop {
-        let left = usage.windows.end(usage.window()).saturating_sub(usage.time());
+        let left = usage.windows.end(usage.current_window()).saturating_sub(usage.time());
         tokio::select! {
             () = usage.changed.notified() => {}
             _ = news.changed() => {}
             () = tokio::time::sleep(left) => {}
         }
         tokio::time::sleep(GATHER).await;
-        let mut notes = usage.meter.lock().notes(usage.window());
-        app.take_notes(&usage, &app.life, &notes);
+        let mut notes = usage.meter.lock().notes(usage.current_window());
+        app.record_counts(&usage, &app.incarnation, &notes);
         notes.retain(|note| !note.counts.is_empty());
         if notes.is_empty() {
             continue;
@@ -53,11 +53,11 @@
             if fresh.is_empty() {
                 continue;
             }
-            let (life, time) = (app.life.clone(), usage.time());
-            let ask = PeerAsk::Usage { life, time, notes: fresh };
+            let (life, time) = (app.incarnation.clone(), usage.time());
+            let ask = PeerRequest::Usage { life, time, notes: fresh };
             match app.peers.ask(at, ask, NOTE).await {
                 Ok(PeerReply::UsageNoted { life, time }) => {
-                    usage.hear(&life, time);
+                    usage.record_peer_time(&life, time);
                     told.insert(at, notes.clone());
                 }
                 reply => {
@@ -75,13 +75,13 @@
 
 impl App {
     /// Takes over what a node has counted.
-    pub(in crate::entry) fn take_notes(
+    pub(in crate::entry) fn record_counts(
         &self,
         usage: &Usage,
         life: &crate::Name,
         notes: &[WindowNote],
     ) {
-        let present = usage.window();
+        let present = usage.current_window();
         let strange = usage.ledger.lock().note(life, notes, present);
         if !strange.is_empty() {
             tracing::warn!(event = "usage_of_other_times", %life, windows = ?strange, present);
@@ -91,12 +91,12 @@
     /// The other nodes that gather counts: the holder of duties and the next in its rank. None
     /// while there is no holder, as ranks change with every node that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
-        let live = self.live.lock();
+        let live = self.membership.lock();
         let Some(seen) = live.holder() else { return Vec::new() };
         let (able, holder) = (live.able(), &seen.value.life);
         let ranked = rank(HOLDER, able.iter().map(|l| &**l));
         let followers = ranked.into_iter().filter(|l| **holder != **l);
         let lives = std::iter::once(&**holder).chain(followers).take(TOLD);
-        lives.filter(|l| **l != *self.life).filter_map(|l| live.peer(l)).collect()
+        lives.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
     }
 }
--- a/tests/entry/crowds.rs
+++ b/tests/entry/crowds.rs
@@ -64,7 +64,7 @@
         pass(20).await;
         fail(&nodes, Some(away));
         pass(5_000).await;
-        let least = nodes.iter().map(|n| n.app().addresses("z").len()).min();
+        let least = nodes.iter().map(|n| n.app().client_addresses("z").len()).min();
         assert_eq!(least, Some(64), "{away:?}: addresses that a node tells");
         let before = charged(&nodes);
         fail(&nodes, None);
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -155,14 +155,14 @@
     pass(4_000).await;
     let begun = world.begin_linked("b", &seed, away);
     pass(1_000).await;
-    assert!(begun.app().may_lack_routes(), "a route that is not there may be new");
+    assert!(begun.app().routes_may_be_stale(), "a route that is not there may be new");
     assert!(!begun.app().ready(), "no client is sent here before the store has listed it");
     assert_eq!(used(&world, &begun, "t").await.len(), 6);
     seed.line.fail(Faults::default());
     begun.line.fail(Faults::default());
     world.configure(9);
     pass(2_000).await;
-    assert!(!begun.app().may_lack_routes());
+    assert!(!begun.app().routes_may_be_stale());
     assert!(begun.app().ready());
     assert_eq!(begun.app().routes().unwrap().version, 9);
 }
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -85,7 +85,7 @@
     world.replicas.length("i1", LONG);
     a.submit("j", &["i1"]).await;
     pass(1_000).await;
-    a.entry.leave().await;
+    a.entry.drain().await;
     b.whole("j", 1).await.iter().for_each(|l| check(l, LONG));
     let ran = world.replicas.ran();
     let texts: Vec<_> = ran.iter().filter(|r| &*r.id == "i1").collect();
@@ -113,7 +113,7 @@
         }
         b.app().submit(spec("j", &["i1", "i2"])).await
     };
-    let ((), again) = tokio::join!(a.entry.leave(), again);
+    let ((), again) = tokio::join!(a.entry.drain(), again);
     assert_eq!(again, Submitted::Kept);
     let whole = b.whole("j", 2).await;
     assert_eq!(whole[0], shown[0]);
@@ -140,13 +140,13 @@
     }
     a.submit("j", &["i1", "i2", "i3"]).await;
     pass(500).await;
-    assert_eq!(b.app().end("j").await, Found::There(()));
+    assert_eq!(b.app().end_job("j").await, Found::There(()));
     pass(300).await;
     let ran = world.replicas.ran().len();
     pass(10_000).await;
     assert_eq!(world.replicas.ran().len(), ran);
-    assert_eq!(b.app().end("j").await, Found::There(()));
-    assert_eq!(a.app().end("none").await, Found::Unknown);
+    assert_eq!(b.app().end_job("j").await, Found::There(()));
+    assert_eq!(a.app().end_job("none").await, Found::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -271,7 +271,7 @@
         world.replicas.length("i3", LONG);
         a.submit("j", &["i1", "i2", "i3"]).await;
         pass(after).await;
-        a.entry.leave().await;
+        a.entry.drain().await;
         let whole = b.whole("j", 3).await;
         let mut ids: Vec<&str> = whole.iter().map(|l| &*l.id).collect();
         ids.sort_unstable();
@@ -292,7 +292,7 @@
         a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
         pass(after).await;
         let begun = tokio::time::Instant::now();
-        a.entry.leave().await;
+        a.entry.drain().await;
         let left = a.app().settings.grace.saturating_sub(begun.elapsed());
         assert!(left >= Duration::from_millis(3_200), "{after} ms into it: {left:?} left");
     }
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -8,7 +8,7 @@
 use futures_util::future::BoxFuture;
 use mulberrycourse::decide::Transfer;
 use mulberrycourse::edge::peer::{PeerError, pack};
-use mulberrycourse::entry::{App, Door, PeerAsk, PeerReply, Peers};
+use mulberrycourse::entry::{App, PeerReply, PeerRequest, PeerResponder, Peers};
 use parking_lot::Mutex;
 use tokio::time::Instant;
 use tokio::time::error::Elapsed;
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Links {
     ends: Arc<Mutex<HashMap<SocketAddr, End>>>,
-    asked: Arc<Mutex<Vec<PeerAsk>>>,
+    asked: Arc<Mutex<Vec<PeerRequest>>>,
     /// The bytes a second of each node's way out, and whose turn it is there; none for no limit.
     rate: Arc<Mutex<Option<u64>>>,
     ways: Arc<Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<()>>>>>,
@@ -107,7 +107,7 @@
     }
 
     /// Every request so far.
-    pub(crate) fn asked(&self) -> Vec<PeerAsk> {
+    pub(crate) fn asked(&self) -> Vec<PeerRequest> {
         self.asked.lock().clone()
     }
 }
@@ -116,7 +116,7 @@
     fn ask(
         &self,
         to: SocketAddr,
-        ask: PeerAsk,
+        ask: PeerRequest,
         limit: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>> {
         self.asked.lock().push(ask.clone());
@@ -136,14 +136,14 @@
                     Err(late)
                 }
                 Some((app, Link::Deaf)) => {
-                    tokio::spawn(async move { Door::new(app).answer(ask).await });
+                    tokio::spawn(async move { PeerResponder::new(app).answer(ask).await });
                     tokio::time::sleep(limit).await;
                     Err(late)
                 }
                 Some((app, Link::Open)) => {
                     let begun = Instant::now();
                     let mut transfer = Transfer::new(limit, pack(&ask).unwrap().len());
-                    let door = Door::new(app);
+                    let door = PeerResponder::new(app);
                     let answer = tokio::time::timeout_at(begun + transfer.due(), door.answer(ask));
                     let Ok(reply) = answer.await else { return Err(late) };
                     let carried = links.carry(to, &reply, &mut transfer, begun).await;
--- a/tests/entry/orders.rs
+++ b/tests/entry/orders.rs
@@ -125,7 +125,7 @@
         pass(after).await;
         let holder = world.replicas.ordered()[0].holder.clone();
         let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
-        old.entry.leave().await;
+        old.entry.drain().await;
         world.name(3);
         until(|| moved(&world, 3)).await;
         let ordered = world.replicas.ordered();
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::edge::store::Store;
-use mulberrycourse::entry::{Found, PeerAsk, Read, StoreAsk, Submitted};
+use mulberrycourse::entry::{Found, PeerRequest, Read, StoreRequest, Submitted};
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
@@ -92,7 +92,7 @@
 async fn a_home_that_leaves_takes_no_jobs() {
     let world = World::new();
     let [home, other, _third] = three(&world).await;
-    let leaving = home.entry.leave();
+    let leaving = home.entry.drain();
     let submitting = async {
         pass(1).await;
         assert_eq!(other.submit("j1", &["i1"]).await, Submitted::Kept);
@@ -127,7 +127,7 @@
     world.replicas.length("i2", 2_000);
     home.submit("j", &["i1", "i2"]).await;
     other.whole("j", 1).await;
-    assert_eq!(other.app().end("j").await, Found::There(()));
+    assert_eq!(other.app().end_job("j").await, Found::There(()));
     pass(1_000).await;
     let count = |node: &Node| calls(node, "Get") + calls(node, "Range") + calls(node, "Watch");
     let before = count(&third);
@@ -160,7 +160,7 @@
     home.isolate();
     home.link(Link::Cut);
     pass(1_500).await;
-    assert_eq!(other.app().end("j").await, Found::There(()));
+    assert_eq!(other.app().end_job("j").await, Found::There(()));
     let seen = third.page("j", 0).await;
     home.line.fail(Faults::default());
     home.link(Link::Open);
@@ -206,7 +206,7 @@
     third.line.fail(Faults::default());
     home.isolate();
     pass(4_000).await;
-    let ask = PeerAsk::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
+    let ask = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
     assert_eq!(other.ask(&home, ask).await, Some(None));
     assert_eq!(other.whole("j", 2).await.len(), 2);
 }
@@ -246,7 +246,7 @@
         home.app().read("j", 0, Duration::ZERO).await;
         pass(5_000).await;
         let after = world.links.asked();
-        let detours = after[asked..].iter().filter(|a| matches!(a, PeerAsk::Store(_))).count();
+        let detours = after[asked..].iter().filter(|a| matches!(a, PeerRequest::Store(_))).count();
         assert!(detours < 20, "{how:?}: {detours} calls through others with the own way open");
     }
 }
@@ -301,7 +301,7 @@
     let [home, other, _third] = three(&world).await;
     let writes = || {
         let asked = world.links.asked();
-        asked.iter().filter(|a| matches!(a, PeerAsk::Store(StoreAsk::Txn(_)))).count()
+        asked.iter().filter(|a| matches!(a, PeerRequest::Store(StoreRequest::Txn(_)))).count()
     };
     home.line.fail(Faults { lose: 1, ..Faults::default() });
     assert_eq!(home.submit("j", &["i1"]).await, Submitted::Kept);
@@ -339,22 +339,22 @@
 async fn nodes_ask_each_other_over_sockets() {
     use std::sync::Arc;
 
-    use mulberrycourse::entry::{PeerDoor, PeerLine, PeerReply, Peers, StoreReply};
+    use mulberrycourse::entry::{HttpPeers, PeerReply, PeerServer, Peers, StoreReply};
 
     let world = World::new();
     let node = world.node("a").await;
-    let door = PeerDoor::bind(node.app().clone(), ([127, 0, 0, 1], 0).into()).await.unwrap();
-    let line = PeerLine::new(Arc::default());
+    let door = PeerServer::bind(node.app().clone(), ([127, 0, 0, 1], 0).into()).await.unwrap();
+    let line = HttpPeers::new(Arc::default());
     let limit = Duration::from_secs(20);
     world.kv.put("some/key", "value");
-    let get = PeerAsk::Store(StoreAsk::Get("some/key".into()));
+    let get = PeerRequest::Store(StoreRequest::Get("some/key".into()));
     let item = node.line.get("some/key").await.unwrap();
     let got = line.ask(door.address(), get, limit).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::Item(item))));
-    let submitted = line.ask(door.address(), PeerAsk::Submit(spec("j", &["i1"])), limit).await;
+    let submitted = line.ask(door.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
     assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
     node.whole("j", 1).await;
-    let read = PeerAsk::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
+    let read = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
     let PeerReply::Read(Some(Read::Page { total: 1, results })) =
         line.ask(door.address(), read, limit).await.unwrap()
     else {
--- a/tests/entry/reads.rs
+++ b/tests/entry/reads.rs
@@ -28,7 +28,7 @@
     until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = b.page("j", 0).await;
     assert_eq!(shown.len(), 1);
-    a.app().end("j").await;
+    a.app().end_job("j").await;
     a.line.fail(Faults::default());
     pass(3_000).await;
     assert_eq!(a.page("j", 0).await, shown);
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::usage::Counts;
-use mulberrycourse::entry::{Ask, Given, PeerAsk};
+use mulberrycourse::entry::{Ask, Given, PeerRequest};
 use standins::duties::Reported;
 use standins::kv::{Away, Faults};
 use standins::replicas::Mood;
@@ -247,7 +247,7 @@
     until(|| nodes.iter().all(|n| n.app().ready())).await;
     let told = || {
         let asked = world.links.asked();
-        asked.iter().filter(|ask| matches!(ask, PeerAsk::Usage { .. })).count()
+        asked.iter().filter(|ask| matches!(ask, PeerRequest::Usage { .. })).count()
     };
     pass(20_000).await;
     assert_eq!(told(), 0);
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -76,7 +76,7 @@
     drop(c);
     pass(2_500).await;
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 2);
-    assert!(!a.app().addresses("z").is_empty());
+    assert!(!a.app().client_addresses("z").is_empty());
     drop(b);
 }
 
@@ -89,7 +89,7 @@
     pass(300).await;
     world.kv.lapse();
     pass(300).await;
-    assert_eq!(nodes[0].app().addresses("z").len(), 3);
+    assert_eq!(nodes[0].app().client_addresses("z").len(), 3);
     pass(2_000).await;
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 3);
     nodes[1].whole("j", 1).await;
@@ -125,9 +125,9 @@
 async fn a_leaving_node_is_not_ready_and_out_of_the_addresses() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    until(|| b.app().addresses("z").len() == 2).await;
+    until(|| b.app().client_addresses("z").len() == 2).await;
     let begun = tokio::time::Instant::now();
-    a.entry.leave().await;
+    a.entry.drain().await;
     assert!(!a.app().ready());
     assert!(
         begun.elapsed() >= Duration::from_secs(3),
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -11,7 +11,9 @@
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
 use mulberrycourse::edge::notice::Notice;
-use mulberrycourse::entry::{App, Ask, Entry, PeerAsk, PeerReply, Peers, Ports, Read, Submitted};
+use mulberrycourse::entry::{
+    App, Ask, EntryNode, PeerReply, PeerRequest, Peers, Ports, Read, Submitted,
+};
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
 use standins::kv::{Faults, KvLine, KvService, Words};
@@ -39,7 +41,7 @@
 }
 
 pub(crate) struct Node {
-    pub(crate) entry: Entry,
+    pub(crate) entry: EntryNode,
     pub(crate) line: KvLine,
     links: Links,
 }
@@ -198,7 +200,7 @@
             duties: Arc::new(self.duties.clone()),
             clock: Arc::new(self.clock.clone()),
         };
-        let entry = Entry::spawn(settings, ports, |_| links);
+        let entry = EntryNode::spawn(settings, ports, |_| links);
         Node { entry, line, links: self.links.clone() }
     }
 }
@@ -219,7 +221,7 @@
     }
 
     /// Asks another node for results.
-    pub(crate) async fn ask(&self, to: &Node, ask: PeerAsk) -> Option<Option<Read>> {
+    pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<Read>> {
         let to = to.app().settings.peers.unwrap();
         match self.links.ask(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use mulberrycourse::edge::store::{Change, Item, Page, Watched};
-use mulberrycourse::entry::{Feed, News};
+use mulberrycourse::entry::{Feed, FeedUpdate};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::ZERO;
@@ -21,10 +21,10 @@
 }
 
 /// The changes that were heard; none where it was the whole, or nothing.
-fn changes(news: Option<News>) -> Option<Watched> {
+fn changes(news: Option<FeedUpdate>) -> Option<Watched> {
     match news? {
-        News::Changes(watched) => Some(watched),
-        News::Whole { .. } => None,
+        FeedUpdate::Changes(watched) => Some(watched),
+        FeedUpdate::Snapshot { .. } => None,
     }
 }
 
@@ -35,23 +35,23 @@
 #[tokio::test(start_paused = true)]
 async fn a_feed_that_is_closed_or_too_young_says_nothing() {
     let feed = Feed::default();
-    assert_eq!(feed.after(0, NOW).await, None);
-    feed.open(&page(5));
-    assert_eq!(changes(feed.after(4, NOW).await), None);
+    assert_eq!(feed.wait_for_update(0, NOW).await, None);
+    feed.begin_watch(&page(5));
+    assert_eq!(changes(feed.wait_for_update(4, NOW).await), None);
     let none = Watched { changes: Vec::new(), revision: 5 };
-    assert_eq!(changes(feed.after(5, NOW).await), Some(none));
-    feed.close();
-    assert_eq!(feed.after(5, NOW).await, None);
+    assert_eq!(changes(feed.wait_for_update(5, NOW).await), Some(none));
+    feed.end_watch();
+    assert_eq!(feed.wait_for_update(5, NOW).await, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_change_ends_the_wait() {
     let feed = Feed::default();
-    feed.open(&page(5));
+    feed.begin_watch(&page(5));
     let begun = tokio::time::Instant::now();
-    let (seen, ()) = tokio::join!(feed.after(5, Duration::from_secs(9)), async {
+    let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        feed.add(&watched(5, 6));
+        feed.apply(&watched(5, 6));
     });
     assert_eq!(changes(seen).map(|w| revisions(&w)), Some(vec![6]));
     assert_eq!(begun.elapsed(), Duration::from_secs(1));
@@ -60,10 +60,10 @@
 #[tokio::test(start_paused = true)]
 async fn a_feed_that_closes_ends_the_wait() {
     let feed = Feed::default();
-    feed.open(&page(5));
-    let (seen, ()) = tokio::join!(feed.after(5, Duration::from_secs(9)), async {
+    feed.begin_watch(&page(5));
+    let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        feed.close();
+        feed.end_watch();
     });
     assert_eq!(seen, None);
 }
@@ -71,10 +71,10 @@
 #[tokio::test(start_paused = true)]
 async fn old_changes_are_let_go_and_missed_by_nobody() {
     let feed = Feed::default();
-    feed.open(&page(0));
-    feed.add(&watched(0, 2_000));
-    assert!(matches!(feed.after(10, NOW).await, Some(News::Whole { .. })));
-    let seen = changes(feed.after(1_990, NOW).await);
+    feed.begin_watch(&page(0));
+    feed.apply(&watched(0, 2_000));
+    assert!(matches!(feed.wait_for_update(10, NOW).await, Some(FeedUpdate::Snapshot { .. })));
+    let seen = changes(feed.wait_for_update(1_990, NOW).await);
     assert_eq!(seen.map(|w| revisions(&w)), Some((1_991..=2_000).collect()));
 }
 
@@ -83,26 +83,26 @@
 #[tokio::test(start_paused = true)]
 async fn large_changes_are_let_go_sooner() {
     let feed = Feed::default();
-    feed.open(&page(0));
+    feed.begin_watch(&page(0));
     for revision in 1..=50 {
         let value = vec![b'v'; 1 << 20].into();
         let changes = vec![Change::Put(Item { key: "routes".into(), value, revision })];
-        feed.add(&Watched { changes, revision });
+        feed.apply(&Watched { changes, revision });
     }
-    assert!(matches!(feed.after(40, NOW).await, Some(News::Whole { .. })));
-    assert_eq!(changes(feed.after(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
+    assert!(matches!(feed.wait_for_update(40, NOW).await, Some(FeedUpdate::Snapshot { .. })));
+    assert_eq!(changes(feed.wait_for_update(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
 }
 
 /// A node that starts in an outage takes what there is, and learns how old it is.
 #[tokio::test(start_paused = true)]
 async fn the_whole_is_there_with_its_age_though_the_watch_has_ended() {
     let feed = Feed::default();
-    assert_eq!(feed.whole(), None);
-    feed.open(&page(5));
-    feed.add(&watched(5, 6));
-    feed.close();
+    assert_eq!(feed.snapshot(), None);
+    feed.begin_watch(&page(5));
+    feed.apply(&watched(5, 6));
+    feed.end_watch();
     tokio::time::advance(Duration::from_secs(3)).await;
-    let Some(News::Whole { page, age }) = feed.whole() else { panic!("nothing") };
+    let Some(FeedUpdate::Snapshot { page, age }) = feed.snapshot() else { panic!("nothing") };
     assert_eq!((page.revision, page.items.len()), (6, 1));
     assert_eq!(age, Duration::from_secs(3));
 }
@@ -121,23 +121,23 @@
                 0 => {
                     last += count;
                     begun = last;
-                    feed.open(&page(last));
+                    feed.begin_watch(&page(last));
                     open = true;
                 }
                 1 if open => {
-                    feed.add(&watched(last, last + count));
+                    feed.apply(&watched(last, last + count));
                     last += count;
                 }
                 2 => {
-                    feed.close();
+                    feed.end_watch();
                     open = false;
                 }
-                _ => match runtime.block_on(feed.after(at, NOW)) {
-                    Some(News::Changes(seen)) => {
+                _ => match runtime.block_on(feed.wait_for_update(at, NOW)) {
+                    Some(FeedUpdate::Changes(seen)) => {
                         prop_assert_eq!(revisions(&seen), (at + 1..=last).collect::<Vec<u64>>());
                         at = seen.revision;
                     }
-                    Some(News::Whole { page, .. }) => {
+                    Some(FeedUpdate::Snapshot { page, .. }) => {
                         prop_assert_eq!(page.revision, last);
                         let there: Vec<u64> = page.items.iter().map(|i| i.revision).collect();
                         let newest = (begun + 1..=last).rev().take(3);
