--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -111,7 +111,7 @@
         let direct = Arc::new(Counted::new(store, notices.clone(), tally.clone()));
         let detour = Detour::new(direct.clone(), peers.clone(), settings.seeds.clone());
         let slots = Slots::new(settings.zone.clone());
-        let usage = settings.usage.map(|windows| Arc::new(Usage::new(windows, clock)));
+        let usage = settings.usage_windows.map(|windows| Arc::new(Usage::new(windows, clock)));
         Arc::new(Self {
             settings,
             tally,
@@ -225,7 +225,7 @@
     /// Whether the node may give orders: it has renewed its lease within half of its time.
     /// Whoever is holder after it counts on that, see [`App::turn`].
     pub(super) fn may_order(&self) -> bool {
-        let half = self.settings.lease / 2;
+        let half = self.settings.lease_ttl / 2;
         self.lease.lock().until > self.now() + half
     }
 
@@ -238,7 +238,7 @@
     /// How long a new holder waits before its first order. The one before gave its last
     /// order half a lease before its key went, at the latest.
     pub(super) fn turn(&self) -> Duration {
-        self.settings.turn.saturating_sub(self.settings.lease / 2)
+        self.settings.order_gap.saturating_sub(self.settings.lease_ttl / 2)
     }
 
     /// Whether the node's lease surely holds now.
--- a/src/entry/entry.rs
+++ b/src/entry/entry.rs
@@ -36,10 +36,10 @@
     ) -> Self {
         let app = App::new(settings, ports, peers);
         tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.life);
-        if app.settings.keeps {
+        if app.settings.has_disk {
             app.spawn(follow(app.clone(), Topic::Retirements));
         }
-        if app.settings.callers.is_some() {
+        if app.settings.client_address.is_some() {
             app.spawn(follow(app.clone(), Topic::Routes));
             app.spawn(follow(app.clone(), Topic::Replicas));
             app.spawn(follow(app.clone(), Topic::Live));
@@ -66,11 +66,11 @@
         self.app.draining.store(true, Ordering::Relaxed);
         tracing::info!(event = "process_leaves", node = %self.app.settings.name);
         self.app.stop.cancel();
-        if self.app.settings.callers.is_none() {
+        if self.app.settings.client_address.is_none() {
             return;
         }
         let begun = self.app.now();
-        let grace = self.app.settings.grace;
+        let grace = self.app.settings.stop_grace;
         // In an outage others take the jobs, and clients go elsewhere, once the lease ends.
         let told = async {
             self.app.hand_over().await;
@@ -79,7 +79,7 @@
         if tokio::time::timeout(grace / TELLING, told).await.is_err() {
             tracing::warn!(event = "leaving_not_told", node = %self.app.settings.name);
         }
-        let kept = Duration::from_secs(self.app.settings.ttl) * KEPT + MARGIN;
+        let kept = Duration::from_secs(self.app.settings.address_ttl) * KEPT + MARGIN;
         let left = (grace / 2 + MARGIN).saturating_sub(self.app.now() - begun);
         tokio::time::sleep(kept.min(left)).await;
     }
--- a/src/entry/follow/follow.rs
+++ b/src/entry/follow/follow.rs
@@ -149,7 +149,7 @@
             app.load(self.topic, &page, &self.prefix);
             return Ok(());
         };
-        let mut wait = WAIT.min(app.settings.history / 4 * QUARTERS);
+        let mut wait = WAIT.min(app.settings.store_history / 4 * QUARTERS);
         if app.follows() {
             wait = wait.min(ALONE);
         }
--- a/src/entry/follow/source.rs
+++ b/src/entry/follow/source.rs
@@ -153,12 +153,12 @@
 
     /// Whether other nodes ask this one as they start. It reads the store at once.
     fn is_seed(&self) -> bool {
-        self.settings.peers.is_some_and(|own| self.settings.seeds.contains(&own))
+        self.settings.peer_address.is_some_and(|own| self.settings.seeds.contains(&own))
     }
 
     /// The nodes of the settings but this one, in an order of its own.
     fn other_seeds(&self) -> Vec<SocketAddr> {
-        let own = self.settings.peers;
+        let own = self.settings.peer_address;
         let mut seeds = self.settings.seeds.clone();
         seeds.retain(|seed| Some(*seed) != own);
         seeds.sort_by_cached_key(|seed| score(&self.settings.name, &seed.to_string()));
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -59,7 +59,7 @@
                 if app.watchers().is_some() {
                     return;
                 }
-                let longer = app.settings.drain.saturating_sub(AHEAD + GATHER);
+                let longer = app.settings.drain_time.saturating_sub(AHEAD + GATHER);
                 let _ = tokio::time::timeout(longer, app.homes.work()).await;
             }
         }
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -82,7 +82,7 @@
 
 /// Writes what is fresh and fits a value.
 async fn write(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
-    let (position, batch) = home.job.lock().batch(app.settings.value - SPARE);
+    let (position, batch) = home.job.lock().batch(app.settings.max_value - SPARE);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
@@ -110,7 +110,7 @@
         if last {
             txn = txn.put(key.clone(), serde_json::to_vec(&value).unwrap_or_default());
         }
-        let Unsaved { growths, after } = home.growths(app.settings.value / 2);
+        let Unsaved { growths, after } = home.growths(app.settings.max_value / 2);
         if !growths.is_empty() && !last {
             let index = *home.saves.lock();
             let encoded = bincode::serde::encode_to_vec(&growths, bincode::config::standard());
--- a/src/entry/member.rs
+++ b/src/entry/member.rs
@@ -30,10 +30,10 @@
 
 /// Opens a lease, lists the node under it and renews it until it ends.
 async fn hold(app: &Arc<App>) -> Result<(), StoreError> {
-    let ttl = app.settings.lease;
+    let ttl = app.settings.lease_ttl;
     let sent = app.now();
     let lease = app.store.grant(ttl).await?;
-    let (callers, peers) = (app.settings.callers, app.settings.peers);
+    let (callers, peers) = (app.settings.client_address, app.settings.peer_address);
     let value = NodeValue { life: app.life.clone(), callers, peers };
     let value = serde_json::to_vec(&value).map_err(|e| StoreError::Refused(e.to_string()))?;
     let key = node(&app.settings.name);
@@ -73,7 +73,7 @@
     /// Waits until this node's last order is as old as the next holder takes it to be.
     pub(super) async fn rest_from_orders(&self) {
         let Some(last) = *self.ordered.lock() else { return };
-        let until = last + self.settings.lease / 2;
+        let until = last + self.settings.lease_ttl / 2;
         tokio::time::sleep(until.saturating_sub(self.now())).await;
     }
 
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -13,7 +13,7 @@
     /// An operator asks for a machine's disk to be emptied. Nothing lasts on it, so the
     /// answer is ready at once; it is the machine itself that gives it.
     pub(super) fn retire(&self, node: &str, within: Duration) {
-        if !self.settings.keeps || *self.settings.name != *node {
+        if !self.settings.has_disk || *self.settings.name != *node {
             return;
         }
         tracing::info!(event = "retire_asked", node, within_ms = within.as_millis() as u64);
--- a/src/entry/scale/order.rs
+++ b/src/entry/scale/order.rs
@@ -42,7 +42,7 @@
 
 /// Orders replicas until the term is over.
 pub(in crate::entry) async fn scale(app: &Arc<App>, fence: u64) {
-    if app.settings.duties.is_none() {
+    if app.settings.duties_address.is_none() {
         return std::future::pending().await;
     }
     let mut orders = Orders {
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -78,7 +78,7 @@
             return Submitted::Refused("unreadable".into());
         };
         let parts: Vec<Bytes> = Bytes::from(bytes)
-            .chunks(self.settings.value - SPARE)
+            .chunks(self.settings.max_value - SPARE)
             .map(Bytes::copy_from_slice)
             .collect();
         if parts.len() > PARTS {
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -201,7 +201,7 @@
 /// the times of day of two machines differ, and a client may have kept on asking.
 fn old(app: &App, value: &HomeValue) -> bool {
     let age = Duration::from_millis(unix_millis().saturating_sub(value.since));
-    value.since > 0 && age >= app.settings.kept * 2
+    value.since > 0 && age >= app.settings.job_retention * 2
 }
 
 /// Removes a job that is done: what it is made of first, its home's key last, so that what
@@ -226,7 +226,7 @@
 impl App {
     /// Forgets views and finished homes that nobody may ask for any more.
     fn tidy(&self, now: Moment) {
-        self.views.forget(now, self.settings.kept * 2);
+        self.views.forget(now, self.settings.job_retention * 2);
         for (job, home) in self.homes.all() {
             let over = home.job.lock().complete();
             if over && old(self, &home.key.lock().value) {
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -40,44 +40,44 @@
     /// `[node] zone`.
     pub zone: Name,
     /// `[node] callers`: where clients and trainers connect; none where nobody does.
-    pub callers: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
     /// `[node] ready`: where readiness is asked.
-    pub ready: Option<SocketAddr>,
+    pub readiness_address: Option<SocketAddr>,
     /// `[node] addresses`: where clients ask which nodes to use.
-    pub addresses: Option<SocketAddr>,
+    pub directory_address: Option<SocketAddr>,
     /// `[node] peers`: where other nodes connect; none where nobody does.
-    pub peers: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// `[node] seeds`: where some other nodes may be asked before any is known.
     pub seeds: Vec<SocketAddr>,
     /// `[node] metrics`: where metrics are asked for.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// `[node] keeps`: whether the machine has a disk that an operator may ask to empty.
-    pub keeps: bool,
+    pub has_disk: bool,
     /// `[store] address`.
-    pub store: SocketAddr,
+    pub store_address: SocketAddr,
     /// `[store] value`: the largest value, in bytes.
-    pub value: usize,
+    pub max_value: usize,
     /// `[store] history`: how long the store keeps its history.
-    pub history: Duration,
+    pub store_history: Duration,
     /// `[store] lease`: how long a node counts as alive without a renewal.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// `[replicas] drain`: how long after a replica has reported that it leaves it may still
     /// get work.
-    pub drain: Duration,
+    pub drain_time: Duration,
     /// `[jobs] kept`: how long a job can be read after its submission.
-    pub kept: Duration,
+    pub job_retention: Duration,
     /// `[duties] address`: where duties are done; none where there are none.
-    pub duties: Option<SocketAddr>,
+    pub duties_address: Option<SocketAddr>,
     /// `[usage] window`, `late`: how usage is reported; none where it is not.
-    pub usage: Option<Windows>,
+    pub usage_windows: Option<Windows>,
     /// `[orders] turn`: how long orders of two holders must lie apart.
-    pub turn: Duration,
+    pub order_gap: Duration,
     /// `[stop] grace`: how long stopping may take.
-    pub grace: Duration,
+    pub stop_grace: Duration,
     /// `[answers] ttl`: how long callers may keep addresses, in seconds.
-    pub ttl: u64,
+    pub address_ttl: u64,
     /// `[log] level`.
-    pub level: String,
+    pub log_level: String,
 }
 
 impl EntrySettings {
@@ -94,58 +94,58 @@
         let mut settings = Self {
             name: node.required("name")?.into(),
             zone: node.required("zone")?.into(),
-            callers: address(&node, "callers")?,
-            ready: address(&node, "ready")?,
-            addresses: address(&node, "addresses")?,
-            peers: address(&node, "peers")?,
+            client_address: address(&node, "callers")?,
+            readiness_address: address(&node, "ready")?,
+            directory_address: address(&node, "addresses")?,
+            peer_address: address(&node, "peers")?,
             seeds: node.list("seeds")?,
-            metrics: address(&node, "metrics")?,
-            keeps: node.value_or("keeps", false)?,
-            store: store.value("address")?,
-            value: store.within("value", LEAST_VALUE..=64 << 20, VALUE)?,
-            history: store.duration("history", HISTORY)?,
-            lease: store.duration("lease", LEASE)?,
-            drain: DRAIN,
-            kept: KEPT,
-            duties: None,
-            usage: None,
-            turn: TURN,
-            grace: GRACE,
-            ttl: TTL,
-            level: "info".to_owned(),
+            metrics_address: address(&node, "metrics")?,
+            has_disk: node.value_or("keeps", false)?,
+            store_address: store.value("address")?,
+            max_value: store.within("value", LEAST_VALUE..=64 << 20, VALUE)?,
+            store_history: store.duration("history", HISTORY)?,
+            lease_ttl: store.duration("lease", LEASE)?,
+            drain_time: DRAIN,
+            job_retention: KEPT,
+            duties_address: None,
+            usage_windows: None,
+            order_gap: TURN,
+            stop_grace: GRACE,
+            address_ttl: TTL,
+            log_level: "info".to_owned(),
         };
         node.finish()?;
         store.finish()?;
         if let Some(replicas) = doc.optional("replicas") {
-            settings.drain = replicas.duration("drain", DRAIN)?;
+            settings.drain_time = replicas.duration("drain", DRAIN)?;
             replicas.finish()?;
         }
         if let Some(jobs) = doc.optional("jobs") {
-            settings.kept = jobs.duration("kept", KEPT)?;
+            settings.job_retention = jobs.duration("kept", KEPT)?;
             jobs.finish()?;
         }
         if let Some(duties) = doc.optional("duties") {
-            settings.duties = address(&duties, "address")?;
+            settings.duties_address = address(&duties, "address")?;
             duties.finish()?;
         }
         if let Some(usage) = doc.optional("usage") {
-            settings.usage = Some(windows(&usage)?);
+            settings.usage_windows = Some(windows(&usage)?);
             usage.finish()?;
         }
         if let Some(orders) = doc.optional("orders") {
-            settings.turn = orders.duration("turn", TURN)?;
+            settings.order_gap = orders.duration("turn", TURN)?;
             orders.finish()?;
         }
         if let Some(stop) = doc.optional("stop") {
-            settings.grace = stop.duration("grace", GRACE)?;
+            settings.stop_grace = stop.duration("grace", GRACE)?;
             stop.finish()?;
         }
         if let Some(answers) = doc.optional("answers") {
-            settings.ttl = answers.within("ttl", 1..=3_600, TTL)?;
+            settings.address_ttl = answers.within("ttl", 1..=3_600, TTL)?;
             answers.finish()?;
         }
         if let Some(log) = doc.optional("log") {
-            settings.level = log.text("level").unwrap_or("info").to_owned();
+            settings.log_level = log.text("level").unwrap_or("info").to_owned();
             log.finish()?;
         }
         Ok(settings)
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -293,7 +293,7 @@
         pass(after).await;
         let begun = tokio::time::Instant::now();
         a.entry.leave().await;
-        let left = a.app().settings.grace.saturating_sub(begun.elapsed());
+        let left = a.app().settings.stop_grace.saturating_sub(begun.elapsed());
         assert!(left >= Duration::from_millis(3_200), "{after} ms into it: {left:?} left");
     }
 }
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -119,34 +119,40 @@
 
     /// The same, where jobs are kept for so long.
     pub(crate) async fn node_that_keeps(&self, name: &str, kept: Duration) -> Node {
-        self.node_with(EntrySettings { kept, ..settings(name) }).await
+        self.node_with(EntrySettings { job_retention: kept, ..settings(name) }).await
     }
 
     /// The same, where a replica that leaves may get work for so long.
     pub(crate) async fn node_that_drains(&self, name: &str, drain: Duration) -> Node {
-        self.node_with(EntrySettings { drain, ..settings(name) }).await
+        self.node_with(EntrySettings { drain_time: drain, ..settings(name) }).await
     }
 
     /// The same, where a value may have so many bytes.
     pub(crate) async fn node_that_writes(&self, name: &str, value: usize) -> Node {
-        self.node_with(EntrySettings { value, ..settings(name) }).await
+        self.node_with(EntrySettings { max_value: value, ..settings(name) }).await
     }
 
     /// The same, where the store keeps its history for so long.
     pub(crate) async fn node_that_remembers(&self, name: &str, history: Duration) -> Node {
-        self.node_with(EntrySettings { history, ..settings(name) }).await
+        self.node_with(EntrySettings { store_history: history, ..settings(name) }).await
     }
 
     /// The same, linked to others.
     pub(crate) async fn linked(&self, name: &str) -> Node {
-        self.linked_that_drains(name, settings(name).drain).await
+        self.linked_that_drains(name, settings(name).drain_time).await
     }
 
     /// The same, where a replica that leaves may get work for so long.
     pub(crate) async fn linked_that_drains(&self, name: &str, drain: Duration) -> Node {
         let port = 1_000 + u16::from(name.as_bytes()[0]);
         let at = SocketAddr::from(([127, 0, 0, 1], port));
-        let node = self.node_with(EntrySettings { peers: Some(at), drain, ..settings(name) }).await;
+        let node = self
+            .node_with(EntrySettings {
+                peer_address: Some(at),
+                drain_time: drain,
+                ..settings(name)
+            })
+            .await;
         self.links.open(at, node.app().clone());
         node
     }
@@ -155,8 +161,9 @@
     /// become ready.
     pub(crate) fn begin_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(name.as_bytes()[0])));
-        let seeds = seed.app().settings.peers.into_iter().collect();
-        let node = self.begin(EntrySettings { peers: Some(at), seeds, ..settings(name) }, faults);
+        let seeds = seed.app().settings.peer_address.into_iter().collect();
+        let node =
+            self.begin(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
         self.links.open(at, node.app().clone());
         node
     }
@@ -171,7 +178,8 @@
         let at = Self::place;
         let start = |i| {
             let (peers, seeds) = (Some(at(i)), (0..3).map(at).collect());
-            let settings = EntrySettings { peers, seeds, ..settings(&format!("n{i:03}")) };
+            let settings =
+                EntrySettings { peer_address: peers, seeds, ..settings(&format!("n{i:03}")) };
             let node = self.begin(settings, Faults::default());
             self.links.open(at(i), node.app().clone());
             node
@@ -187,10 +195,11 @@
 
     fn begin(&self, settings: EntrySettings, faults: Faults) -> Node {
         let duties = self.ordering.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
-        let settings = EntrySettings { usage: self.usage, duties, ..settings };
+        let settings =
+            EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
         let line = self.kv.line();
         line.fail(faults);
-        let links = Arc::new(self.links.of(settings.peers));
+        let links = Arc::new(self.links.of(settings.peer_address));
         let ports = Ports {
             store: Arc::new(line.clone()),
             replicas: Arc::new(self.replicas.clone()),
@@ -210,17 +219,17 @@
 
     /// Sets what this node does with requests of others.
     pub(crate) fn link(&self, link: Link) {
-        self.links.set(self.app().settings.peers.unwrap(), link);
+        self.links.set(self.app().settings.peer_address.unwrap(), link);
     }
 
     /// From now on this node's requests reach no other.
     pub(crate) fn isolate(&self) {
-        self.links.isolate(self.app().settings.peers.unwrap());
+        self.links.isolate(self.app().settings.peer_address.unwrap());
     }
 
     /// Asks another node for results.
     pub(crate) async fn ask(&self, to: &Node, ask: PeerAsk) -> Option<Option<Read>> {
-        let to = to.app().settings.peers.unwrap();
+        let to = to.app().settings.peer_address.unwrap();
         match self.links.ask(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
             _ => None,
--- a/tests/entry_settings.rs
+++ b/tests/entry_settings.rs
@@ -17,10 +17,10 @@
 fn good_settings_are_read() {
     let settings = read(GOOD).unwrap();
     assert_eq!(&*settings.name, "n");
-    assert_eq!(settings.ready, None);
-    assert!(settings.keeps);
-    assert_eq!(settings.lease, Duration::from_secs(3));
-    assert_eq!(settings.drain, Duration::from_secs(4));
+    assert_eq!(settings.readiness_address, None);
+    assert!(settings.has_disk);
+    assert_eq!(settings.lease_ttl, Duration::from_secs(3));
+    assert_eq!(settings.drain_time, Duration::from_secs(4));
 }
 
 #[test]
