--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -1,4 +1,4 @@
-//! Taking over what was read or has changed.
+//! Applies snapshots and changes of the store to the state of the node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,57 +10,58 @@
 use crate::entry::app::App;
 use crate::entry::peer::FeedTopic;
 
-/// How long a replica that vanished from the list over an outage of the store may still be
-/// there: entries that lapsed are back two seconds after the store is.
-const LAPSE: Duration = Duration::from_millis(2_000);
+/// How long a replica that vanished from the list during an outage of the store is still kept:
+/// entries that expired in the outage are written again within two seconds of its end.
+const REPLICA_RETURN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl App {
-    /// Takes over the whole.
-    pub(super) fn load(self: &Arc<Self>, topic: Topic, page: &Page, prefix: &str) {
+    /// Replaces the state of a topic by everything that the store has under its prefix.
+    pub(super) fn apply_snapshot(self: &Arc<Self>, topic: Topic, page: &Page, prefix: &str) {
         match topic {
-            Topic::Replicas => self.relist(page, prefix),
+            Topic::Replicas => self.replace_replicas(page, prefix),
             Topic::Nodes => {
                 self.membership.lock().load(page, self.store_time());
-                self.know_peers();
+                self.update_peers();
             }
             Topic::Routes | Topic::Versions | Topic::Retirements => {
-                page.items.iter().for_each(|item| self.notice(item));
+                page.items.iter().for_each(|item| self.apply_notice(item));
             }
         }
         self.slots.pump(self.now());
         self.notify_view_change();
     }
 
-    /// Takes over changes.
-    pub(super) fn catch_up(&self, topic: Topic, watched: &Watched) {
+    /// Applies changes of a topic.
+    pub(super) fn apply_changes(&self, topic: Topic, watched: &Watched) {
         if watched.changes.is_empty() {
             return;
         }
         for change in &watched.changes {
-            self.change(topic, change);
+            self.apply_change(topic, change);
         }
         self.slots.pump(self.now());
         self.notify_view_change();
     }
 
-    fn change(&self, topic: Topic, change: &Change) {
+    fn apply_change(&self, topic: Topic, change: &Change) {
         match (topic, change) {
-            (Topic::Replicas, Change::Put(item)) => self.list(item),
+            (Topic::Replicas, Change::Put(item)) => self.add_replica(item),
             (Topic::Replicas, Change::Removed { key, .. }) => {
-                self.unlist(&self.notices.replica_id(key));
+                self.remove_replica(&self.notices.replica_id(key));
             }
             (Topic::Nodes, change) => {
                 self.membership.lock().change(change, self.store_time());
-                self.know_peers();
+                self.update_peers();
             }
-            (_, Change::Put(item)) => self.notice(item),
-            // A configuration and a version are only ever replaced by newer ones.
+            (_, Change::Put(item)) => self.apply_notice(item),
+            // Only newer values ever replace a configuration or a version.
             (_, Change::Removed { .. }) => {}
         }
     }
 
-    /// Who can be asked for a call to the store, in an order of this node's own.
-    fn know_peers(&self) {
+    /// Updates which nodes may be asked for calls to the store, in an order that is particular to
+    /// this node.
+    fn update_peers(&self) {
         let nodes = self.membership.lock().peers();
         let others = nodes.keys().filter(|n| **n != self.settings.name).map(|n| &**n);
         let ranked = rank(&self.settings.name, others);
@@ -68,7 +69,7 @@
             .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
 
-    fn notice(&self, item: &Item) {
+    fn apply_notice(&self, item: &Item) {
         match self.notices.notice(&item.key, &item.value) {
             Ok(None) => {}
             Ok(Some(Notice::Routes(routes))) => {
@@ -91,7 +92,7 @@
         }
     }
 
-    fn list(&self, item: &Item) {
+    fn add_replica(&self, item: &Item) {
         match self.notices.replica(&item.key, &item.value) {
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
@@ -100,34 +101,35 @@
                 }
             }
             Err(reason) => {
-                // Whatever wrote it, it names no replica that may be used.
+                // An entry that cannot be read names no replica that may be used.
                 tracing::error!(event = "replica_unreadable", key = %item.key, %reason);
-                self.unlist(&self.notices.replica_id(&item.key));
+                self.remove_replica(&self.notices.replica_id(&item.key));
             }
         }
     }
 
-    fn unlist(&self, id: &str) {
+    fn remove_replica(&self, id: &str) {
         if self.slots.fleet.lock().remove(id) {
             tracing::info!(event = "replica_gone", replica = %id);
         }
     }
 
-    /// Takes over the whole list. Who is missing is gone; after an outage of the store only
-    /// once [`LAPSE`] is over, for entries also lapse while the store is away. Entries that
-    /// come back show in what is followed, so nobody asks for them one by one: a call for each
-    /// missing replica at each of 250 nodes came to 57,000 in two outages.
-    fn relist(self: &Arc<Self>, page: &Page, prefix: &str) {
+    /// Replaces the list of replicas. Replicas that are not on the new list are removed; after an
+    /// outage of the store only once [`REPLICA_RETURN_TIMEOUT`] is over, because entries expire
+    /// during the outage as well. Entries that are written again arrive through the feed, so the
+    /// store is not asked for each of them: one call for each missing replica on each of 250
+    /// nodes came to 57,000 calls in two outages.
+    fn replace_replicas(self: &Arc<Self>, page: &Page, prefix: &str) {
         let mut missing = self.slots.fleet.lock().ids();
         for item in &page.items {
-            self.list(item);
+            self.add_replica(item);
             let id = self.notices.replica_id(&item.key);
             missing.retain(|m| *m != id);
         }
-        let since = self.fallback_store.time_since_recovery().unwrap_or(LAPSE);
-        let wait = LAPSE.saturating_sub(since);
+        let since = self.fallback_store.time_since_recovery().unwrap_or(REPLICA_RETURN_TIMEOUT);
+        let wait = REPLICA_RETURN_TIMEOUT.saturating_sub(since);
         if wait.is_zero() {
-            missing.iter().for_each(|id| self.unlist(id));
+            missing.iter().for_each(|id| self.remove_replica(id));
             return;
         }
         if missing.is_empty() {
@@ -136,13 +138,13 @@
         let (app, prefix) = (self.clone(), prefix.to_owned());
         self.spawn(async move {
             tokio::time::sleep(wait).await;
-            // Entries lapse anew in another outage; the whole is read after it.
+            // In another outage entries expire again, and the list is replaced after it.
             if app.fallback_store.is_down() {
                 return;
             }
             let feed = app.feeds.get(FeedTopic::Replicas);
-            let gone = missing.iter().filter(|id| !feed.has(&format!("{prefix}{id}")));
-            gone.for_each(|id| app.unlist(id));
+            let expired = missing.iter().filter(|id| !feed.contains(&format!("{prefix}{id}")));
+            expired.for_each(|id| app.remove_replica(id));
         });
     }
 }
--- a/src/entry/follow/feed.rs
+++ b/src/entry/follow/feed.rs
@@ -1,11 +1,11 @@
-//! What is under a prefix and its last changes, for nodes that follow it here instead of in
-//! the store.
+//! A copy of the keys under a prefix of the store and their last changes, for nodes that follow
+//! the prefix here instead of in the store.
 //!
-//! Load pattern: every node has to know of every change of routes, replicas and nodes, and
-//! each watch that returns is a call. With every node watching, calls grow with the square of
-//! the fleet; with one node in sixteen watching, and the others asking those, with the fleet.
-//! A node that has missed changes gets the whole here too: where each read it from the store,
-//! a dropped history or an outage brought three readings of every node at the same moment.
+//! Load pattern: every node needs every change of routes, replicas and nodes, and each watch
+//! that returns is a call to the store. If every node watches, the calls grow with the square of
+//! the fleet; if one node in 16 watches and the others ask those, they grow linearly. A node
+//! that has missed changes gets a snapshot here as well: when each node read it from the store,
+//! a dropped history or an outage made every node read it three times at the same moment.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -18,28 +18,30 @@
 use crate::Name;
 use crate::edge::store::{Change, Item, Page, Watched};
 
-/// Changes that are kept: several seconds of a fleet that loads weights on every replica.
-const KEPT: usize = 512;
-/// The bytes of values that changes are kept for: two of the largest. A configuration is one
-/// value, written anew with each change; hundreds of them are more memory than a node has.
-const KEPT_BYTES: usize = 2 << 20;
+/// How many changes are retained: several seconds of changes while a fleet loads new weights on
+/// every replica.
+const MAX_RETAINED_CHANGES: usize = 512;
+/// How many bytes of values the retained changes may hold: two of the largest values. A
+/// configuration is a single value that is written again with each change, and hundreds of them
+/// exceed the memory of a node.
+const MAX_RETAINED_BYTES: usize = 2 << 20;
 
-/// What a node hears of a prefix.
+/// An update of a prefix for a node that follows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedUpdate {
-    /// All of it.
+    /// Everything under the prefix.
     Snapshot {
-        /// The keys.
+        /// The keys and values.
         page: Page,
-        /// How long ago the store was last heard of it.
+        /// How long ago the copy was last confirmed by the store.
         age: Duration,
     },
-    /// What has changed.
+    /// The changes since a revision.
     Changes(Watched),
 }
 
 impl FeedUpdate {
-    /// The bytes of all values in it.
+    /// Returns the size of all values in it, in bytes.
     pub(super) fn bytes(&self) -> usize {
         match self {
             Self::Snapshot { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
@@ -48,68 +50,70 @@
     }
 }
 
-/// The state of a prefix as a node believes it.
+/// A node's copy of the keys under a prefix.
 #[derive(Debug)]
 pub struct Feed {
     state: Mutex<State>,
-    news: watch::Sender<u64>,
+    /// Counts updates, to wake up waiting readers.
+    update_count: watch::Sender<u64>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Whether an own watch goes on without a gap.
-    open: bool,
-    /// Changes after this revision are there.
-    floor: u64,
-    /// The revision up to which it was heard.
+    /// Whether this node watches the prefix itself and has missed no change.
+    watched: bool,
+    /// The revision after which `changes` is complete.
+    complete_after: u64,
+    /// The revision of the store that `items` stands for.
     revision: u64,
+    /// The last changes, oldest first.
     changes: VecDeque<Change>,
     /// The bytes of the values in `changes`.
-    bytes: usize,
+    change_bytes: usize,
     items: BTreeMap<Name, Item>,
-    /// When it was last heard of; none before the first time.
-    heard: Option<Instant>,
+    /// When the store last confirmed the copy. None before the first snapshot.
+    updated: Option<Instant>,
 }
 
 impl Default for Feed {
     fn default() -> Self {
-        Self { state: Mutex::default(), news: watch::Sender::new(0) }
+        Self { state: Mutex::default(), update_count: watch::Sender::new(0) }
     }
 }
 
 impl Feed {
-    /// The whole was read from the store, and is watched from there.
+    /// Replaces the copy by a snapshot from the store, from which this node goes on to watch.
     pub fn begin_watch(&self, page: &Page) {
         self.set(page, true);
     }
 
-    /// The whole was heard from another node, so long ago.
+    /// Replaces the copy by a snapshot from another node, which had it from the store `age` ago.
     pub fn copy_from_peer(&self, page: &Page, age: Duration) {
         self.set(page, false);
-        self.state.lock().heard = Instant::now().checked_sub(age);
+        self.state.lock().updated = Instant::now().checked_sub(age);
     }
 
-    fn set(&self, page: &Page, open: bool) {
+    fn set(&self, page: &Page, watched: bool) {
         let items = page.items.iter().map(|item| (item.key.clone(), item.clone())).collect();
         *self.state.lock() = State {
-            open,
-            floor: page.revision,
+            watched,
+            complete_after: page.revision,
             revision: page.revision,
             changes: VecDeque::new(),
-            bytes: 0,
+            change_bytes: 0,
             items,
-            heard: Some(Instant::now()),
+            updated: Some(Instant::now()),
         };
-        self.tell();
+        self.notify();
     }
 
-    /// The own watch ended.
+    /// Records that this node no longer watches the prefix itself.
     pub fn end_watch(&self) {
-        self.state.lock().open = false;
-        self.tell();
+        self.state.lock().watched = false;
+        self.notify();
     }
 
-    /// These have changed since.
+    /// Applies changes that follow the present revision.
     pub fn apply(&self, watched: &Watched) {
         let mut state = self.state.lock();
         for change in &watched.changes {
@@ -118,89 +122,94 @@
                 Change::Removed { key, .. } => drop(state.items.remove(key)),
             }
         }
-        state.keep(&watched.changes);
+        state.retain(&watched.changes);
         state.revision = state.revision.max(watched.revision);
-        state.heard = Some(Instant::now());
+        state.updated = Some(Instant::now());
         drop(state);
-        self.tell();
+        self.notify();
     }
 
-    /// Changes after a revision, as soon as there is one or `wait` is over; the whole where
-    /// some are missing here. None if there is no own watch.
+    /// Returns the changes after a revision, as soon as there is one or `wait` is over, or a
+    /// snapshot if some of the changes are no longer retained. None if this node does not watch
+    /// the prefix itself.
     pub async fn wait_for_update(&self, after: u64, wait: Duration) -> Option<FeedUpdate> {
-        let mut news = self.news.subscribe();
-        let ends = Instant::now() + wait;
+        let mut update_count = self.update_count.subscribe();
+        let deadline = Instant::now() + wait;
         loop {
-            let seen = self.seen(after)?;
-            if !matches!(&seen, FeedUpdate::Changes(watched) if watched.changes.is_empty()) {
-                return Some(seen);
+            let update = self.update_after(after)?;
+            if !matches!(&update, FeedUpdate::Changes(watched) if watched.changes.is_empty()) {
+                return Some(update);
             }
-            if tokio::time::timeout_at(ends, news.changed()).await.is_err() {
-                return self.seen(after);
+            if tokio::time::timeout_at(deadline, update_count.changed()).await.is_err() {
+                return self.update_after(after);
             }
         }
     }
 
-    /// All of it, as soon as anything is known or `wait` is over.
+    /// Returns a snapshot as soon as there is one. None if there is none within `wait`.
     pub async fn wait_for_snapshot(&self, wait: Duration) -> Option<FeedUpdate> {
-        let mut news = self.news.subscribe();
+        let mut update_count = self.update_count.subscribe();
         let known = async {
             loop {
-                if let Some(whole) = self.snapshot() {
-                    return whole;
+                if let Some(snapshot) = self.snapshot() {
+                    return snapshot;
                 }
-                let _ = news.changed().await;
+                let _ = update_count.changed().await;
             }
         };
         tokio::time::timeout(wait, known).await.ok().or_else(|| self.snapshot())
     }
 
-    /// All of it, also from another node and from before an outage; none before the first.
+    /// Returns a snapshot, which may come from another node or from before an outage. None before
+    /// the first.
     pub fn snapshot(&self) -> Option<FeedUpdate> {
         let state = self.state.lock();
-        let age = if state.open { Duration::ZERO } else { state.heard?.elapsed() };
-        state.heard?;
-        Some(state.whole(age))
+        let age = if state.watched { Duration::ZERO } else { state.updated?.elapsed() };
+        state.updated?;
+        Some(state.snapshot(age))
     }
 
-    /// Whether a key is there, as far as was heard.
-    pub(super) fn has(&self, key: &str) -> bool {
+    /// Whether the copy contains a key.
+    pub(super) fn contains(&self, key: &str) -> bool {
         self.state.lock().items.contains_key(key)
     }
 
-    fn seen(&self, after: u64) -> Option<FeedUpdate> {
+    fn update_after(&self, after: u64) -> Option<FeedUpdate> {
         let state = self.state.lock();
-        if !state.open {
+        if !state.watched {
             return None;
         }
-        if after < state.floor {
-            return Some(state.whole(Duration::ZERO));
+        if after < state.complete_after {
+            return Some(state.snapshot(Duration::ZERO));
         }
         let changes = state.changes.iter().filter(|change| change.revision() > after);
         let changes = changes.cloned().collect();
         Some(FeedUpdate::Changes(Watched { changes, revision: state.revision.max(after) }))
     }
 
-    fn tell(&self) {
-        self.news.send_modify(|n| *n += 1);
+    fn notify(&self) {
+        self.update_count.send_modify(|n| *n += 1);
     }
 }
 
 impl State {
-    /// Keeps changes, and lets the oldest go for them; the newest stays, however large.
-    fn keep(&mut self, changes: &[Change]) {
+    /// Retains changes and drops the oldest ones beyond the limits. The newest change is retained
+    /// whatever its size.
+    fn retain(&mut self, changes: &[Change]) {
         for change in changes {
-            self.bytes += change.bytes();
+            self.change_bytes += change.bytes();
             self.changes.push_back(change.clone());
         }
-        while self.changes.len() > KEPT || (self.changes.len() > 1 && self.bytes > KEPT_BYTES) {
+        while self.changes.len() > MAX_RETAINED_CHANGES
+            || (self.changes.len() > 1 && self.change_bytes > MAX_RETAINED_BYTES)
+        {
             let Some(change) = self.changes.pop_front() else { return };
-            self.bytes -= change.bytes();
-            self.floor = change.revision();
+            self.change_bytes -= change.bytes();
+            self.complete_after = change.revision();
         }
     }
 
-    fn whole(&self, age: Duration) -> FeedUpdate {
+    fn snapshot(&self, age: Duration) -> FeedUpdate {
         let items = self.items.values().cloned().collect();
         FeedUpdate::Snapshot { page: Page { items, revision: self.revision }, age }
     }
--- a/src/entry/follow/follower.rs
+++ b/src/entry/follow/follower.rs
@@ -1,4 +1,4 @@
-//! Follows prefixes of the store: read whole once, then watched without a gap.
+//! Follows prefixes of the store: each is read once as a snapshot and then watched without a gap.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -10,117 +10,128 @@
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
 
-/// The longest that a watch may stay without news: the store takes 30 s. Every further watch
-/// is a call that the platform counts; a connection that has gone silent is found by the
-/// client's keep-alive probes.
-const WAIT: Duration = Duration::from_secs(28);
-/// The part of the store's history that a watch may take up, in quarters: one that goes on
-/// from before the history comes to nothing.
-const QUARTERS: u32 = 3;
-/// How long a node watches for itself after nobody could be asked.
-const ALONE: Duration = Duration::from_secs(3);
-/// Pauses between failed calls: the first is short, as a cut connection is the usual cause.
-const FIRST: Duration = Duration::from_millis(50);
-/// How long after the store's return pauses stay short.
-const BACK: Duration = Duration::from_millis(500);
-/// The longest pause: the return of the store is seen this soon.
-const LONGEST: Duration = Duration::from_millis(400);
+/// The longest time that a watch waits for a change; the store allows 30 s. Every further watch
+/// is a call that the platform counts. A dead connection is found by the keep-alive probes of the
+/// client, so the watch does not have to be short for that.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(28);
+/// How much of the time for which the store retains its history a watch may last, in quarters: a
+/// watch cannot resume from a revision that the store has dropped.
+const MAX_WATCH_HISTORY_QUARTERS: u32 = 3;
+/// How long a node that relies on watchers watches the store itself after no watcher answered.
+const SELF_WATCH_WAIT: Duration = Duration::from_secs(3);
+/// The delay after the first failed call. It is short, because the usual cause is a cut
+/// connection.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// How long after the end of an outage of the store the retry delay stays short.
+const RECOVERY_WINDOW: Duration = Duration::from_millis(500);
+/// The longest delay between retries, which bounds how late the return of the store is noticed.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How far a topic was heard.
+/// Up to where the changes of a topic are known.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct Position {
     revision: u64,
-    /// Whether by an own watch, and how many watches had been cut as it began.
-    own: Option<u64>,
+    /// The count of watch gaps when this node read its snapshot from the store. None if the last
+    /// update came from another node.
+    watch_gaps: Option<u64>,
 }
 
-/// One topic and how far it was heard.
+/// Follows one topic.
 struct Follower {
     app: Arc<App>,
     topic: Topic,
     prefix: String,
-    /// None before the whole is known, or once something may have been missed.
-    heard: Option<Heard>,
-    /// Whether anything is known.
-    begun: bool,
-    lost: bool,
-    pause: Duration,
+    /// None before the first snapshot, and once a change may have been missed.
+    position: Option<Position>,
+    /// Whether a snapshot was ever applied.
+    loaded: bool,
+    /// Whether the last call failed and this was logged.
+    failing: bool,
+    retry_delay: Duration,
 }
 
 /// Follows a topic until the process ends.
 pub(in crate::entry) async fn follow(app: Arc<App>, topic: Topic) {
     let prefix = topic.prefix(&app);
-    let mut follower =
-        Follower { app, topic, prefix, heard: None, begun: false, lost: false, pause: FIRST };
+    let mut follower = Follower {
+        app,
+        topic,
+        prefix,
+        position: None,
+        loaded: false,
+        failing: false,
+        retry_delay: INITIAL_RETRY_DELAY,
+    };
     loop {
-        match follower.step().await {
-            Ok(()) => follower.back(),
-            Err(e) => follower.fail(e).await,
+        match follower.update().await {
+            Ok(()) => follower.handle_success(),
+            Err(e) => follower.handle_failure(e).await,
         }
     }
 }
 
 impl Follower {
-    /// Waits for the next news.
-    async fn step(&mut self) -> Result<(), StoreError> {
-        if let Some(followed) = self.topic.followed() {
-            if !self.begun
-                && let Some(told) = self.app.hear_first(followed).await
+    /// Gets and applies the next update, from another node or from the store.
+    async fn update(&mut self) -> Result<(), StoreError> {
+        if let Some(feed_topic) = self.topic.feed_topic() {
+            if !self.loaded
+                && let Some(peer_update) = self.app.fetch_initial(feed_topic).await
             {
-                self.take(told);
+                self.apply(peer_update);
                 return Ok(());
             }
-            let after = self.heard.map_or(0, |heard| heard.revision);
-            if self.begun
-                && let Some(told) = self.app.hear(followed, after).await
+            let after = self.position.map_or(0, |position| position.revision);
+            if self.loaded
+                && let Some(peer_update) = self.app.fetch_update(feed_topic, after).await
             {
-                self.take(told);
+                self.apply(peer_update);
                 return Ok(());
             }
         }
-        let own = self.own().await;
-        if let (Err(_), false, Some(followed)) = (&own, self.begun, self.topic.followed())
-            && let Some(told) = self.app.hear_old(followed).await
+        let result = self.update_from_store().await;
+        if let (Err(_), false, Some(feed_topic)) = (&result, self.loaded, self.topic.feed_topic())
+            && let Some(peer_update) = self.app.fetch_stale(feed_topic).await
         {
             tracing::info!(event = "old_view_taken", topic = self.topic.as_str());
             if self.topic == Topic::Routes {
                 self.app.stale_routes.store(true, Ordering::Relaxed);
             }
-            self.take(told);
+            self.apply(peer_update);
         }
-        own
+        result
     }
 
-    /// Takes over what another node said.
-    fn take(&mut self, told: PeerUpdate) {
-        let Some(followed) = self.topic.followed() else { return };
-        let feed = self.app.feeds.get(followed);
-        self.log(&told);
-        match told.news {
+    /// Applies an update from another node.
+    fn apply(&mut self, peer_update: PeerUpdate) {
+        let Some(feed_topic) = self.topic.feed_topic() else { return };
+        let feed = self.app.feeds.get(feed_topic);
+        self.log_update(&peer_update);
+        match peer_update.update {
             FeedUpdate::Snapshot { page, age } => {
-                if self.begun {
-                    // What readers of jobs have seen may have a gap as well.
+                if self.loaded {
+                    // Changes that readers of jobs depend on may have been missed as well.
                     self.app.watch_gaps.fetch_add(1, Ordering::Relaxed);
                 }
                 feed.copy_from_peer(&page, age);
-                self.heard = Some(Heard { revision: page.revision, own: None });
-                self.begun = true;
-                self.app.load(self.topic, &page, &self.prefix);
+                self.position = Some(Position { revision: page.revision, watch_gaps: None });
+                self.loaded = true;
+                self.app.apply_snapshot(self.topic, &page, &self.prefix);
             }
             FeedUpdate::Changes(watched) => {
                 feed.end_watch();
                 feed.apply(&watched);
-                self.heard = Some(Heard { revision: watched.revision, own: None });
-                self.app.catch_up(self.topic, &watched);
+                self.position = Some(Position { revision: watched.revision, watch_gaps: None });
+                self.app.apply_changes(self.topic, &watched);
             }
         }
     }
 
-    /// One line for a view that was replaced and for a configuration; changes of replicas and
-    /// nodes show one by one.
-    fn log(&self, told: &PeerUpdate) {
-        let (from, bytes, topic) = (told.from, told.news.bytes(), self.topic.as_str());
-        match &told.news {
+    /// Logs a snapshot and a new configuration. Changes of replicas and nodes are logged one by
+    /// one where they are applied.
+    fn log_update(&self, peer_update: &PeerUpdate) {
+        let (from, bytes, topic) =
+            (peer_update.from, peer_update.update.bytes(), self.topic.as_str());
+        match &peer_update.update {
             FeedUpdate::Snapshot { page, .. } => {
                 let revision = page.revision;
                 tracing::info!(event = "whole_heard", topic, %from, revision, bytes);
@@ -133,72 +144,83 @@
         }
     }
 
-    /// Reads the whole from the store, or goes on with the own watch.
-    async fn own(&mut self) -> Result<(), StoreError> {
+    /// Reads a snapshot from the store, or resumes the watch of this node.
+    async fn update_from_store(&mut self) -> Result<(), StoreError> {
         let app = self.app.clone();
-        let feed = self.topic.followed().map(|followed| app.feeds.get(followed));
-        let doubts = app.watch_gaps.load(Ordering::Relaxed);
-        let going = self.heard.filter(|heard| heard.own == Some(doubts));
-        let Some(heard) = going else {
+        let feed = self.topic.feed_topic().map(|feed_topic| app.feeds.get(feed_topic));
+        let watch_gaps = app.watch_gaps.load(Ordering::Relaxed);
+        let resumable = self.position.filter(|position| position.watch_gaps == Some(watch_gaps));
+        let Some(position) = resumable else {
             let page = app.store.range(&self.prefix).await?;
             if let Some(feed) = feed {
                 feed.begin_watch(&page);
             }
-            self.heard = Some(Heard { revision: page.revision, own: Some(doubts) });
-            self.begun = true;
-            app.load(self.topic, &page, &self.prefix);
+            self.position =
+                Some(Position { revision: page.revision, watch_gaps: Some(watch_gaps) });
+            self.loaded = true;
+            app.apply_snapshot(self.topic, &page, &self.prefix);
             return Ok(());
         };
-        let mut wait = WAIT.min(app.settings.store_history / 4 * QUARTERS);
-        if app.follows() {
-            wait = wait.min(ALONE);
+        let mut wait =
+            MAX_WATCH_WAIT.min(app.settings.store_history / 4 * MAX_WATCH_HISTORY_QUARTERS);
+        if app.relies_on_watchers() {
+            wait = wait.min(SELF_WATCH_WAIT);
         }
-        let watched = match app.store.watch(&self.prefix, heard.revision, wait).await {
+        let watched = match app.store.watch(&self.prefix, position.revision, wait).await {
             Ok(watched) => watched,
             Err(e) => {
-                // A watch that was cut may go on from a history that is gone and hear nothing
-                // for seconds, without an error: all is read whole again.
+                // A watch that resumes after a cut may start from a history that the store has
+                // dropped, and then gets neither changes nor an error for seconds. All prefixes
+                // are read as snapshots again.
                 app.watch_gaps.fetch_add(1, Ordering::Relaxed);
                 return Err(e);
             }
         };
-        let revision = heard.revision.max(watched.revision);
-        self.heard = Some(Heard { revision, ..heard });
+        let revision = position.revision.max(watched.revision);
+        self.position = Some(Position { revision, ..position });
         if let Some(feed) = feed {
             feed.apply(&watched);
         }
         if !watched.changes.is_empty() {
-            app.catch_up(self.topic, &watched);
-            self.topic.rest(&app).await;
+            app.apply_changes(self.topic, &watched);
+            self.topic.batch_changes(&app).await;
         }
         Ok(())
     }
 
-    fn back(&mut self) {
-        self.pause = FIRST;
+    /// Resets the retry state after a successful update.
+    fn handle_success(&mut self) {
+        self.retry_delay = INITIAL_RETRY_DELAY;
         if self.topic == Topic::Routes {
             self.app.stale_routes.store(false, Ordering::Relaxed);
         }
-        if std::mem::take(&mut self.lost) {
+        if std::mem::take(&mut self.failing) {
             tracing::info!(event = "store_back", topic = self.topic.as_str());
         }
     }
 
-    async fn fail(&mut self, e: StoreError) {
-        self.heard = None;
-        if let Some(followed) = self.topic.followed() {
-            self.app.feeds.get(followed).end_watch();
+    /// Closes the feed after a failed update and waits before the next one.
+    async fn handle_failure(&mut self, e: StoreError) {
+        self.position = None;
+        if let Some(feed_topic) = self.topic.feed_topic() {
+            self.app.feeds.get(feed_topic).end_watch();
         }
-        if !self.lost && e != StoreError::Compacted {
+        if !self.failing && e != StoreError::Compacted {
             tracing::warn!(event = "store_lost", topic = self.topic.as_str(), error = %e);
-            self.lost = true;
+            self.failing = true;
         }
         tracing::debug!(event = "read_failed", topic = self.topic.as_str(), error = %e);
-        // A call from before the store's return fails after it; others wait for this reading.
-        if self.app.fallback_store.time_since_recovery().is_some_and(|since| since < BACK) {
-            self.pause = FIRST;
+        // A call that began during an outage may fail after its end; other nodes wait for the
+        // snapshot that this node reads.
+        if self
+            .app
+            .fallback_store
+            .time_since_recovery()
+            .is_some_and(|since| since < RECOVERY_WINDOW)
+        {
+            self.retry_delay = INITIAL_RETRY_DELAY;
         }
-        self.app.fallback_store.wait_for_recovery(self.pause).await;
-        self.pause = (self.pause * 2).min(LONGEST);
+        self.app.fallback_store.wait_for_recovery(self.retry_delay).await;
+        self.retry_delay = (self.retry_delay * 2).min(MAX_RETRY_DELAY);
     }
 }
--- a/src/entry/follow/mod.rs
+++ b/src/entry/follow/mod.rs
@@ -1,5 +1,5 @@
-//! What a node believes of the configuration, the replicas and the other nodes: from its own
-//! watch of the store, or from a node that watches for others.
+//! Keeps this node's view of the configuration, the replicas and the other nodes current, by a
+//! watch of the store or by updates from a node that watches the store for others.
 
 mod apply;
 mod feed;
--- a/src/entry/follow/sources.rs
+++ b/src/entry/follow/sources.rs
@@ -1,8 +1,9 @@
-//! Where a node hears of changes: from its own watch of the store, or from a node that watches
-//! for others.
+//! Chooses where a node gets changes from: its own watch of the store, or a node that watches
+//! the store for others.
 //!
-//! Load pattern: each change of a replica or a node concerns every node, and each watch that
-//! returns is a call. Where every node watches, calls grow with the square of the fleet.
+//! Load pattern: every node needs each change of a replica or a node, and each watch that
+//! returns is a call to the store. If every node watches, the calls grow with the square of the
+//! fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,41 +19,44 @@
 use crate::entry::peer::FeedTopic;
 use crate::{Moment, Name};
 
-/// Up to so many nodes each watches for itself: with three watchers nothing would be saved.
-const FEW: usize = 4;
-/// One node in so many watches for the others, which ask it once a second.
-const PART: usize = 16;
-/// The least of these: one may be gone, one cut off.
-const LEAST: usize = 3;
-/// What the nodes that watch are ranked by.
-const WATCHERS: &str = "watchers";
-/// Watchers that are asked in turn before a node watches for itself.
-const ASKED: usize = 3;
-/// Rounds in which they may say that they can't, as they read the whole anew themselves.
-const ROUNDS: u32 = 8;
-/// The pause between two rounds: a whole reading takes some calls of some milliseconds.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How old what other nodes believe may be for a node that starts: they ask once a second.
-const FRESH: Duration = Duration::from_millis(1_500);
-
-/// How long a node that starts waits for one of its settings that is starting as well: all
-/// start within a third of a second of each other, and those read the store at once.
-const START: Duration = Duration::from_millis(800);
-/// How much later each next of them is asked, and one that said nothing again: two ways between
-/// zones and the answer take a tenth of it, where somebody is there to answer.
-const NEXT: Duration = Duration::from_millis(40);
-
-/// What another node said.
+/// Up to this fleet size each node watches the store itself: with three watchers nothing would
+/// be saved.
+const MAX_NODES_WITHOUT_WATCHERS: usize = 4;
+/// One node in this many watches for the others, which ask it once a second.
+const NODES_PER_WATCHER: usize = 16;
+/// The fewest nodes that watch for others: one may be gone and another one disconnected.
+const MIN_WATCHERS: usize = 3;
+/// The key by which nodes are ranked as watchers.
+const WATCHER_RANKING_KEY: &str = "watchers";
+/// How many watchers are asked in turn before a node watches the store itself.
+const MAX_WATCHERS_ASKED: usize = 3;
+/// In how many rounds all watchers may answer that they have no update, because they are reading
+/// a snapshot themselves.
+const MAX_ROUNDS: u32 = 8;
+/// The delay between two rounds: reading a snapshot takes a few calls of a few milliseconds.
+const ROUND_DELAY: Duration = Duration::from_millis(100);
+/// How old a snapshot from another node may be for a node that starts: nodes ask for updates
+/// once a second.
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(1_500);
+
+/// How long a node that starts waits for a seed that is starting as well: all nodes of a fleet
+/// start within a third of a second of each other, and seeds read the store at once.
+const SEED_WAIT: Duration = Duration::from_millis(800);
+/// How much later each further seed is asked, and a seed that gave no snapshot is asked again. A
+/// round trip between availability zones with the answer takes a tenth of it if the seed runs.
+const SEED_STAGGER: Duration = Duration::from_millis(40);
+
+/// An update that another node has sent.
 #[derive(Debug)]
 pub(super) struct PeerUpdate {
     pub(super) from: SocketAddr,
-    pub(super) news: FeedUpdate,
+    pub(super) update: FeedUpdate,
 }
 
-/// The feeds of what other nodes may follow here.
+/// The feeds that other nodes may follow on this node.
 #[derive(Debug, Default)]
 pub(in crate::entry) struct Feeds {
-    /// Who was the first to say anything.
+    /// The seed that gave the first snapshot.
     first_source: Mutex<Option<SocketAddr>>,
     routes: Feed,
     replicas: Feed,
@@ -60,8 +64,9 @@
 }
 
 impl Feeds {
-    pub(in crate::entry) fn get(&self, followed: FeedTopic) -> &Feed {
-        match followed {
+    /// Returns the feed of a topic.
+    pub(in crate::entry) fn get(&self, topic: FeedTopic) -> &Feed {
+        match topic {
             FeedTopic::Routes => &self.routes,
             FeedTopic::Replicas => &self.replicas,
             FeedTopic::Nodes => &self.nodes,
@@ -70,45 +75,47 @@
 }
 
 impl App {
-    /// FeedUpdate from a node that watches for others; none where this node is to watch itself.
-    pub(super) async fn hear(&self, followed: FeedTopic, after: u64) -> Option<PeerUpdate> {
+    /// Fetches an update after a revision from a node that watches for others. None if this node
+    /// has to watch the store itself.
+    pub(super) async fn fetch_update(&self, topic: FeedTopic, after: u64) -> Option<PeerUpdate> {
         let mut round = 0;
         loop {
-            let sources = self.sources();
+            let sources = self.update_sources();
             if sources.is_empty() {
                 return None;
             }
             for from in sources {
-                if let Some(news) = self.follow_at(from, followed, after).await {
-                    return Some(PeerUpdate { from, news });
+                if let Some(update) = self.fetch_update_from(from, topic, after).await {
+                    return Some(PeerUpdate { from, update });
                 }
             }
-            // Where the store is away from everybody, an own watch would bring nothing.
+            // While no node reaches the store, watching it would bring nothing.
             round = if self.fallback_store.is_down() { 0 } else { round + 1 };
-            if round > ROUNDS {
+            if round > MAX_ROUNDS {
                 return None;
             }
-            self.fallback_store.wait_for_recovery(PAUSE).await;
+            self.fallback_store.wait_for_recovery(ROUND_DELAY).await;
         }
     }
 
-    /// What the nodes that are known from the start believe now.
+    /// Fetches the first snapshot from the seeds, which are the nodes named in the settings. None
+    /// if this node is a seed or no seed has a recent snapshot.
     ///
-    /// Load pattern: hundreds of nodes start at once, first of all or after a loss of power.
-    /// Where each read the store, they made seven calls each, 1,750 of 250 nodes; now those
-    /// that are named in the settings read it, and the others wait for one of them.
-    pub(super) async fn hear_first(&self, followed: FeedTopic) -> Option<PeerUpdate> {
+    /// Load pattern: hundreds of nodes start at once, in a new deployment or after a power loss.
+    /// When each node read the store, each made seven calls, 1,750 for 250 nodes. Now only the
+    /// seeds read the store, and the other nodes wait for one of them.
+    pub(super) async fn fetch_initial(&self, topic: FeedTopic) -> Option<PeerUpdate> {
         if self.is_seed() {
             return None;
         }
         let seeds = self.other_seeds();
-        let ends = self.now() + START;
-        let asks = seeds.iter().zip(0..).map(|(seed, place)| async move {
-            tokio::time::sleep(NEXT * place).await;
-            self.first_at(*seed, followed, ends).await
+        let deadline = self.now() + SEED_WAIT;
+        let requests = seeds.iter().zip(0..).map(|(seed, place)| async move {
+            tokio::time::sleep(SEED_STAGGER * place).await;
+            self.fetch_initial_from(*seed, topic, deadline).await
         });
-        let mut asked: FuturesUnordered<_> = asks.collect();
-        while let Some(first) = asked.next().await {
+        let mut replies: FuturesUnordered<_> = requests.collect();
+        while let Some(first) = replies.next().await {
             if first.is_some() {
                 return first;
             }
@@ -116,55 +123,59 @@
         None
     }
 
-    /// What a node believes, as soon as it knows anything; none if it doesn't until `ends`, or
-    /// does not hear the store itself.
-    async fn first_at(
+    /// Fetches a snapshot from a seed as soon as it has one. None if it has none until `deadline`,
+    /// or if its snapshot is too old because it does not reach the store either.
+    async fn fetch_initial_from(
         &self,
         seed: SocketAddr,
-        followed: FeedTopic,
-        ends: Moment,
+        topic: FeedTopic,
+        deadline: Moment,
     ) -> Option<PeerUpdate> {
         loop {
-            let left = ends.saturating_sub(self.now());
-            match self.whole_at(seed, followed, left).await {
-                Some(FeedUpdate::Snapshot { page, age }) if age <= FRESH => {
+            let left = deadline.saturating_sub(self.now());
+            match self.fetch_snapshot_from(seed, topic, left).await {
+                Some(FeedUpdate::Snapshot { page, age }) if age <= MAX_SNAPSHOT_AGE => {
                     *self.feeds.first_source.lock() = Some(seed);
                     return Some(PeerUpdate {
                         from: seed,
-                        news: FeedUpdate::Snapshot { page, age },
+                        update: FeedUpdate::Snapshot { page, age },
                     });
                 }
                 Some(_) => return None,
-                None if self.now() >= ends => return None,
-                None => tokio::time::sleep(NEXT).await,
+                None if self.now() >= deadline => return None,
+                None => tokio::time::sleep(SEED_STAGGER).await,
             }
         }
     }
 
-    /// The newest of what they believed before: better than nothing where the store does not
-    /// answer.
-    pub(super) async fn hear_old(&self, followed: FeedTopic) -> Option<PeerUpdate> {
+    /// Fetches the newest snapshot that any seed has, however old: better than none while the
+    /// store does not answer.
+    pub(super) async fn fetch_stale(&self, topic: FeedTopic) -> Option<PeerUpdate> {
         let seeds = self.other_seeds();
-        let asks = seeds
-            .iter()
-            .map(|seed| async { (*seed, self.whole_at(*seed, followed, Duration::ZERO).await) });
-        let mut asked: FuturesUnordered<_> = asks.collect();
+        let requests = seeds.iter().map(|seed| async {
+            (*seed, self.fetch_snapshot_from(*seed, topic, Duration::ZERO).await)
+        });
+        let mut replies: FuturesUnordered<_> = requests.collect();
         let mut best: Option<(Duration, Page, SocketAddr)> = None;
-        while let Some((seed, news)) = asked.next().await {
-            let Some(FeedUpdate::Snapshot { page, age }) = news else { continue };
+        while let Some((seed, update)) = replies.next().await {
+            let Some(FeedUpdate::Snapshot { page, age }) = update else { continue };
             if best.as_ref().is_none_or(|(known, ..)| age < *known) {
                 best = Some((age, page, seed));
             }
         }
-        best.map(|(age, page, from)| PeerUpdate { from, news: FeedUpdate::Snapshot { page, age } })
+        best.map(|(age, page, from)| PeerUpdate {
+            from,
+            update: FeedUpdate::Snapshot { page, age },
+        })
     }
 
-    /// Whether other nodes ask this one as they start. It reads the store at once.
+    /// Whether this node is a seed, which other nodes ask when they start. A seed reads the store
+    /// at once.
     fn is_seed(&self) -> bool {
         self.settings.peer_address.is_some_and(|own| self.settings.seeds.contains(&own))
     }
 
-    /// The nodes of the settings but this one, in an order of its own.
+    /// Returns the seeds other than this node, in an order that is particular to this node.
     fn other_seeds(&self) -> Vec<SocketAddr> {
         let own = self.settings.peer_address;
         let mut seeds = self.settings.seeds.clone();
@@ -173,35 +184,40 @@
         seeds
     }
 
-    /// Nodes to hear of changes from; none where this node watches for itself. As long as few
-    /// are listed, as in the first second of all, that is who spoke first.
-    fn sources(&self) -> Vec<SocketAddr> {
+    /// Returns the nodes to ask for updates, at most [`MAX_WATCHERS_ASKED`]; empty if this node
+    /// watches the store itself. While few nodes are registered, as in the first second of a
+    /// fleet, the node to ask is the seed that gave the first snapshot.
+    fn update_sources(&self) -> Vec<SocketAddr> {
         let Some(watchers) = self.watchers() else {
             let first = self.feeds.first_source.lock().filter(|_| !self.is_seed());
             return first.filter(|at| !self.is_unreachable(*at)).into_iter().collect();
         };
-        if !self.follows() {
+        if !self.relies_on_watchers() {
             return Vec::new();
         }
         let ranked = rank(&self.settings.name, watchers.iter().map(|(name, _)| &**name));
         let ordered = ranked.iter().filter_map(|n| watchers.iter().find(|(name, _)| **name == **n));
-        ordered.map(|(_, at)| *at).filter(|at| !self.is_unreachable(*at)).take(ASKED).collect()
+        ordered
+            .map(|(_, at)| *at)
+            .filter(|at| !self.is_unreachable(*at))
+            .take(MAX_WATCHERS_ASKED)
+            .collect()
     }
 
-    /// Whether others watch for this node.
-    pub(super) fn follows(&self) -> bool {
+    /// Whether other nodes watch the store for this one.
+    pub(super) fn relies_on_watchers(&self) -> bool {
         let own = &self.settings.name;
         self.watchers().is_some_and(|watchers| watchers.iter().all(|(name, _)| name != own))
     }
 
-    /// The nodes that watch for others; none where each watches for itself.
+    /// Returns the nodes that watch the store for others. None if each node watches it itself.
     pub(super) fn watchers(&self) -> Option<Vec<(Name, SocketAddr)>> {
         let nodes = self.membership.lock().peers_around(self.store_time());
-        if nodes.len() <= FEW {
+        if nodes.len() <= MAX_NODES_WITHOUT_WATCHERS {
             return None;
         }
-        let count = nodes.len().div_ceil(PART).max(LEAST);
-        let ranked = rank(WATCHERS, nodes.keys().map(|n| &**n));
+        let count = nodes.len().div_ceil(NODES_PER_WATCHER).max(MIN_WATCHERS);
+        let ranked = rank(WATCHER_RANKING_KEY, nodes.keys().map(|n| &**n));
         let chosen = ranked.into_iter().take(count);
         Some(chosen.filter_map(|n| nodes.get_key_value(n)).map(|(n, a)| (n.clone(), *a)).collect())
     }
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -1,4 +1,4 @@
-//! What is followed in the store, and how long changes of it are gathered.
+//! The prefixes of the store that a node follows, and for how long changes of each are batched.
 
 use std::time::Duration;
 
@@ -6,35 +6,36 @@
 use crate::entry::keys::LIVE;
 use crate::entry::peer::FeedTopic;
 
-/// How long before work must have stopped going to a replica that leaves its report has to
-/// be seen here: for the answer of a store that is sixty times as slow as usual, an attempt
-/// on its way, and one look more.
-const AHEAD: Duration = Duration::from_millis(1_100);
-/// For how long changes of nodes are gathered: clients are to be sent elsewhere soon.
-const LIVE_GATHER: Duration = Duration::from_millis(250);
-/// For how long changes of the list of replicas are gathered at least, and at most where a
-/// job runs: its samples want to know soon which replicas have new weights. Gathered for
-/// 1.9 s at homes as well, 71 nodes in trouble served 0.56 instead of 0.60 of what was asked,
-/// weighted by its worth to callers (means of six and twelve plays).
-const GATHER: Duration = Duration::from_millis(900);
+/// How long before a departing replica must get no more work its report has to be seen here.
+/// This leaves time for the answer of a store that is 60 times slower than usual, for an
+/// attempt that is being sent, and for one more poll.
+const REPORT_LEAD_TIME: Duration = Duration::from_millis(1_100);
+/// For how long changes of nodes are batched. Short, because clients have to be sent to other
+/// nodes soon after one leaves.
+const NODE_BATCH_INTERVAL: Duration = Duration::from_millis(250);
+/// For how long changes of the list of replicas are batched at least, and at most on a node
+/// that runs jobs, whose samples need to know soon which replicas have new weights. With 1.9 s
+/// on those nodes too, 71 nodes under faults served 0.56 instead of 0.60 of the requests,
+/// weighted by their value to callers (means of six and twelve runs).
+const REPLICA_BATCH_INTERVAL: Duration = Duration::from_millis(900);
 
-/// What is followed.
+/// A part of the store that a node follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::entry) enum Topic {
     /// The configuration.
     Routes,
-    /// The versions that trainers name; only who gives orders follows them.
+    /// The weight versions that trainers announce. Only the leader follows them.
     Versions,
-    /// The machines that are to be emptied.
+    /// The requests to empty machines.
     Retirements,
     /// The list of replicas.
     Replicas,
-    /// Nodes and the holder of orders.
+    /// The nodes and the leader.
     Nodes,
 }
 
 impl Topic {
-    /// Its prefix in the store.
+    /// Returns the prefix of its keys in the store.
     pub(super) fn prefix(self, app: &App) -> String {
         match self {
             Self::Routes => app.notices.routes().to_owned(),
@@ -45,28 +46,31 @@
         }
     }
 
-    /// Gathers changes for a while after some came by an own watch: a round of loads changes
-    /// every replica's entry within a second, and each return of a watch is a call. The watch
-    /// of routes never rests, so that one watch is always there to be cut when the store
-    /// drops its history.
-    pub(super) async fn rest(self, app: &App) {
+    /// Waits before the next watch of the store after one has returned changes, so that further
+    /// changes arrive in one batch: loading new weights changes the entry of every replica within
+    /// a second, and each watch that returns is a call. The watch of routes never waits, so that
+    /// one watch is always open and is cut when the store drops its history.
+    pub(super) async fn batch_changes(self, app: &App) {
         match self {
             Self::Routes | Self::Versions | Self::Retirements => {}
-            Self::Nodes => tokio::time::sleep(LIVE_GATHER).await,
+            Self::Nodes => tokio::time::sleep(NODE_BATCH_INTERVAL).await,
             Self::Replicas => {
-                tokio::time::sleep(GATHER).await;
-                // Others hear of changes here.
+                tokio::time::sleep(REPLICA_BATCH_INTERVAL).await;
+                // Other nodes depend on this one for changes.
                 if app.watchers().is_some() {
                     return;
                 }
-                let longer = app.settings.drain_time.saturating_sub(AHEAD + GATHER);
+                let longer = app
+                    .settings
+                    .drain_time
+                    .saturating_sub(REPORT_LEAD_TIME + REPLICA_BATCH_INTERVAL);
                 let _ = tokio::time::timeout(longer, app.owned_jobs.work()).await;
             }
         }
     }
 
-    /// What other nodes may follow of it.
-    pub(super) fn followed(self) -> Option<FeedTopic> {
+    /// Returns the feed by which other nodes may follow the topic here. None if they may not.
+    pub(super) fn feed_topic(self) -> Option<FeedTopic> {
         match self {
             Self::Routes => Some(FeedTopic::Routes),
             Self::Replicas => Some(FeedTopic::Replicas),
@@ -75,6 +79,7 @@
         }
     }
 
+    /// Returns its name in log lines.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             Self::Routes => "routes",
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -60,8 +60,8 @@
     Store(StoreRequest),
     /// What you should know of the requests that have begun at me.
     Usage {
-        /// The incarnation that counted them.
-        life: Name,
+        /// The incarnation of the node that counted the requests.
+        incarnation: Name,
         /// The time of day there.
         time: Duration,
         /// Its counts.
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -210,7 +210,7 @@
     }
 
     /// Asks a node for changes after a revision; none if it can't say.
-    pub(in crate::entry) async fn follow_at(
+    pub(in crate::entry) async fn fetch_update_from(
         &self,
         to: SocketAddr,
         followed: FeedTopic,
@@ -224,7 +224,7 @@
     }
 
     /// Asks a node that may not be there for all of what it believes.
-    pub(in crate::entry) async fn whole_at(
+    pub(in crate::entry) async fn fetch_snapshot_from(
         &self,
         to: SocketAddr,
         followed: FeedTopic,
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -114,10 +114,10 @@
                 }
             }
             PeerRequest::Store(ask) => PeerReply::Store(self.store(ask).await),
-            PeerRequest::Usage { life, time, notes } => {
+            PeerRequest::Usage { incarnation, time, notes } => {
                 let Some(usage) = &app.usage else { return PeerReply::Noted };
-                usage.record_peer_time(&life, time);
-                app.record_counts(usage, &life, &notes);
+                usage.record_peer_time(&incarnation, time);
+                app.record_counts(usage, &incarnation, &notes);
                 PeerReply::UsageNoted { life: app.incarnation.clone(), time: usage.time() }
             }
             PeerRequest::StoreRecovered => {
--- a/src/entry/scale/mod.rs
+++ b/src/entry/scale/mod.rs
@@ -1,4 +1,5 @@
-//! Replicas are ordered where the samples of steps want more places than there are.
+//! Autoscaling: the leader orders replicas where the samples of training steps need more slots
+//! than there are.
 
 mod orders;
 mod slot_demand;
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -1,7 +1,8 @@
-//! Ordering replicas, while this node is the holder of duties.
+//! Orders replicas from the platform while this node is the leader.
 //!
-//! Nothing that was ordered can be read back: a plan is written to the store before it is
-//! sent, and held against the list of replicas. An order that was not answered is sent again.
+//! The platform does not say what was ordered. A plan is therefore written to the store before
+//! it is sent, and compared with the list of replicas. An order that was not answered is sent
+//! again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,37 +16,42 @@
 use crate::entry::record::{Record, Written};
 use crate::{Moment, Name};
 
-/// How often plans are made: as often as homes are asked what their samples want.
-const LOOK: Duration = Duration::from_secs(1);
-/// How long a call may take.
-const CALL: Duration = Duration::from_millis(2_500);
-/// How long after a replica should serve its order is sent again: what was ordered may have
-/// been taken back, or an older order carried out late.
-const LATE: Duration = Duration::from_secs(2);
+/// How often replicas are planned: as often as the other nodes are asked for the demand of
+/// their samples.
+const PLAN_INTERVAL: Duration = Duration::from_secs(1);
+/// How long the platform may take to answer an order.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How long after a replica should be serving its order is sent again: the platform may have
+/// withdrawn the replica, or have applied an older order late.
+const REORDER_DELAY: Duration = Duration::from_secs(2);
 
-/// The last order of a service in an availability zone.
+/// The last order that was sent for a service in an availability zone.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
+struct SentOrder {
     desired: u32,
-    at: Moment,
-    taken: bool,
+    sent_at: Moment,
+    /// Whether the platform has accepted it.
+    accepted: bool,
 }
 
-/// The orders of one term.
-struct Orders {
+/// Plans and orders replicas during one term as leader.
+struct Autoscaler {
     app: Arc<App>,
     fence: u64,
     record: Record,
+    /// The plan of each service.
     planners: BTreeMap<Name, Planner>,
-    sent: BTreeMap<(Name, Name), Sent>,
+    /// The last order of each service and availability zone.
+    sent: BTreeMap<(Name, Name), SentOrder>,
 }
 
-/// Orders replicas until the term is over.
+/// Plans and orders replicas until the term of this node as leader is over. Waits forever if the
+/// settings name no platform to order from.
 pub(in crate::entry) async fn run_autoscaling(app: &Arc<App>, fence: u64) {
     if app.settings.duties_address.is_none() {
         return std::future::pending().await;
     }
-    let mut orders = Orders {
+    let mut autoscaler = Autoscaler {
         app: app.clone(),
         fence,
         record: Record::new(SCALE, fence),
@@ -53,36 +59,37 @@
         sent: BTreeMap::new(),
     };
     tokio::time::sleep(app.takeover_delay()).await;
-    let mut read = false;
+    let mut loaded = false;
     loop {
-        let step = if read { orders.step().await } else { orders.read().await };
+        let step =
+            if loaded { autoscaler.plan_and_order().await } else { autoscaler.load_plans().await };
         match step {
-            Ok(true) => read = true,
+            Ok(true) => loaded = true,
             Ok(false) => return,
             Err(e) => {
                 tracing::warn!(event = "replicas_not_planned", fence, error = %e);
-                read = false;
+                loaded = false;
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(PLAN_INTERVAL).await;
     }
 }
 
-impl Orders {
-    /// Reads what an earlier holder ordered.
-    async fn read(&mut self) -> Result<bool, StoreError> {
+impl Autoscaler {
+    /// Reads the plans that the last leader wrote.
+    async fn load_plans(&mut self) -> Result<bool, StoreError> {
         self.planners = self.record.read(&self.app).await?.unwrap_or_default();
         Ok(true)
     }
 
-    /// Plans, and sends what is new. False once the term is over.
-    async fn step(&mut self) -> Result<bool, StoreError> {
+    /// Updates all plans and sends the orders that are due. False once the term is over.
+    async fn plan_and_order(&mut self) -> Result<bool, StoreError> {
         let Some(routes) = self.app.routes() else { return Ok(true) };
         let mut changed = false;
         for limits in routes.autoscales() {
             changed |= self.plan(limits);
         }
-        if changed && !self.write().await? {
+        if changed && !self.save_plans().await? {
             return Ok(false);
         }
         for limits in routes.autoscales() {
@@ -91,7 +98,7 @@
         Ok(true)
     }
 
-    /// Plans for one service. True if the plan is new.
+    /// Updates the plan of one service. True if it has changed.
     fn plan(&mut self, limits: &Autoscale) -> bool {
         let now = self.app.now();
         let Some(wanted) = self.app.load.lock().wanted(&limits.service, now) else { return false };
@@ -111,22 +118,22 @@
         changed
     }
 
-    /// Writes the plans. False if this node is holder no more.
-    async fn write(&mut self) -> Result<bool, StoreError> {
+    /// Writes the plans to the store. False if this node is no longer the leader.
+    async fn save_plans(&mut self) -> Result<bool, StoreError> {
         match self.record.write(&self.app, &self.planners).await? {
             Written::Done => Ok(true),
-            Written::Other => self.read().await,
+            Written::Other => self.load_plans().await,
             Written::NotHolder => Ok(false),
         }
     }
 
-    /// Sends the orders of a service that are new, were not answered or have come to nothing.
+    /// Sends the orders of a service that are new, were not answered or had no effect.
     async fn send(&mut self, limits: &Autoscale) {
         let Some(planner) = self.planners.get(&limits.service).cloned() else { return };
-        let there = self.app.slots.fleet.lock().count(&limits.service, limits.spot);
+        let running = self.app.slots.fleet.lock().count(&limits.service, limits.spot);
         for (zone, extra) in planner.extra() {
-            let there = there.get(zone).copied().unwrap_or(0);
-            // Each kind is counted by itself, and the base is of the other one.
+            let there = running.get(zone).copied().unwrap_or(0);
+            // Spot and on-demand replicas are counted separately, and the base is on demand.
             let base = if limits.spot { 0 } else { planner.base().get(zone).copied().unwrap_or(0) };
             let order = ScaleOrder {
                 service: limits.service.clone(),
@@ -134,33 +141,36 @@
                 spot: limits.spot,
                 desired: base + extra,
             };
-            if !self.due(&order, limits, there) || !self.app.holds_term(self.fence) {
+            if !self.is_due(&order, limits, there) || !self.app.holds_term(self.fence) {
                 continue;
             }
             let end = self.order(&order).await;
-            let (at, taken) = (self.app.now(), end == DutyEnd::Done);
-            let sent = Sent { desired: order.desired, at, taken };
+            let (sent_at, accepted) = (self.app.now(), end == DutyEnd::Done);
+            let sent = SentOrder { desired: order.desired, sent_at, accepted };
             self.sent.insert((order.service, order.zone), sent);
             if end == DutyEnd::Refused
                 && let Some(planner) = self.planners.get_mut(&limits.service)
             {
-                planner.refused(zone, there.saturating_sub(base), at);
+                planner.refused(zone, there.saturating_sub(base), sent_at);
             }
         }
     }
 
-    fn due(&self, order: &ScaleOrder, limits: &Autoscale, there: u32) -> bool {
+    /// Whether an order has to be sent, or sent again. `there` is the number of replicas in the
+    /// availability zone.
+    fn is_due(&self, order: &ScaleOrder, limits: &Autoscale, there: u32) -> bool {
         let subject = (order.service.clone(), order.zone.clone());
         let Some(sent) = self.sent.get(&subject) else { return order.desired != there };
-        let rested = self.app.now().saturating_sub(sent.at);
-        let fresh = sent.desired != order.desired || !sent.taken;
-        fresh || (there != order.desired && rested > limits.boot + LATE)
+        let elapsed = self.app.now().saturating_sub(sent.sent_at);
+        let unsent = sent.desired != order.desired || !sent.accepted;
+        unsent || (there != order.desired && elapsed > limits.boot + REORDER_DELAY)
     }
 
+    /// Sends an order to the platform.
     async fn order(&self, order: &ScaleOrder) -> DutyEnd {
         let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
         *self.app.last_duty.lock() = Some(self.app.now());
-        let end = self.app.duties.scale(term, order.clone(), CALL).await;
+        let end = self.app.duties.scale(term, order.clone(), ORDER_TIMEOUT).await;
         self.app.tally.scale(end);
         tracing::info!(
             event = "replicas_ordered",
--- a/src/entry/scale/slot_demand.rs
+++ b/src/entry/scale/slot_demand.rs
@@ -1,4 +1,4 @@
-//! The time that samples have wanted a place here.
+//! Measures for how long samples of this node have waited for a slot or held one.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,59 +8,64 @@
 
 use crate::Name;
 
-/// The totals of all services.
+/// The demand for slots, by service.
 #[derive(Debug, Default)]
 pub(in crate::entry) struct SlotDemand {
-    services: Mutex<HashMap<Name, Total>>,
+    services: Mutex<HashMap<Name, ServiceDemand>>,
 }
 
+/// The demand for slots of one service, accumulated over time.
 #[derive(Debug)]
-struct Total {
-    /// Samples that wait for a place or have one.
+struct ServiceDemand {
+    /// How many samples wait for a slot or hold one.
     samples: u64,
-    /// Their time up to `at`.
-    millis: u64,
-    at: Instant,
+    /// The time that samples have waited for slots or held them up to `updated`, added up over
+    /// all samples, in milliseconds.
+    total_ms: u64,
+    /// When `total_ms` was last brought up to date.
+    updated: Instant,
 }
 
-/// One sample that waits for a place or has one.
+/// Counts one sample as waiting for a slot or holding one, until it is dropped.
 #[derive(Debug)]
 pub(in crate::entry) struct SlotDemandGuard {
-    wanted: Arc<SlotDemand>,
+    demand: Arc<SlotDemand>,
     service: Name,
 }
 
-impl Total {
+impl ServiceDemand {
+    /// Adds the time since the last update.
     fn advance(&mut self, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_millis() as u64;
-        self.millis += self.samples * passed;
-        self.at = now;
+        let passed = now.saturating_duration_since(self.updated).as_millis() as u64;
+        self.total_ms += self.samples * passed;
+        self.updated = now;
     }
 }
 
 impl SlotDemand {
-    /// A sample begins to wait.
+    /// Counts a sample that begins to wait for a slot of a service.
     pub(in crate::entry) fn begin(self: &Arc<Self>, service: Name) -> SlotDemandGuard {
         self.change(&service, |samples| samples + 1);
-        SlotDemandGuard { wanted: self.clone(), service }
+        SlotDemandGuard { demand: self.clone(), service }
     }
 
-    /// The total of each service, in place milliseconds.
+    /// Returns the total of each service in slot-milliseconds.
     pub(in crate::entry) fn totals(&self) -> Vec<(Name, u64)> {
         let now = Instant::now();
         let mut services = self.services.lock();
         let totals = services.iter_mut().map(|(service, total)| {
             total.advance(now);
-            (service.clone(), total.millis)
+            (service.clone(), total.total_ms)
         });
         totals.collect()
     }
 
+    /// Changes the number of samples of a service.
     fn change(&self, service: &Name, change: impl FnOnce(u64) -> u64) {
         let now = Instant::now();
         let mut services = self.services.lock();
         let total = services.entry(service.clone());
-        let total = total.or_insert(Total { samples: 0, millis: 0, at: now });
+        let total = total.or_insert(ServiceDemand { samples: 0, total_ms: 0, updated: now });
         total.advance(now);
         total.samples = change(total.samples);
     }
@@ -68,6 +73,6 @@
 
 impl Drop for SlotDemandGuard {
     fn drop(&mut self) {
-        self.wanted.change(&self.service, |samples| samples.saturating_sub(1));
+        self.demand.change(&self.service, |samples| samples.saturating_sub(1));
     }
 }
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -1,4 +1,4 @@
-//! Counting requests as they begin.
+//! Counts requests per organisation and time window.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,13 +10,16 @@
 use crate::decide::usage::{Agreed, Ledger, Meter, Windows};
 use crate::edge::clock::Clock;
 
-/// What a node counts, and what it knows of others' counts.
+/// The counts of this node, and the counts that other nodes have sent it.
 #[derive(Debug)]
 pub(in crate::entry) struct Usage {
+    /// The length of a window, and when its report is late.
     pub windows: Windows,
+    /// The requests that this node has sent.
     pub meter: Mutex<Meter>,
+    /// The counts of all nodes, as far as this node has received them.
     pub ledger: Mutex<Ledger>,
-    /// Told when a count has changed.
+    /// Notified when a count of this node changes.
     pub changed: Notify,
     clock: Arc<dyn Clock>,
     agreed: Mutex<Agreed>,
@@ -34,56 +37,58 @@
         }
     }
 
-    /// The time of day.
+    /// Returns the time of day that the nodes agree on.
     pub(in crate::entry) fn time(&self) -> Duration {
         let reading = self.clock.read();
         self.agreed.lock().read(reading.running, reading.wall)
     }
 
-    /// What another node says the time is.
+    /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
         let running = self.clock.read().running;
         self.agreed.lock().hear(node, time, running);
     }
 
-    /// The present window.
+    /// Returns the number of the window that contains the present.
     pub(in crate::entry) fn current_window(&self) -> u64 {
         self.windows.at(self.time())
     }
 
-    /// A request is sent. It counts as begun now, unless it came without an organisation or is
-    /// said not to have run.
+    /// Meters a request that is about to be sent. It counts in the window of this moment, unless
+    /// it has no organisation or [`MeteredRequest::not_run`] is called.
     pub(in crate::entry) fn begin(self: &Arc<Self>, organisation: &Option<Name>) -> MeteredRequest {
         let Some(organisation) = organisation.clone() else { return MeteredRequest::default() };
         let window = self.current_window();
         self.meter.lock().sent(window);
-        MeteredRequest { counted: Some(Counted { usage: self.clone(), window, organisation }) }
+        MeteredRequest { pending: Some(PendingCount { usage: self.clone(), window, organisation }) }
     }
 }
 
-/// A request that may have begun. It is counted when dropped.
+/// A request that may have started to run. It is counted when dropped.
 #[derive(Debug, Default)]
 pub(in crate::entry) struct MeteredRequest {
-    counted: Option<Counted>,
+    pending: Option<PendingCount>,
 }
 
+/// A request whose outcome is not known yet. Its window stays open until it is settled.
 #[derive(Debug)]
-struct Counted {
+struct PendingCount {
     usage: Arc<Usage>,
     window: u64,
     organisation: Name,
 }
 
 impl MeteredRequest {
-    /// It did not run.
+    /// Records that the request did not run, so that it is not counted.
     pub(in crate::entry) fn not_run(&mut self) {
-        if let Some(counted) = self.counted.take() {
-            counted.settle(false);
+        if let Some(pending) = self.pending.take() {
+            pending.settle(false);
         }
     }
 }
 
-impl Counted {
+impl PendingCount {
+    /// Records the outcome: the request is counted if it ran.
     fn settle(self, ran: bool) {
         let ran = ran.then_some(&self.organisation);
         self.usage.meter.lock().settled(self.window, ran);
@@ -93,8 +98,8 @@
 
 impl Drop for MeteredRequest {
     fn drop(&mut self) {
-        if let Some(counted) = self.counted.take() {
-            counted.settle(true);
+        if let Some(pending) = self.pending.take() {
+            pending.settle(true);
         }
     }
 }
--- a/src/entry/usage/mod.rs
+++ b/src/entry/usage/mod.rs
@@ -1,4 +1,5 @@
-//! Usage: each node counts what it sends, the holder of duties gathers and reports it.
+//! Usage accounting: each node counts the requests that it sends, and the leader collects the
+//! counts of all nodes and reports them to the platform.
 
 mod meter;
 mod report;
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -1,7 +1,8 @@
-//! Reporting usage, one window after the other, while this node is the holder of duties.
+//! Reports usage to the platform window by window while this node is the leader.
 //!
-//! What is reported of a window is written to the store first: a report that was not answered
-//! may be carried out later, and whoever repeats it sends just the same.
+//! The report of a window is written to the store before it is sent. The platform may still
+//! apply a report that it did not answer, so a leader that repeats the report has to send the
+//! same counts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,25 +18,26 @@
 use crate::entry::record::{Record, Written};
 
 /// How long after its end a window is closed at the latest, in tenths of the time until its
-/// report is late: the rest is for the report.
-const CLOSING: u32 = 6;
-/// How often a window that is not closed is looked at.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a call may take.
-const CALL: Duration = Duration::from_millis(2_500);
-/// The first pause after a call that was not taken; it doubles up to [`LONGEST`].
-const PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause between calls.
-const LONGEST: Duration = Duration::from_secs(1);
+/// report is late. The rest of that time is for sending the report.
+const CLOSE_DEADLINE_TENTHS: u32 = 6;
+/// How often the leader checks whether a window is closed, and whether its lease is renewed.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long the platform may take to answer a report.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The delay after a failed call to the store, and before the first retry of a report; the
+/// latter doubles up to [`MAX_RETRY_DELAY`].
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The longest delay between two attempts to send a report.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The last window whose report is fixed.
+/// The report of the last window whose counts are final, as written to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Fixed {
+struct FixedReport {
     window: u64,
     counts: Counts,
 }
 
-/// The reports of one term.
+/// Reports usage during one term as leader.
 struct Reporter {
     app: Arc<App>,
     usage: Arc<Usage>,
@@ -43,14 +45,15 @@
     record: Record,
 }
 
-/// How a term goes on.
-enum Course {
-    On,
-    /// Another node is holder, or nobody.
+/// Whether this node is still the leader.
+enum TermState {
+    /// This node is still the leader.
+    Current,
+    /// Another node is the leader, or no node is.
     Over,
 }
 
-/// Reports until the term is over.
+/// Reports usage until the term of this node as leader is over.
 pub(in crate::entry) async fn report_usage(app: &Arc<App>, fence: u64) {
     let Some(usage) = app.usage.clone() else { return std::future::pending().await };
     let mut reporter =
@@ -58,45 +61,46 @@
     tokio::time::sleep(app.takeover_delay()).await;
     let mut next = None;
     loop {
-        match reporter.step(&mut next).await {
-            Ok(Course::On) => {}
-            Ok(Course::Over) => return,
+        match reporter.report_next(&mut next).await {
+            Ok(TermState::Current) => {}
+            Ok(TermState::Over) => return,
             Err(e) => {
                 tracing::warn!(event = "usage_not_fixed", fence, error = %e);
                 next = None;
-                app.fallback_store.wait_for_recovery(PAUSE).await;
+                app.fallback_store.wait_for_recovery(INITIAL_RETRY_DELAY).await;
             }
         }
     }
 }
 
 impl Reporter {
-    /// Reports the next window. Without one it first repeats what was fixed last.
-    async fn step(&mut self, next: &mut Option<u64>) -> Result<Course, StoreError> {
+    /// Reports the next window. If the next window is not known, repeats the last report that
+    /// was written to the store.
+    async fn report_next(&mut self, next: &mut Option<u64>) -> Result<TermState, StoreError> {
         let window = match *next {
             Some(window) => window,
             None => {
-                let Some(fixed) = self.record.read::<Fixed>(&self.app).await? else {
+                let Some(fixed) = self.record.read::<FixedReport>(&self.app).await? else {
                     *next = Some(self.usage.current_window());
-                    return Ok(Course::On);
+                    return Ok(TermState::Current);
                 };
                 *next = Some(fixed.window + 1);
                 return Ok(self.send(fixed).await);
             }
         };
-        let Some(total) = self.closed(window).await else {
+        let Some(total) = self.wait_until_closed(window).await else {
             tracing::warn!(event = "usage_window_missed", window);
             *next = Some(window + 1);
-            return Ok(Course::On);
+            return Ok(TermState::Current);
         };
-        let fixed = Fixed { window, counts: total.counts };
+        let fixed = FixedReport { window, counts: total.counts };
         match self.record.write(&self.app, &fixed).await? {
             Written::Done => *next = Some(window + 1),
             Written::Other => {
                 *next = None;
-                return Ok(Course::On);
+                return Ok(TermState::Current);
             }
-            Written::NotHolder => return Ok(Course::Over),
+            Written::NotHolder => return Ok(TermState::Over),
         }
         let missing = total.missing.len();
         let requests: u64 = fixed.counts.values().sum();
@@ -104,14 +108,14 @@
         Ok(self.send(fixed).await)
     }
 
-    /// Waits until every node has closed a window, or has had the time to; none for one that
-    /// is too old to be reported.
-    async fn closed(&self, window: u64) -> Option<Total> {
+    /// Waits until every node has closed a window or the time for that is over, and returns its
+    /// total. None if the window is too old to be reported.
+    async fn wait_until_closed(&self, window: u64) -> Option<Total> {
         let windows = self.usage.windows;
         if self.usage.time() > windows.due(window) {
             return None;
         }
-        let latest = windows.end(window) + windows.late / 10 * CLOSING;
+        let latest = windows.end(window) + windows.late / 10 * CLOSE_DEADLINE_TENTHS;
         loop {
             let now = self.usage.time();
             let lives = self.app.membership.lock().able();
@@ -120,34 +124,34 @@
                 return Some(total);
             }
             let left = windows.end(window).saturating_sub(now);
-            tokio::time::sleep(left.max(LOOK)).await;
+            tokio::time::sleep(left.max(POLL_INTERVAL)).await;
         }
     }
 
-    /// Sends a fixed report until it is taken, or too late.
-    async fn send(&self, fixed: Fixed) -> Course {
+    /// Sends a report until the platform accepts it, or until the report is late.
+    async fn send(&self, fixed: FixedReport) -> TermState {
         let window = fixed.window;
-        let mut pause = PAUSE;
+        let mut retry_delay = INITIAL_RETRY_DELAY;
         while self.usage.time() <= self.usage.windows.due(window) {
             if !self.app.holds_term(self.fence) {
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
             let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
-            let end = self.app.duties.report(term, report, CALL).await;
+            let end = self.app.duties.report(term, report, REPORT_TIMEOUT).await;
             self.app.tally.usage(end);
             tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
             match end {
-                DutyEnd::Done => return Course::On,
-                DutyEnd::Fenced => return Course::Over,
+                DutyEnd::Done => return TermState::Current,
+                DutyEnd::Fenced => return TermState::Over,
                 DutyEnd::Refused | DutyEnd::Unknown => {}
             }
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST);
+            tokio::time::sleep(retry_delay).await;
+            retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
         }
         tracing::warn!(event = "usage_window_missed", window);
-        Course::On
+        TermState::Current
     }
 }
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -1,8 +1,8 @@
-//! Telling the holder of duties, and who would follow it, what was counted here.
+//! Sends the counts of this node to the leader and to the node that ranks next as leader.
 //!
-//! A count is at two nodes besides its own within some hundred milliseconds, so that the loss
-//! of a node costs none. Windows in which a node has counted nothing are not told: three hundred
-//! nodes that close a window at the same moment would stop the holder for half a second.
+//! Within a few hundred milliseconds two nodes besides this one have each count, so that the
+//! loss of one node loses no counts. Windows in which a node has counted nothing are not sent:
+//! 300 nodes that close a window at the same moment would block the leader for half a second.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,27 +16,27 @@
 use crate::entry::keys::HOLDER;
 use crate::entry::peer::{PeerReply, PeerRequest};
 
-/// How long counts are gathered for one message.
-const GATHER: Duration = Duration::from_millis(100);
-/// How long a node may take to note them.
-const NOTE: Duration = Duration::from_millis(500);
-/// The pause after a node did not answer.
-const AGAIN: Duration = Duration::from_millis(500);
-/// Nodes that are told: the holder and the one that is to follow it.
-const TOLD: usize = 2;
+/// How long counts are collected into one message.
+const BATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a collector may take to acknowledge counts.
+const SHARE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The delay before counts are sent again after a collector did not acknowledge them.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// How many nodes collect counts: the leader and the node that ranks next.
+const MAX_COLLECTORS: usize = 2;
 
-/// Tells counts for as long as the process lasts.
+/// Sends counts to the collectors until the process ends.
 pub(in crate::entry) async fn share_counts(app: Arc<App>, usage: Arc<Usage>) {
-    let mut news = app.view_changes.subscribe();
-    let mut told: HashMap<SocketAddr, Vec<WindowNote>> = HashMap::new();
+    let mut view_changes = app.view_changes.subscribe();
+    let mut acknowledged: HashMap<SocketAddr, Vec<WindowNote>> = HashMap::new();
     loop {
         let left = usage.windows.end(usage.current_window()).saturating_sub(usage.time());
         tokio::select! {
             () = usage.changed.notified() => {}
-            _ = news.changed() => {}
+            _ = view_changes.changed() => {}
             () = tokio::time::sleep(left) => {}
         }
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
         let mut notes = usage.meter.lock().notes(usage.current_window());
         app.record_counts(&usage, &app.incarnation, &notes);
         notes.retain(|note| !note.counts.is_empty());
@@ -44,21 +44,21 @@
             continue;
         }
         let to = app.collectors();
-        told.retain(|at, _| to.contains(at));
+        acknowledged.retain(|at, _| to.contains(at));
         let mut failed = false;
         for at in to {
-            let known = told.get(&at);
+            let known = acknowledged.get(&at);
             let fresh: Vec<WindowNote> =
                 notes.iter().filter(|n| known.is_none_or(|k| !k.contains(n))).cloned().collect();
             if fresh.is_empty() {
                 continue;
             }
-            let (life, time) = (app.incarnation.clone(), usage.time());
-            let ask = PeerRequest::Usage { life, time, notes: fresh };
-            match app.peers.ask(at, ask, NOTE).await {
+            let (incarnation, time) = (app.incarnation.clone(), usage.time());
+            let request = PeerRequest::Usage { incarnation, time, notes: fresh };
+            match app.peers.ask(at, request, SHARE_TIMEOUT).await {
                 Ok(PeerReply::UsageNoted { life, time }) => {
                     usage.record_peer_time(&life, time);
-                    told.insert(at, notes.clone());
+                    acknowledged.insert(at, notes.clone());
                 }
                 reply => {
                     tracing::info!(event = "usage_not_noted", to = %at, ?reply);
@@ -67,36 +67,38 @@
             }
         }
         if failed {
-            tokio::time::sleep(AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
             usage.changed.notify_one();
         }
     }
 }
 
 impl App {
-    /// Takes over what a node has counted.
+    /// Adds the counts of a node to the ledger. Windows that are too far from the present are
+    /// logged and ignored.
     pub(in crate::entry) fn record_counts(
         &self,
         usage: &Usage,
-        life: &crate::Name,
+        incarnation: &crate::Name,
         notes: &[WindowNote],
     ) {
         let present = usage.current_window();
-        let strange = usage.ledger.lock().note(life, notes, present);
-        if !strange.is_empty() {
-            tracing::warn!(event = "usage_of_other_times", %life, windows = ?strange, present);
+        let rejected = usage.ledger.lock().note(incarnation, notes, present);
+        if !rejected.is_empty() {
+            tracing::warn!(event = "usage_of_other_times", life = %incarnation, windows = ?rejected, present);
         }
     }
 
-    /// The other nodes that gather counts: the holder of duties and the next in its rank. None
-    /// while there is no holder, as ranks change with every node that comes back.
+    /// Returns the addresses of the other nodes that collect counts: the leader and the node
+    /// that ranks next. Empty while there is no leader, because ranks change with every node
+    /// that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
         let live = self.membership.lock();
         let Some(seen) = live.holder() else { return Vec::new() };
         let (able, holder) = (live.able(), &seen.value.life);
         let ranked = rank(HOLDER, able.iter().map(|l| &**l));
-        let followers = ranked.into_iter().filter(|l| **holder != **l);
-        let lives = std::iter::once(&**holder).chain(followers).take(TOLD);
+        let successors = ranked.into_iter().filter(|l| **holder != **l);
+        let lives = std::iter::once(&**holder).chain(successors).take(MAX_COLLECTORS);
         lives.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
     }
 }
