--- a/src/decide/claim/commits.rs
+++ b/src/decide/claim/commits.rs
@@ -1,17 +1,21 @@
-//! The end of each swap of a [`Journal`]: took effect, did not, or not known yet.
+//! Commits of a [`ClaimJournal`] and the results of their swaps: applied, not applied, or
+//! not known yet.
 
 use rand::RngCore;
 
 use super::journal::{Commit, State};
-use super::{Ask, End, Entry, Index, Journal, SEGMENT, Step, Swapped, Verdict};
+use super::{
+    ClaimDecision, ClaimIndex, ClaimJournal, ClaimOutcome, ClaimRequest, JournalAction,
+    JournalEntry, MAX_SEGMENT_ENTRIES, SwapResult,
+};
 use crate::{Moment, Name};
 
-/// How long a node that lost a partition sends askers to the winner.
-const YIELD: Moment = Moment::from_secs(2);
+/// How long a node that lost a partition redirects requests to the new home.
+const REDIRECT_DURATION: Moment = Moment::from_secs(2);
 
-impl Journal {
-    /// A swap ended.
-    pub fn swapped(&mut self, ended: Swapped, now: Moment) {
+impl ClaimJournal {
+    /// Handles the result of the swap that is under way.
+    pub fn swap_completed(&mut self, result: SwapResult, now: Moment) {
         let state = std::mem::replace(&mut self.state, State::Open);
         let (mut commit, sealing) = match state {
             State::Sealing(commit) => (commit, true),
@@ -21,59 +25,65 @@
                 return;
             }
         };
-        match ended {
-            Swapped::Done(revision) => self.took_effect(commit, revision, sealing, now),
-            Swapped::Conflict(Some((head, revision))) if head.nonce == commit.head.nonce => {
-                self.took_effect(commit, revision, sealing, now);
+        match result {
+            SwapResult::Done(revision) => self.commit_applied(commit, revision, sealing, now),
+            SwapResult::Conflict(Some((head, revision))) if head.nonce == commit.head.nonce => {
+                self.commit_applied(commit, revision, sealing, now);
             }
-            // A compare that failed over a revision that is not newer: a replica that
-            // is behind answered, which says nothing.
-            Swapped::Conflict(Some((_, revision))) if revision <= commit.expected => {
-                commit.unsure = true;
+            // A failed compare against a revision that is not newer comes from a lagging
+            // replica and says nothing about the swap.
+            SwapResult::Conflict(Some((_, revision))) if revision <= commit.expected => {
+                commit.may_be_applied = true;
                 if sealing {
-                    return self.shut(now);
+                    return self.close_after_failure(now);
                 }
-                self.try_later(commit, sealing, now);
+                self.retry_later(commit, sealing, now);
             }
-            Swapped::Conflict(found) => self.lost(found.map(|(head, _)| head.owner), now),
-            Swapped::Unsent if !commit.unsure => self.dropped(commit, sealing, now),
-            Swapped::Unsent => self.try_later(commit, sealing, now),
-            Swapped::Unknown if !commit.unsure => {
-                // One lost reply is common: find out at once.
-                commit.unsure = true;
+            SwapResult::Conflict(found) => {
+                self.ownership_lost(found.map(|(head, _)| head.owner), now);
+            }
+            SwapResult::Unsent if !commit.may_be_applied => {
+                self.commit_abandoned(commit, sealing, now);
+            }
+            SwapResult::Unsent => self.retry_later(commit, sealing, now),
+            SwapResult::Unknown if !commit.may_be_applied => {
+                // A single lost reply is common: the swap is repeated at once to find out.
+                commit.may_be_applied = true;
                 self.send(&commit);
-                self.resume(commit, sealing);
+                self.keep_waiting(commit, sealing);
             }
-            Swapped::Unknown => self.try_later(commit, sealing, now),
+            SwapResult::Unknown => self.retry_later(commit, sealing, now),
         }
     }
 
+    /// Starts a commit of the queued entries, up to one segment's worth.
     pub(super) fn commit(&mut self, now: Moment) {
         let Some(mut head) = self.head.clone() else { return };
         if self.queue.is_empty() {
-            return self.pace.idle();
+            return self.schedule.clear();
         }
-        let count = self.queue.len().min(SEGMENT);
-        let entries: Vec<Entry> = self.queue.drain(..count).collect();
-        head.first = self.index.expire(head.first, head.next, self.wall(now));
+        let count = self.queue.len().min(MAX_SEGMENT_ENTRIES);
+        let entries: Vec<JournalEntry> = self.queue.drain(..count).collect();
+        head.first = self.index.expire(head.first, head.next, self.unix_seconds(now));
         head.nonce = self.rng.next_u64();
-        let full = head.append(&entries);
-        self.pace.started(now);
+        let segment = head.append(&entries);
+        self.schedule.commit_started(now);
         if !self.queue.is_empty() {
-            self.pace.claim(now);
+            self.schedule.claim_queued(now);
         }
         let expected = self.revision;
-        let commit = Commit { expected, head, full, entries, unsure: false, again: None };
+        let commit =
+            Commit { expected, head, segment, entries, may_be_applied: false, retry_at: None };
         self.send(&commit);
         self.state = State::Committing(commit);
     }
 
-    fn took_effect(&mut self, commit: Commit, revision: u64, sealing: bool, now: Moment) {
-        self.pace.succeeded();
+    fn commit_applied(&mut self, commit: Commit, revision: u64, sealing: bool, now: Moment) {
+        self.schedule.succeeded();
         self.revision = revision;
         if sealing {
             let first = commit.head.first;
-            self.index = Index::default();
+            self.index = ClaimIndex::default();
             self.head = Some(commit.head);
             self.state = State::Loading(first);
             return self.load(now);
@@ -83,98 +93,100 @@
         self.state = State::Open;
         for entry in &commit.entries {
             self.index.apply(segment, entry);
-            if let Entry::Claim { ask, .. } = entry {
-                self.settle(ask, now);
+            if let JournalEntry::Claim { request, .. } = entry {
+                self.grant_or_release(request, now);
             }
         }
     }
 
-    /// Grants a committed claim, or frees it if its asker was told off meanwhile.
-    fn settle(&mut self, ask: &Ask, now: Moment) {
-        let waits = self.waiters.iter().position(|w| w.nonce == ask.nonce);
-        match waits {
+    /// Grants a committed claim, or releases its key if the request was refused meanwhile.
+    fn grant_or_release(&mut self, request: &ClaimRequest, now: Moment) {
+        let waiting = self.waiters.iter().position(|w| w.nonce == request.nonce);
+        match waiting {
             Some(index) => {
                 self.waiters.swap_remove(index);
-                self.reply(ask.nonce, Verdict::Granted);
+                self.reply(request.nonce, ClaimDecision::Granted);
             }
-            None => self.record_end(ask.key, ask.nonce, End::NotRun, now),
+            None => self.record_outcome(request.key, request.nonce, ClaimOutcome::NotRun, now),
         }
     }
 
-    /// The commit certainly did not take effect and is given up.
-    fn dropped(&mut self, commit: Commit, sealing: bool, now: Moment) {
+    /// Gives up a commit that was certainly not applied: refuses its claims and queues its
+    /// outcomes again.
+    fn commit_abandoned(&mut self, commit: Commit, sealing: bool, now: Moment) {
         if sealing {
-            return self.shut(now);
+            return self.close_after_failure(now);
         }
-        let after = self.pace.failed(now, &mut self.rng) - now;
+        let after = self.schedule.failed(now, &mut self.rng) - now;
         for entry in commit.entries.into_iter().rev() {
             match entry {
-                Entry::Claim { .. } => {}
-                Entry::End { .. } => self.queue.push_front(entry),
+                JournalEntry::Claim { .. } => {}
+                JournalEntry::End { .. } => self.queue.push_front(entry),
             }
         }
         self.refuse_claims(after);
         if !self.queue.is_empty() {
-            self.pace.end(now);
+            self.schedule.outcome_queued(now);
         }
         self.state = State::Open;
     }
 
-    /// Whether the commit took effect is open: it is tried again until that is known.
-    fn try_later(&mut self, mut commit: Commit, sealing: bool, now: Moment) {
-        let until = self.pace.failed(now, &mut self.rng);
-        commit.again = Some(until);
+    /// Schedules another try of a commit that may have been applied. It is repeated until
+    /// its result is known.
+    fn retry_later(&mut self, mut commit: Commit, sealing: bool, now: Moment) {
+        let until = self.schedule.failed(now, &mut self.rng);
+        commit.retry_at = Some(until);
         self.refuse_claims(until - now);
-        self.resume(commit, sealing);
+        self.keep_waiting(commit, sealing);
     }
 
-    fn resume(&mut self, commit: Commit, sealing: bool) {
+    fn keep_waiting(&mut self, commit: Commit, sealing: bool) {
         self.state = if sealing { State::Sealing(commit) } else { State::Committing(commit) };
     }
 
     pub(super) fn send(&mut self, commit: &Commit) {
-        let Commit { expected, head, full, .. } = commit.clone();
-        self.steps.push(Step::Swap { expected, head, full });
+        let Commit { expected, head, segment, .. } = commit.clone();
+        self.actions.push(JournalAction::Swap { expected, head, segment });
     }
 
-    /// Another node sealed the partition.
-    fn lost(&mut self, owner: Option<Name>, now: Moment) {
-        let owner = owner.filter(|o| *o != self.me);
-        let verdict = match &owner {
-            Some(owner) => Verdict::Moved(owner.clone()),
-            None => Verdict::Unavailable(YIELD),
+    /// Closes the partition after another node sealed it.
+    fn ownership_lost(&mut self, owner: Option<Name>, now: Moment) {
+        let owner = owner.filter(|o| *o != self.node);
+        let decision = match &owner {
+            Some(owner) => ClaimDecision::Moved(owner.clone()),
+            None => ClaimDecision::Unavailable(REDIRECT_DURATION),
         };
-        self.reply_all(&verdict);
-        let until = if owner.is_some() { now + YIELD } else { now };
+        self.reply_all(&decision);
+        let until = if owner.is_some() { now + REDIRECT_DURATION } else { now };
         self.close(owner, until);
     }
 
     fn close(&mut self, owner: Option<Name>, until: Moment) {
         self.state = State::Closed { owner, until };
-        self.index = Index::default();
+        self.index = ClaimIndex::default();
         self.head = None;
         self.queue.clear();
     }
 
-    /// The platform does not answer: not the home, for a while.
-    pub(super) fn shut(&mut self, now: Moment) {
-        let until = self.pace.failed(now, &mut self.rng);
+    /// Closes the partition for the backoff time because the platform does not answer.
+    pub(super) fn close_after_failure(&mut self, now: Moment) {
+        let until = self.schedule.failed(now, &mut self.rng);
         self.refuse_claims(until - now);
         self.close(None, until);
     }
 
-    /// Refuses every ask that waits; claims in no commit yet are forgotten.
+    /// Refuses every waiting request and drops the queued claims that are in no commit yet.
     fn refuse_claims(&mut self, after: Moment) {
-        self.reply_all(&Verdict::Unavailable(after));
-        self.queue.retain(|e| matches!(e, Entry::End { .. }));
+        self.reply_all(&ClaimDecision::Unavailable(after));
+        self.queue.retain(|e| matches!(e, JournalEntry::End { .. }));
     }
 
-    fn reply_all(&mut self, verdict: &Verdict) {
+    fn reply_all(&mut self, decision: &ClaimDecision) {
         for waiter in std::mem::take(&mut self.waiters) {
-            self.reply(waiter.nonce, verdict.clone());
+            self.reply(waiter.nonce, decision.clone());
         }
-        for (ask, _) in std::mem::take(&mut self.parked) {
-            self.reply(ask.nonce, verdict.clone());
+        for (request, _) in std::mem::take(&mut self.parked) {
+            self.reply(request.nonce, decision.clone());
         }
     }
 }
--- a/src/decide/claim/head.rs
+++ b/src/decide/claim/head.rs
@@ -1,69 +1,77 @@
-//! What the platform keeps of a partition: one head, and a ring of full segments.
+//! What the platform stores of a partition: one head, and a ring of full segments.
 
 use serde::{Deserialize, Serialize};
 
-use super::Entry;
+use super::JournalEntry;
 use crate::Name;
 
-/// The format of heads and segments.
-pub const FORMAT: u8 = 1;
+/// Version of the storage format of heads and segments.
+pub const FORMAT_VERSION: u8 = 1;
 
-/// Entries of a full segment. An entry takes about 55 bytes, so a segment stays
-/// near 14 KB, and a commit rewrites a tail of half that on average.
-pub const SEGMENT: usize = 256;
+/// Most entries of a segment. An entry takes about 55 bytes, so a full segment stays near
+/// 14 KB, and a commit rewrites a tail of half that on average.
+pub const MAX_SEGMENT_ENTRIES: usize = 256;
 
-/// Places for full segments of a partition. Segment `n` is kept at place
-/// `n % RING`, so that expired ones are overwritten and none has to be deleted.
-pub const RING: u64 = 2_048;
+/// Slots for the full segments of a partition. Segment `n` is stored in slot
+/// `n % SEGMENT_SLOTS`, so that expired segments are overwritten and none has to be deleted.
+pub const SEGMENT_SLOTS: u64 = 2_048;
 
 /// The head of a partition. Every commit replaces it by compare-and-swap.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
-    /// [`FORMAT`].
+pub struct PartitionHead {
+    /// The storage format, [`FORMAT_VERSION`].
     pub format: u8,
-    /// Grows with every change of the home.
+    /// Incremented with every change of the home node.
     pub epoch: u64,
-    /// The home.
+    /// The home node of the partition.
     pub owner: Name,
-    /// The commit that wrote this: found again when its reply was lost.
+    /// Random number of the commit that wrote this head. It identifies the commit when its
+    /// reply was lost.
     pub nonce: u64,
-    /// The first segment that is still needed.
+    /// Number of the first segment that is still needed.
     pub first: u64,
-    /// The number that the tail gets once it is a segment.
+    /// Number that the tail gets once it is a segment.
     pub next: u64,
     /// Entries that are in no segment yet.
-    pub tail: Vec<Entry>,
+    pub tail: Vec<JournalEntry>,
 }
 
 /// A full segment. It never changes once written.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
-    /// Its number.
+    /// The segment's number; numbers are consecutive within a partition.
     pub number: u64,
-    /// Its entries, in order.
-    pub entries: Vec<Entry>,
+    /// The entries, in the order in which they were committed.
+    pub entries: Vec<JournalEntry>,
 }
 
-impl Head {
-    /// The head that a new home puts in place of `before`.
+impl PartitionHead {
+    /// The head with which a new home node replaces `before`.
     pub(super) fn sealed(before: Option<&Self>, owner: Name, nonce: u64) -> Self {
         match before {
             Some(head) => Self { epoch: head.epoch + 1, owner, nonce, ..head.clone() },
-            None => {
-                Self { format: FORMAT, epoch: 1, owner, nonce, first: 0, next: 0, tail: Vec::new() }
-            }
+            None => Self {
+                format: FORMAT_VERSION,
+                epoch: 1,
+                owner,
+                nonce,
+                first: 0,
+                next: 0,
+                tail: Vec::new(),
+            },
         }
     }
 
-    /// Adds entries; a tail that would overflow becomes a segment first.
-    pub(super) fn append(&mut self, entries: &[Entry]) -> Option<Segment> {
-        let over = self.tail.len() + entries.len() > SEGMENT;
-        let full = over.then(|| {
-            let full = Segment { number: self.next, entries: std::mem::take(&mut self.tail) };
+    /// Adds entries to the tail. A tail that would overflow becomes a segment first, which
+    /// is returned.
+    pub(super) fn append(&mut self, entries: &[JournalEntry]) -> Option<Segment> {
+        let overflows = self.tail.len() + entries.len() > MAX_SEGMENT_ENTRIES;
+        let segment = overflows.then(|| {
+            let segment = Segment { number: self.next, entries: std::mem::take(&mut self.tail) };
             self.next += 1;
-            full
+            segment
         });
         self.tail.extend_from_slice(entries);
-        full
+        segment
     }
 }
--- a/src/decide/claim/key.rs
+++ b/src/decide/claim/key.rs
@@ -1,20 +1,20 @@
-//! What a claim is kept under, and which node is home to it.
+//! Keys of claims, the partitions of the key space, and the home node of a partition.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use crate::decide::rank;
 
-/// Partitions of the key space.
+/// Number of partitions of the key space.
 ///
-/// Each commits at most every [`super::SPACING`], so this bounds the platform's
-/// writes for claims, however many nodes there are.
-pub const PARTITIONS: u16 = 16;
+/// Each partition commits at most every [`super::COMMIT_INTERVAL`], so this bounds the
+/// platform's writes for claims, however many nodes there are.
+pub const PARTITION_COUNT: u16 = 16;
 
 /// The hash of service, caller and idempotency key.
 ///
-/// The caller is part of it: two callers may well choose the same key, and
-/// neither may be given the other's answer.
+/// The caller is part of it: two callers may choose the same key, and neither may get the
+/// other's answer.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimKey(u128);
 
@@ -33,12 +33,12 @@
 
     /// The partition that the key belongs to.
     pub fn partition(self) -> u16 {
-        (self.0 % u128::from(PARTITIONS)) as u16
+        (self.0 % u128::from(PARTITION_COUNT)) as u16
     }
 
-    /// What the home of its partition is found by.
-    pub fn home(self) -> String {
-        place(self.partition())
+    /// The rendezvous hash key by which the home node of the key's partition is found.
+    pub fn placement_key(self) -> String {
+        placement_key(self.partition())
     }
 }
 
@@ -48,11 +48,14 @@
     }
 }
 
-/// The home of a partition among the nodes that serve.
-pub fn home<'a>(partition: u16, serving: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    rank(&place(partition), serving).into_iter().next()
+/// The home node of a partition among the serving nodes.
+pub fn home_node<'a>(
+    partition: u16,
+    serving: impl IntoIterator<Item = &'a str>,
+) -> Option<&'a str> {
+    rank(&placement_key(partition), serving).into_iter().next()
 }
 
-fn place(partition: u16) -> String {
+fn placement_key(partition: u16) -> String {
     format!("claims/{partition}")
 }
--- a/src/decide/claim/mod.rs
+++ b/src/decide/claim/mod.rs
@@ -1,27 +1,27 @@
 //! Claims: a call under an idempotency key runs at most once, whichever nodes it comes to.
 //!
-//! The key space is cut into partitions. The home of a partition gathers claims
-//! and commits many with one compare-and-swap of the partition's head at the
-//! platform; only a claim whose commit is known to have taken effect is granted.
+//! The key space is divided into partitions. The home node of a partition batches claims
+//! and commits many with one compare-and-swap of the partition's head at the platform. A
+//! claim is granted only when its commit is known to be applied.
 
 mod attempts;
 mod commits;
+mod decision;
 mod head;
 mod index;
 mod journal;
 mod key;
 mod opening;
-mod pace;
 mod record;
 mod resolve;
-mod verdict;
+mod schedule;
 
-pub use attempts::{Attempt, Attempts, Kept};
-pub use head::{FORMAT, Head, RING, SEGMENT, Segment};
-pub use index::{Index, RETENTION};
-pub use journal::{Journal, Step, Swapped};
-pub use key::{ClaimKey, PARTITIONS, home};
-pub use pace::{Pace, SPACING, WAIT};
-pub use record::{Ask, End, Entry, Record};
-pub use resolve::{Resolution, Word, resolve};
-pub use verdict::{Holder, Verdict};
+pub use attempts::{AttemptState, Attempts, CachedAnswer};
+pub use decision::{ClaimDecision, Holder};
+pub use head::{FORMAT_VERSION, MAX_SEGMENT_ENTRIES, PartitionHead, SEGMENT_SLOTS, Segment};
+pub use index::{CLAIM_RETENTION, ClaimIndex};
+pub use journal::{ClaimJournal, JournalAction, SwapResult};
+pub use key::{ClaimKey, PARTITION_COUNT, home_node};
+pub use record::{ClaimOutcome, ClaimRecord, ClaimRequest, JournalEntry};
+pub use resolve::{Resolution, RunnerStatus, resolve};
+pub use schedule::{CLAIM_TIMEOUT, COMMIT_INTERVAL, CommitSchedule};
--- a/src/decide/claim/opening.rs
+++ b/src/decide/claim/opening.rs
@@ -1,41 +1,47 @@
-//! How a [`Journal`] opens: read the head, seal it, read the segments.
+//! Opening of a [`ClaimJournal`]: reads the head, seals it, and reads the segments.
 
 use rand::RngCore;
 
 use super::journal::{Commit, State};
-use super::{Head, Journal, Segment, Step};
+use super::{ClaimJournal, JournalAction, PartitionHead, Segment};
 use crate::Moment;
 
-/// Segments that are read together: those whose places share all but the last digit.
-const READ: u64 = 16;
+/// Segments that are read together: those whose slots share all but the last hex digit.
+const SEGMENTS_PER_READ: u64 = 16;
 
-impl Journal {
-    /// The head was read; an error means that the platform does not answer.
-    pub fn head_read(&mut self, read: Result<Option<(Head, u64)>, ()>, now: Moment) {
+impl ClaimJournal {
+    /// Handles the head that was read; an error means that the platform does not answer.
+    pub fn head_read(&mut self, read: Result<Option<(PartitionHead, u64)>, ()>, now: Moment) {
         if !matches!(self.state, State::Reading) {
             return;
         }
-        let Ok(found) = read else { return self.shut(now) };
+        let Ok(found) = read else { return self.close_after_failure(now) };
         let (before, expected) = match found {
             Some((head, revision)) => (Some(head), revision),
             None => (None, 0),
         };
-        let head = Head::sealed(before.as_ref(), self.me.clone(), self.rng.next_u64());
-        let commit =
-            Commit { expected, head, full: None, entries: vec![], unsure: false, again: None };
+        let head = PartitionHead::sealed(before.as_ref(), self.node.clone(), self.rng.next_u64());
+        let commit = Commit {
+            expected,
+            head,
+            segment: None,
+            entries: vec![],
+            may_be_applied: false,
+            retry_at: None,
+        };
         self.send(&commit);
         self.state = State::Sealing(commit);
     }
 
-    /// Segments were read; an error means that they are not all there.
+    /// Handles segments that were read; an error means that the platform does not answer.
     pub fn segments_read(&mut self, read: Result<Vec<Segment>, ()>, now: Moment) {
         let State::Loading(from) = self.state else { return };
-        let Some(range) = self.missing(from) else { return };
-        let Ok(segments) = read else { return self.shut(now) };
-        let whole = segments.iter().map(|s| s.number).eq(range.clone());
-        if !whole {
-            // A replica that is behind answered.
-            return self.shut(now);
+        let Some(range) = self.next_segments(from) else { return };
+        let Ok(segments) = read else { return self.close_after_failure(now) };
+        let complete = segments.iter().map(|s| s.number).eq(range.clone());
+        if !complete {
+            // A lagging replica answered.
+            return self.close_after_failure(now);
         }
         for segment in &segments {
             segment.entries.iter().for_each(|e| self.index.apply(segment.number, e));
@@ -44,31 +50,31 @@
         self.load(now);
     }
 
-    /// The next segments to read, if there are any.
-    fn missing(&self, from: u64) -> Option<std::ops::Range<u64>> {
+    /// The next segments to read, starting with number `from`, if there are any.
+    fn next_segments(&self, from: u64) -> Option<std::ops::Range<u64>> {
         let next = self.head.as_ref()?.next;
-        let to = next.min((from / READ + 1) * READ);
+        let to = next.min((from / SEGMENTS_PER_READ + 1) * SEGMENTS_PER_READ);
         (from < next).then_some(from..to)
     }
 
-    /// Reads on, or opens once everything is there.
+    /// Reads the next segments, or opens the journal once all are loaded.
     pub(super) fn load(&mut self, now: Moment) {
         let State::Loading(from) = self.state else { return };
-        if let Some(range) = self.missing(from) {
-            self.steps.push(Step::ReadSegments(range));
+        if let Some(range) = self.next_segments(from) {
+            self.actions.push(JournalAction::ReadSegments(range));
             return;
         }
         let Some(head) = &self.head else { return };
         let (next, tail) = (head.next, head.tail.clone());
         tail.iter().for_each(|e| self.index.apply(next, e));
         self.state = State::Open;
-        for (ask, _) in std::mem::take(&mut self.parked) {
-            self.decide(ask, now);
+        for (request, _) in std::mem::take(&mut self.parked) {
+            self.decide(request, now);
         }
     }
 
-    pub(super) fn read(&mut self) {
-        self.steps.push(Step::ReadHead);
+    pub(super) fn start_reading(&mut self) {
+        self.actions.push(JournalAction::ReadHead);
         self.state = State::Reading;
     }
 }
--- a/src/decide/claim/record.rs
+++ b/src/decide/claim/record.rs
@@ -1,4 +1,4 @@
-//! What is recorded of a claim.
+//! Claim requests, the journal's entries, and the records that are made from them.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,60 +7,60 @@
 
 /// How a claimed call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum End {
-    /// It ran, and its whole answer came.
+pub enum ClaimOutcome {
+    /// The call ran, and its whole answer was received.
     Ran,
-    /// It certainly did not run: the key may be claimed again.
+    /// The call certainly did not run: the key may be claimed again.
     NotRun,
-    /// It may or may not have run: the key is never granted again.
+    /// The call may or may not have run: the key is never granted again.
     Unknown,
 }
 
-/// A node asks for the right to run a call once.
+/// A node's request for the right to run a call once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
-    /// The key.
+pub struct ClaimRequest {
+    /// The key that is claimed.
     pub key: ClaimKey,
-    /// Hash of the content.
+    /// Hash of the call's content.
     pub fingerprint: u64,
-    /// The attempt: random, and used for one ask only.
+    /// Identifies the attempt: random, and used for one request only.
     pub nonce: u64,
-    /// The node that would run it.
+    /// The node that would run the call.
     pub runner: Name,
 }
 
-/// One line of the journal.
+/// An entry of the journal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum JournalEntry {
     /// A key is claimed.
     Claim {
-        /// By whom, for what.
-        ask: Ask,
-        /// Seconds since 1970.
-        at: u64,
+        /// The request that claims it.
+        request: ClaimRequest,
+        /// When it was claimed, in seconds since 1970.
+        claimed_at: u64,
     },
-    /// The claimed call ended.
+    /// A claimed call ended.
     End {
         /// The key.
         key: ClaimKey,
         /// The attempt that ended.
         nonce: u64,
-        /// How.
-        end: End,
+        /// How it ended.
+        outcome: ClaimOutcome,
     },
 }
 
 /// The last claim of a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Record {
-    /// Hash of the content.
+pub struct ClaimRecord {
+    /// Hash of the call's content.
     pub fingerprint: u64,
-    /// The attempt.
+    /// The attempt that holds the key.
     pub nonce: u64,
-    /// The node that was granted it.
+    /// The node to which the claim was granted.
     pub runner: Name,
-    /// The segment that holds the claim.
+    /// Number of the segment that contains the claim.
     pub segment: u64,
-    /// How it ended, if that is known here.
-    pub end: Option<End>,
+    /// How the call ended, if it has and the journal knows.
+    pub outcome: Option<ClaimOutcome>,
 }
--- a/src/decide/claim/resolve.rs
+++ b/src/decide/claim/resolve.rs
@@ -1,61 +1,74 @@
-//! What a caller is told whose key is held by another attempt.
+//! Answer to a caller whose key is held by another attempt.
 
 use std::time::Duration;
 
-use super::{Attempt, End, Holder, Kept};
+use super::{AttemptState, CachedAnswer, ClaimOutcome, Holder};
 use crate::error::{Kind, Refusal};
 
-/// When to ask again about a call that is under way.
-const LATER: Duration = Duration::from_millis(500);
+/// `Retry-After` time of a request whose call is in progress.
+const IN_PROGRESS_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What to do about a held key.
+/// How to proceed with a held key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Resolution {
-    /// Give the kept answer.
-    Answer(Kept),
-    /// The holder never ran: report that to the home, and claim again.
+    /// Return the cached answer.
+    Answer(CachedAnswer),
+    /// The holder never ran: report that to the home node, and claim again.
     Release,
-    /// Refuse.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
-/// What the runner says of the attempt.
+/// What is known from the runner about the attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Word {
-    /// It knows the attempt.
-    Known(Attempt),
-    /// It answers, and does not know the attempt: it started anew, or forgot it.
+pub enum RunnerStatus {
+    /// The runner reports the attempt's state.
+    Known(AttemptState),
+    /// The runner answers but does not know the attempt: it restarted, or forgot it.
     Forgotten,
-    /// It does not answer, but was heard lately.
-    Silent,
-    /// It does not answer and was not heard lately.
-    Gone,
+    /// The runner does not answer, but there was a sign of life from it lately.
+    Unresponsive,
+    /// The runner does not answer, and there was no sign of life from it lately.
+    Unreachable,
 }
 
-/// Decides by the runner's word.
+/// Decides what to do about a held key.
 ///
-/// Nothing but the runner's own word frees a key: a runner that is silent may
-/// be paused just before its dispatch.
-pub fn resolve(holder: &Holder, word: Word) -> Resolution {
+/// Only the runner's own report releases a key: a runner that does not answer may be paused
+/// just before its dispatch.
+pub fn resolve(holder: &Holder, status: RunnerStatus) -> Resolution {
     let refuse = |kind, detail: &str| Resolution::Refuse(Refusal::new(kind, detail));
-    let attempt = match (word, holder.end) {
-        (Word::Known(attempt), _) => attempt,
-        (Word::Forgotten | Word::Silent | Word::Gone, Some(End::Ran)) => Attempt::Ran(None),
-        (Word::Forgotten | Word::Silent | Word::Gone, Some(End::NotRun)) => Attempt::NotRun,
-        (Word::Silent, None) => Attempt::Running,
-        (Word::Forgotten | Word::Gone, None)
-        | (Word::Forgotten | Word::Silent | Word::Gone, Some(End::Unknown)) => Attempt::Unknown,
+    let state = match (status, holder.outcome) {
+        (RunnerStatus::Known(state), _) => state,
+        (
+            RunnerStatus::Forgotten | RunnerStatus::Unresponsive | RunnerStatus::Unreachable,
+            Some(ClaimOutcome::Ran),
+        ) => AttemptState::Ran(None),
+        (
+            RunnerStatus::Forgotten | RunnerStatus::Unresponsive | RunnerStatus::Unreachable,
+            Some(ClaimOutcome::NotRun),
+        ) => AttemptState::NotRun,
+        (RunnerStatus::Unresponsive, None) => AttemptState::Running,
+        (RunnerStatus::Forgotten | RunnerStatus::Unreachable, None)
+        | (
+            RunnerStatus::Forgotten | RunnerStatus::Unresponsive | RunnerStatus::Unreachable,
+            Some(ClaimOutcome::Unknown),
+        ) => AttemptState::Unknown,
     };
-    match attempt {
-        Attempt::Pending | Attempt::Running => under_way(),
-        Attempt::NotRun => Resolution::Release,
-        Attempt::Ran(Some(answer)) => Resolution::Answer(answer),
-        Attempt::Ran(None) => refuse(Kind::AlreadyRan, "its answer is no longer kept"),
-        Attempt::Unknown => refuse(Kind::OutcomeUnknown, "whether its one run took place is lost"),
+    match state {
+        AttemptState::Pending | AttemptState::Running => in_progress(),
+        AttemptState::NotRun => Resolution::Release,
+        AttemptState::Ran(Some(answer)) => Resolution::Answer(answer),
+        AttemptState::Ran(None) => {
+            refuse(Kind::AlreadyRan, "the request already ran and its answer is no longer cached")
+        }
+        AttemptState::Unknown => {
+            refuse(Kind::OutcomeUnknown, "it is unknown whether the request ran")
+        }
     }
 }
 
-fn under_way() -> Resolution {
+fn in_progress() -> Resolution {
     let refusal = Refusal::new(Kind::InProgress, "another request holds the key");
-    Resolution::Refuse(refusal.after(LATER))
+    Resolution::Refuse(refusal.after(IN_PROGRESS_RETRY_AFTER))
 }
--- a/src/edge/peer/message.rs
+++ b/src/edge/peer/message.rs
@@ -8,7 +8,7 @@
 use crate::Name;
 use crate::bundle::Envelope;
 use crate::decide::Departure;
-use crate::decide::claim::{Ask, Attempt, ClaimKey, End, Verdict};
+use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
 use crate::decide::members::{Gossip, News, NodeState};
 use crate::decide::quarantine::Notice;
 use crate::metrics::Purpose;
@@ -107,7 +107,7 @@
     /// Upstream VMs that leave.
     Left(Vec<Departure>),
     /// May I run this call?
-    Claim(Ask),
+    Claim(ClaimRequest),
     /// A claimed call ended.
     Ended {
         /// Its key.
@@ -115,7 +115,7 @@
         /// The attempt.
         nonce: u64,
         /// How.
-        end: End,
+        end: ClaimOutcome,
     },
     /// What became of this attempt of yours?
     Attempt(u64),
@@ -165,11 +165,11 @@
     /// Taken, or not needed.
     Noted,
     /// The answer to a claim.
-    Verdict(Verdict),
+    Verdict(ClaimDecision),
     /// Whether it is recorded at this node.
     Recorded(bool),
     /// The suspects that are known here.
     Suspects(Vec<Notice>),
     /// What became of the attempt; none if it is not known here.
-    Attempt(Option<Attempt>),
+    Attempt(Option<AttemptState>),
 }
--- a/src/node/claims/ask.rs
+++ b/src/node/claims/ask.rs
@@ -6,14 +6,15 @@
 use super::serve;
 use crate::Name;
 use crate::decide::claim::{
-    Ask, Attempt, ClaimKey, End, Holder, Kept, Resolution, Verdict, WAIT, Word, resolve,
+    AttemptState, CLAIM_TIMEOUT, CachedAnswer, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest,
+    Holder, Resolution, RunnerStatus, resolve,
 };
 use crate::edge::peer::{PeerError, Reply, Request};
 use crate::error::{Kind, Refusal};
 use crate::node::app::App;
 
 /// How long a home may take: its own longest wait, and the way.
-const LIMIT: Duration = Duration::from_millis(WAIT.as_millis() as u64 + 500);
+const LIMIT: Duration = Duration::from_millis(CLAIM_TIMEOUT.as_millis() as u64 + 500);
 /// How long a runner may take to say what became of an attempt.
 const WORD: Duration = Duration::from_millis(500);
 /// Nodes that are asked in turn while the home moves, or a holder frees the key.
@@ -38,7 +39,7 @@
     /// Run the call.
     Mine(Claim),
     /// It ran before; this is its answer.
-    Answered(Kept),
+    Answered(CachedAnswer),
 }
 
 impl Claim {
@@ -48,42 +49,44 @@
         key: ClaimKey,
         fingerprint: u64,
     ) -> Result<Claimed, Refusal> {
-        let unavailable = |why: &str| unavailable(why, WAIT);
+        let unavailable = |why: &str| unavailable(why, CLAIM_TIMEOUT);
         let mut home = serve::home_of(app, key).ok_or_else(|| unavailable("no node is home"))?;
         for _ in 0..HOPS {
             let (app, nonce) = (app.clone(), rand::random());
             let mut claim = Self { app, key, nonce, home: home.clone(), over: false };
             let app = &claim.app.clone();
-            app.claims.attempts.lock().begin(claim.nonce);
+            app.claims.attempts.lock().claim_requested(claim.nonce);
             let runner = app.settings.node.name.clone();
-            let ask = Ask { key, fingerprint, nonce: claim.nonce, runner };
+            let ask = ClaimRequest { key, fingerprint, nonce: claim.nonce, runner };
             match claim.ask(&home, ask).await {
-                Ok(Verdict::Granted) if app.claims.attempts.lock().granted(claim.nonce) => {
+                Ok(ClaimDecision::Granted)
+                    if app.claims.attempts.lock().claim_granted(claim.nonce) =>
+                {
                     return Ok(Claimed::Mine(claim));
                 }
-                Ok(Verdict::Granted) => {
+                Ok(ClaimDecision::Granted) => {
                     claim.not_run();
                     return Err(unavailable("the claim came too late"));
                 }
-                Ok(Verdict::Held(holder)) => {
+                Ok(ClaimDecision::Held(holder)) => {
                     claim.give_up();
                     match resolve(&holder, word(app, &holder).await) {
                         Resolution::Answer(kept) => return Ok(Claimed::Answered(kept)),
                         Resolution::Refuse(refusal) => return Err(refusal),
                         Resolution::Release => {
-                            tell(app, &home, key, holder.nonce, End::NotRun).await;
+                            tell(app, &home, key, holder.nonce, ClaimOutcome::NotRun).await;
                         }
                     }
                 }
-                Ok(Verdict::Moved(next)) => {
+                Ok(ClaimDecision::Moved(next)) => {
                     claim.give_up();
                     home = next;
                 }
-                Ok(Verdict::Reused) => {
+                Ok(ClaimDecision::KeyReused) => {
                     claim.give_up();
                     return Err(Refusal::new(Kind::KeyReused, "the content differs"));
                 }
-                Ok(Verdict::Unavailable(after)) => {
+                Ok(ClaimDecision::Unavailable(after)) => {
                     claim.give_up();
                     return Err(self::unavailable("the claim can't be recorded", after));
                 }
@@ -98,26 +101,26 @@
     }
 
     /// The call ran.
-    pub(in crate::node) fn ran(mut self, answer: Kept) {
+    pub(in crate::node) fn ran(mut self, answer: CachedAnswer) {
         self.over = true;
         let now = self.app.clock.now();
         self.app.claims.attempts.lock().ran(self.nonce, answer, now);
-        self.report(End::Ran);
+        self.report(ClaimOutcome::Ran);
     }
 
     /// The call certainly did not run: the key can be claimed again.
     pub(in crate::node) fn not_run(mut self) {
         self.give_up();
-        self.report(End::NotRun);
+        self.report(ClaimOutcome::NotRun);
     }
 
     /// The call may or may not have run.
     pub(in crate::node) fn unknown(mut self) {
         self.lose();
-        self.report(End::Unknown);
+        self.report(ClaimOutcome::Unknown);
     }
 
-    async fn ask(&self, home: &Name, ask: Ask) -> Result<Verdict, String> {
+    async fn ask(&self, home: &Name, ask: ClaimRequest) -> Result<ClaimDecision, String> {
         let app = &self.app;
         if *home == app.settings.node.name {
             return Ok(serve::verdict(app, ask).await);
@@ -145,7 +148,7 @@
     }
 
     /// Tells the node that granted the claim, and if it is home no more, the one that is.
-    fn report(&self, end: End) {
+    fn report(&self, end: ClaimOutcome) {
         let (app, key, nonce) = (self.app.clone(), self.key, self.nonce);
         let granted = self.home.clone();
         self.app.claims.calls.spawn(async move {
@@ -159,7 +162,7 @@
                 {
                     return;
                 }
-                tokio::time::sleep(WAIT).await;
+                tokio::time::sleep(CLAIM_TIMEOUT).await;
             }
         });
     }
@@ -172,14 +175,14 @@
         }
         let pending = {
             let attempts = self.app.claims.attempts.lock();
-            matches!(attempts.get(self.nonce), Some(Attempt::Pending))
+            matches!(attempts.get(self.nonce), Some(AttemptState::Pending))
         };
         if pending { self.give_up() } else { self.lose() }
     }
 }
 
 /// Tells the home how an attempt ended. False if it does not record that.
-async fn tell(app: &App, home: &Name, key: ClaimKey, nonce: u64, end: End) -> bool {
+async fn tell(app: &App, home: &Name, key: ClaimKey, nonce: u64, end: ClaimOutcome) -> bool {
     if *home == app.settings.node.name {
         return serve::ended(app, key, nonce, end);
     }
@@ -189,17 +192,18 @@
 }
 
 /// What the runner says of the attempt that holds a key.
-async fn word(app: &App, holder: &Holder) -> Word {
+async fn word(app: &App, holder: &Holder) -> RunnerStatus {
     if holder.runner == app.settings.node.name {
-        return serve::attempt(app, holder.nonce).map_or(Word::Forgotten, Word::Known);
+        return serve::attempt(app, holder.nonce)
+            .map_or(RunnerStatus::Forgotten, RunnerStatus::Known);
     }
-    let Some(to) = app.members.address(&holder.runner) else { return Word::Gone };
+    let Some(to) = app.members.address(&holder.runner) else { return RunnerStatus::Unreachable };
     match app.peers.ask(to, &Request::Attempt(holder.nonce), WORD).await {
-        Ok(Reply::Attempt(Some(attempt))) => Word::Known(attempt),
-        Ok(Reply::Attempt(None)) => Word::Forgotten,
-        Ok(_) | Err(PeerError::Connect { .. }) => Word::Gone,
-        Err(_) if alive(app, &holder.runner) => Word::Silent,
-        Err(_) => Word::Gone,
+        Ok(Reply::Attempt(Some(attempt))) => RunnerStatus::Known(attempt),
+        Ok(Reply::Attempt(None)) => RunnerStatus::Forgotten,
+        Ok(_) | Err(PeerError::Connect { .. }) => RunnerStatus::Unreachable,
+        Err(_) if alive(app, &holder.runner) => RunnerStatus::Unresponsive,
+        Err(_) => RunnerStatus::Unreachable,
     }
 }
 
--- a/src/node/claims/claims.rs
+++ b/src/node/claims/claims.rs
@@ -8,7 +8,7 @@
 
 use super::shard::Shard;
 use crate::Name;
-use crate::decide::claim::{Attempts, ClaimKey, PARTITIONS};
+use crate::decide::claim::{Attempts, ClaimKey, PARTITION_COUNT};
 use crate::metrics::Task;
 use crate::node::app::App;
 
@@ -32,7 +32,7 @@
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let shard = |partition| Shard::new(partition, name.clone(), since.as_secs());
         Self {
-            shards: (0..PARTITIONS).map(shard).collect(),
+            shards: (0..PARTITION_COUNT).map(shard).collect(),
             attempts: Mutex::default(),
             calls: TaskTracker::new(),
         }
@@ -74,7 +74,7 @@
 
 /// Starts the tasks that drive the partitions; they end with the node.
 pub(in crate::node) fn drive(app: &Arc<App>) {
-    for partition in 0..PARTITIONS {
+    for partition in 0..PARTITION_COUNT {
         let shard = super::shard::drive(app.clone(), partition);
         tokio::spawn(app.metrics.timed(Task::Claims, shard));
     }
--- a/src/node/claims/run.rs
+++ b/src/node/claims/run.rs
@@ -10,7 +10,7 @@
 
 use super::ask::{Claim, Claimed};
 use crate::decide::Call;
-use crate::decide::claim::{ClaimKey, Kept};
+use crate::decide::claim::{CachedAnswer, ClaimKey};
 use crate::edge::upstream::PlainAnswer;
 use crate::error::{Kind, Refusal, Run};
 use crate::node::app::App;
@@ -66,19 +66,19 @@
     ended
 }
 
-fn kept(answer: &PlainAnswer) -> Kept {
+fn kept(answer: &PlainAnswer) -> CachedAnswer {
     let kind = answer.headers.get(CONTENT_TYPE).and_then(|v| v.to_str().ok());
-    Kept {
+    CachedAnswer {
         status: answer.status.as_u16(),
-        kind: kind.map(str::to_owned),
+        content_type: kind.map(str::to_owned),
         body: answer.body.to_vec(),
     }
 }
 
-fn replayed(kept: Kept) -> PlainAnswer {
+fn replayed(kept: CachedAnswer) -> PlainAnswer {
     let mut headers = HeaderMap::new();
     headers.insert(REPLAYED, HeaderValue::from_static("true"));
-    if let Some(kind) = kept.kind.and_then(|k| HeaderValue::try_from(k).ok()) {
+    if let Some(kind) = kept.content_type.and_then(|k| HeaderValue::try_from(k).ok()) {
         headers.insert(CONTENT_TYPE, kind);
     }
     let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::OK);
--- a/src/node/claims/shard.rs
+++ b/src/node/claims/shard.rs
@@ -7,15 +7,17 @@
 use tokio::sync::{Notify, oneshot};
 
 use super::store;
-use crate::decide::claim::{Ask, ClaimKey, End, Journal, Step, Verdict};
+use crate::decide::claim::{
+    ClaimDecision, ClaimJournal, ClaimKey, ClaimOutcome, ClaimRequest, JournalAction,
+};
 use crate::metrics::Task;
 use crate::node::app::App;
 use crate::{Moment, Name};
 
 #[derive(Debug)]
 struct Inner {
-    journal: Journal,
-    waiters: HashMap<u64, oneshot::Sender<Verdict>>,
+    journal: ClaimJournal,
+    waiters: HashMap<u64, oneshot::Sender<ClaimDecision>>,
 }
 
 /// The partition.
@@ -28,7 +30,7 @@
 
 impl Shard {
     pub(super) fn new(partition: u16, name: Name, base: u64) -> Self {
-        let journal = Journal::new(name, base, rand::random());
+        let journal = ClaimJournal::new(name, base, rand::random());
         let inner = Inner { journal, waiters: HashMap::new() };
         Self { partition, inner: Mutex::new(inner), wake: Notify::new() }
     }
@@ -44,20 +46,20 @@
     }
 
     /// Asks the journal. `None` if the node ends first.
-    pub(super) async fn ask(&self, ask: Ask, now: Moment) -> Option<Verdict> {
+    pub(super) async fn ask(&self, ask: ClaimRequest, now: Moment) -> Option<ClaimDecision> {
         let (sender, receiver) = oneshot::channel();
         {
             let mut inner = self.inner.lock();
             inner.waiters.insert(ask.nonce, sender);
-            inner.journal.ask(ask, now);
+            inner.journal.request(ask, now);
         }
         self.wake.notify_one();
         receiver.await.ok()
     }
 
     /// Records an end. False if this node is not home.
-    pub(super) fn ended(&self, key: ClaimKey, nonce: u64, end: End, now: Moment) -> bool {
-        let recorded = self.inner.lock().journal.ended(key, nonce, end, now);
+    pub(super) fn ended(&self, key: ClaimKey, nonce: u64, end: ClaimOutcome, now: Moment) -> bool {
+        let recorded = self.inner.lock().journal.call_ended(key, nonce, end, now);
         self.wake.notify_one();
         recorded
     }
@@ -70,28 +72,30 @@
     }
 
     /// Tells the journal something.
-    fn tell(&self, event: impl FnOnce(&mut Journal)) {
+    fn tell(&self, event: impl FnOnce(&mut ClaimJournal)) {
         event(&mut self.inner.lock().journal);
         self.wake.notify_one();
     }
 
     /// Lets time pass; answers what is decided, and returns the steps that need
     /// the platform and the moment of the next tick.
-    fn turn(&self, now: Moment) -> (Vec<Step>, Option<Moment>) {
+    fn turn(&self, now: Moment) -> (Vec<JournalAction>, Option<Moment>) {
         let mut inner = self.inner.lock();
         inner.journal.tick(now);
         let mut rest = Vec::new();
-        for step in inner.journal.steps() {
+        for step in inner.journal.take_actions() {
             match step {
-                Step::Reply { nonce, verdict } => {
+                JournalAction::Reply { nonce, decision } => {
                     if let Some(waiter) = inner.waiters.remove(&nonce) {
-                        let _ = waiter.send(verdict);
+                        let _ = waiter.send(decision);
                     }
                 }
-                Step::ReadHead | Step::ReadSegments(_) | Step::Swap { .. } => rest.push(step),
+                JournalAction::ReadHead
+                | JournalAction::ReadSegments(_)
+                | JournalAction::Swap { .. } => rest.push(step),
             }
         }
-        (rest, inner.journal.due())
+        (rest, inner.journal.next_tick())
     }
 }
 
@@ -118,21 +122,21 @@
     }
 }
 
-async fn perform(app: Arc<App>, partition: u16, step: Step) {
+async fn perform(app: Arc<App>, partition: u16, step: JournalAction) {
     let shard = app.claims.at(partition);
     match step {
-        Step::ReadHead => {
+        JournalAction::ReadHead => {
             let read = store::head(&app.platform, partition).await;
             shard.tell(|j| j.head_read(read, app.clock.now()));
         }
-        Step::ReadSegments(range) => {
+        JournalAction::ReadSegments(range) => {
             let read = store::segments(&app.platform, partition, range).await;
             shard.tell(|j| j.segments_read(read, app.clock.now()));
         }
-        Step::Swap { expected, head, full } => {
-            let swapped = store::swap(&app.platform, partition, expected, &head, full).await;
-            shard.tell(|j| j.swapped(swapped, app.clock.now()));
+        JournalAction::Swap { expected, head, segment } => {
+            let swapped = store::swap(&app.platform, partition, expected, &head, segment).await;
+            shard.tell(|j| j.swap_completed(swapped, app.clock.now()));
         }
-        Step::Reply { .. } => tracing::error!(event = "claim_reply_lost", shard.partition),
+        JournalAction::Reply { .. } => tracing::error!(event = "claim_reply_lost", shard.partition),
     }
 }
--- a/src/node/claims/store.rs
+++ b/src/node/claims/store.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::decide::claim::{FORMAT, Head, RING, Segment, Swapped};
+use crate::decide::claim::{FORMAT_VERSION, PartitionHead, SEGMENT_SLOTS, Segment, SwapResult};
 use crate::edge::peer::{decode, encode};
 use crate::edge::platform::{Kept, Platform, Swap};
 use crate::metrics::PlatformUse;
@@ -13,11 +13,14 @@
 
 /// The place of a segment in the ring; 16 neighbours share all but the last digit.
 fn place(partition: u16, number: u64) -> String {
-    format!("claims/{partition:02x}/segment/{:03x}", number % RING)
+    format!("claims/{partition:02x}/segment/{:03x}", number % SEGMENT_SLOTS)
 }
 
 /// Reads the head, with its revision.
-pub(super) async fn head(platform: &Platform, partition: u16) -> Result<Option<(Head, u64)>, ()> {
+pub(super) async fn head(
+    platform: &Platform,
+    partition: u16,
+) -> Result<Option<(PartitionHead, u64)>, ()> {
     match platform.get(&head_key(partition), PlatformUse::Claim).await {
         Ok(None) => Ok(None),
         Ok(Some(kept)) => parsed(&kept).map(|head| Some((head, kept.revision))),
@@ -51,37 +54,37 @@
     platform: &Platform,
     partition: u16,
     expected: u64,
-    head: &Head,
+    head: &PartitionHead,
     full: Option<Segment>,
-) -> Swapped {
+) -> SwapResult {
     let also: Result<Vec<_>, _> =
         full.iter().map(|s| encode(s).map(|bytes| (place(partition, s.number), bytes))).collect();
     let (Ok(value), Ok(also)) = (encode(head), also) else {
         tracing::error!(event = "claim_unencodable", partition);
-        return Swapped::Unsent;
+        return SwapResult::Unsent;
     };
     let key = head_key(partition);
     match platform.swap(&key, expected, value, also, PlatformUse::Claim).await {
-        Swap::Done(revision) => Swapped::Done(revision),
-        Swap::Conflict(None) => Swapped::Conflict(None),
+        Swap::Done(revision) => SwapResult::Done(revision),
+        Swap::Conflict(None) => SwapResult::Conflict(None),
         Swap::Conflict(Some(kept)) => {
             let found = parsed(&kept).ok().map(|head| (head, kept.revision));
-            Swapped::Conflict(found)
+            SwapResult::Conflict(found)
         }
         Swap::Unknown(reason) => {
             tracing::warn!(event = "claim_commit_unknown", partition, reason);
-            Swapped::Unknown
+            SwapResult::Unknown
         }
         Swap::Unsent(reason) => {
             tracing::warn!(event = "claim_commit_unsent", partition, reason);
-            Swapped::Unsent
+            SwapResult::Unsent
         }
     }
 }
 
-fn parsed(kept: &Kept) -> Result<Head, ()> {
-    match decode::<Head>(&kept.value) {
-        Ok(head) if head.format == FORMAT => Ok(head),
+fn parsed(kept: &Kept) -> Result<PartitionHead, ()> {
+    match decode::<PartitionHead>(&kept.value) {
+        Ok(head) if head.format == FORMAT_VERSION => Ok(head),
         Ok(head) => {
             tracing::error!(event = "claim_format", key = kept.key, format = head.format);
             Err(())
--- a/standins/src/bin/claims-bench.rs
+++ b/standins/src/bin/claims-bench.rs
@@ -7,7 +7,9 @@
 
 use clap::Parser;
 use hdrhistogram::Histogram;
-use mulberrycourse::decide::claim::{Ask, ClaimKey, Journal, Step, Swapped, Verdict};
+use mulberrycourse::decide::claim::{
+    ClaimDecision, ClaimJournal, ClaimKey, ClaimRequest, JournalAction, SwapResult,
+};
 use mulberrycourse::edge::peer::encode;
 use parking_lot::Mutex;
 use standins::caller::send;
@@ -52,16 +54,16 @@
     ExitCode::SUCCESS
 }
 
-fn ask(number: u64) -> Ask {
+fn ask(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
-    Ask { key, fingerprint: number, nonce: number, runner: "node-0".into() }
+    ClaimRequest { key, fingerprint: number, nonce: number, runner: "node-0".into() }
 }
 
 /// One partition without I/O: 2 claims a millisecond, a platform that answers at once.
 #[allow(clippy::print_stdout)]
 fn journal() {
     const CLAIMS: u64 = 100_000;
-    let mut journal = Journal::new("node-0".into(), 1_000_000, 1);
+    let mut journal = ClaimJournal::new("node-0".into(), 1_000_000, 1);
     let (mut revision, mut swaps, mut bytes, mut granted, mut number) = (0, 0_u64, 0, 0_u64, 0);
     let before = resident();
     let start = Instant::now();
@@ -70,27 +72,27 @@
         now += Duration::from_millis(1);
         for _ in 0..2 {
             number += 1;
-            journal.ask(ask(number), now);
+            journal.request(ask(number), now);
         }
         journal.tick(now);
         loop {
-            let steps = journal.steps();
+            let steps = journal.take_actions();
             if steps.is_empty() {
                 break;
             }
             for step in steps {
                 match step {
-                    Step::ReadHead => journal.head_read(Ok(None), now),
-                    Step::ReadSegments(_) => journal.segments_read(Ok(vec![]), now),
-                    Step::Swap { head, full, .. } => {
+                    JournalAction::ReadHead => journal.head_read(Ok(None), now),
+                    JournalAction::ReadSegments(_) => journal.segments_read(Ok(vec![]), now),
+                    JournalAction::Swap { head, segment, .. } => {
                         revision += 1;
                         swaps += 1;
                         bytes += encode(&head).map_or(0, |b| b.len());
-                        bytes += full.and_then(|f| encode(&f).ok()).map_or(0, |b| b.len());
-                        journal.swapped(Swapped::Done(revision), now);
+                        bytes += segment.and_then(|f| encode(&f).ok()).map_or(0, |b| b.len());
+                        journal.swap_completed(SwapResult::Done(revision), now);
                     }
-                    Step::Reply { verdict: Verdict::Granted, .. } => granted += 1,
-                    Step::Reply { .. } => {}
+                    JournalAction::Reply { decision: ClaimDecision::Granted, .. } => granted += 1,
+                    JournalAction::Reply { .. } => {}
                 }
             }
         }
--- a/tests/claims/golden.rs
+++ b/tests/claims/golden.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::claim::{
-    Ask, ClaimKey, End, Entry, Head, Journal, Segment, Step, Swapped,
+    ClaimJournal, ClaimKey, ClaimOutcome, ClaimRequest, JournalAction, JournalEntry, PartitionHead,
+    Segment, SwapResult,
 };
 use serde::Deserialize;
 
@@ -21,7 +22,7 @@
     Ended {
         key: String,
         nonce: u64,
-        end: End,
+        end: ClaimOutcome,
     },
     /// The platform answers the read of the head with what it holds.
     HeadRead,
@@ -41,21 +42,21 @@
 
 #[derive(Debug, Default)]
 struct Platform {
-    head: Option<(Head, u64)>,
+    head: Option<(PartitionHead, u64)>,
     segments: Vec<Segment>,
-    asked: Option<(u64, Head, Option<Segment>)>,
+    asked: Option<(u64, PartitionHead, Option<Segment>)>,
 }
 
 impl Platform {
-    fn swap(&mut self) -> Swapped {
-        let (expected, head, full) = self.asked.clone().expect("a swap was asked for");
+    fn swap(&mut self) -> SwapResult {
+        let (expected, head, segment) = self.asked.clone().expect("a swap was asked for");
         let current = self.head.as_ref().map_or(0, |(_, revision)| *revision);
         if current != expected {
-            return Swapped::Conflict(self.head.clone());
+            return SwapResult::Conflict(self.head.clone());
         }
-        self.segments.extend(full);
+        self.segments.extend(segment);
         self.head = Some((head, current + 1));
-        Swapped::Done(current + 1)
+        SwapResult::Done(current + 1)
     }
 }
 
@@ -63,30 +64,32 @@
     ClaimKey::new("sync", "shop", key)
 }
 
-fn handle(journal: &mut Journal, platform: &mut Platform, event: Event, now: Duration) {
+fn handle(journal: &mut ClaimJournal, platform: &mut Platform, event: Event, now: Duration) {
     match event {
         Event::Ask { key: name, body, nonce, runner } => {
-            let ask = Ask { key: key(&name), fingerprint: body, nonce, runner: runner.into() };
-            journal.ask(ask, now);
+            let ask =
+                ClaimRequest { key: key(&name), fingerprint: body, nonce, runner: runner.into() };
+            journal.request(ask, now);
         }
         Event::Ended { key: name, nonce, end } => {
-            journal.ended(key(&name), nonce, end, now);
+            journal.call_ended(key(&name), nonce, end, now);
         }
         Event::HeadRead => journal.head_read(Ok(platform.head.clone()), now),
         Event::HeadUnread => journal.head_read(Err(()), now),
         Event::SegmentsRead => journal.segments_read(Ok(platform.segments.clone()), now),
         Event::SwapDone => {
             let ended = platform.swap();
-            journal.swapped(ended, now);
+            journal.swap_completed(ended, now);
         }
         Event::SwapLost => {
             platform.swap();
-            journal.swapped(Swapped::Unknown, now);
+            journal.swap_completed(SwapResult::Unknown, now);
         }
-        Event::SwapUnsent => journal.swapped(Swapped::Unsent, now),
+        Event::SwapUnsent => journal.swap_completed(SwapResult::Unsent, now),
         Event::Sealed { by } => {
             let (head, revision) = platform.head.as_mut().expect("there is a head");
-            *head = Head { epoch: head.epoch + 1, owner: by.into(), nonce: 0, ..head.clone() };
+            *head =
+                PartitionHead { epoch: head.epoch + 1, owner: by.into(), nonce: 0, ..head.clone() };
             *revision += 1;
         }
         Event::Tick => {}
@@ -95,23 +98,27 @@
 }
 
 /// One line for each step; nonces of commits are random and left out.
-fn line(step: &Step) -> String {
-    let entry = |e: &Entry| match e {
-        Entry::Claim { ask, .. } => format!("claim {:?} by {} #{}", ask.key, ask.runner, ask.nonce),
-        Entry::End { key, nonce, end } => format!("end {key:?} #{nonce} {end:?}"),
+fn line(step: &JournalAction) -> String {
+    let entry = |e: &JournalEntry| match e {
+        JournalEntry::Claim { request, .. } => {
+            format!("claim {:?} by {} #{}", request.key, request.runner, request.nonce)
+        }
+        JournalEntry::End { key, nonce, outcome } => format!("end {key:?} #{nonce} {outcome:?}"),
     };
     match step {
-        Step::Swap { expected, head, full } => {
+        JournalAction::Swap { expected, head, segment } => {
             let tail: Vec<String> = head.tail.iter().map(entry).collect();
-            let Head { epoch, owner, first, next, .. } = head;
+            let PartitionHead { epoch, owner, first, next, .. } = head;
             format!(
                 "swap at {expected}: epoch {epoch} of {owner}, segments {first}..{next}, \
                  full {}, tail [{}]",
-                full.is_some(),
+                segment.is_some(),
                 tail.join(", "),
             )
         }
-        Step::ReadHead | Step::ReadSegments(_) | Step::Reply { .. } => format!("{step:?}"),
+        JournalAction::ReadHead | JournalAction::ReadSegments(_) | JournalAction::Reply { .. } => {
+            format!("{step:?}")
+        }
     }
 }
 
@@ -121,16 +128,16 @@
 fn session() {
     let recorded = include_str!("session.json");
     let events: Vec<(u64, Event)> = serde_json::from_str(recorded).expect("the record parses");
-    let mut journal = Journal::new("n0".into(), 1_000_000, 1);
+    let mut journal = ClaimJournal::new("n0".into(), 1_000_000, 1);
     let mut platform = Platform::default();
     let mut text = String::new();
     for (at, event) in events {
         let _ = writeln!(text, "{at} ms {event:?}");
         handle(&mut journal, &mut platform, event, Duration::from_millis(at));
-        for step in journal.steps() {
+        for step in journal.take_actions() {
             let _ = writeln!(text, "    {}", line(&step));
-            if let Step::Swap { expected, head, full } = step {
-                platform.asked = Some((expected, head, full));
+            if let JournalAction::Swap { expected, head, segment } = step {
+                platform.asked = Some((expected, head, segment));
             }
         }
     }
--- a/tests/claims/main.rs
+++ b/tests/claims/main.rs
@@ -6,7 +6,7 @@
 mod parts;
 mod world;
 
-use mulberrycourse::decide::claim::{Attempt, Kept};
+use mulberrycourse::decide::claim::{AttemptState, CachedAnswer};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use world::{Fate, Told, World};
@@ -136,6 +136,6 @@
 }
 
 /// What an attempt says when it ran with an answer, as the worlds build it.
-fn answer(body: u8) -> Attempt {
-    Attempt::Ran(Some(Kept { status: 200, kind: None, body: vec![body] }))
+fn answer(body: u8) -> AttemptState {
+    AttemptState::Ran(Some(CachedAnswer { status: 200, content_type: None, body: vec![body] }))
 }
--- a/tests/claims/parts.rs
+++ b/tests/claims/parts.rs
@@ -3,14 +3,15 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::claim::{
-    Ask, Attempt, Attempts, ClaimKey, End, Entry, Index, Journal, Kept, RETENTION, SEGMENT,
-    Segment, Step, Swapped, Verdict, home,
+    AttemptState, Attempts, CLAIM_RETENTION, CachedAnswer, ClaimDecision, ClaimIndex, ClaimJournal,
+    ClaimKey, ClaimOutcome, ClaimRequest, JournalAction, JournalEntry, MAX_SEGMENT_ENTRIES,
+    Segment, SwapResult, home_node,
 };
 use mulberrycourse::error::{Kind, Run};
 
-fn ask(number: u64) -> Ask {
+fn ask(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
-    Ask { key, fingerprint: 1, nonce: number, runner: "n0".into() }
+    ClaimRequest { key, fingerprint: 1, nonce: number, runner: "n0".into() }
 }
 
 fn ms(ms: u64) -> Duration {
@@ -19,9 +20,9 @@
 
 /// A platform that answers at once; returns the revisions and what was asked of it.
 struct Quick {
-    journal: Journal,
+    journal: ClaimJournal,
     revision: u64,
-    head: Option<(mulberrycourse::decide::claim::Head, u64)>,
+    head: Option<(mulberrycourse::decide::claim::PartitionHead, u64)>,
     segments: Vec<Segment>,
     swaps: u64,
     granted: u64,
@@ -30,7 +31,7 @@
 
 impl Quick {
     fn new(seed: u64) -> Self {
-        let journal = Journal::new("n0".into(), 1_000_000, seed);
+        let journal = ClaimJournal::new("n0".into(), 1_000_000, seed);
         let (head, segments) = (None, vec![]);
         Self { journal, revision: 0, head, segments, swaps: 0, granted: 0, refused: 0 }
     }
@@ -38,7 +39,7 @@
     fn run(&mut self, now: Duration) {
         self.journal.tick(now);
         loop {
-            let steps = self.journal.steps();
+            let steps = self.journal.take_actions();
             if steps.is_empty() {
                 return;
             }
@@ -48,24 +49,24 @@
         }
     }
 
-    fn step(&mut self, step: Step, now: Duration) {
+    fn step(&mut self, step: JournalAction, now: Duration) {
         match step {
-            Step::ReadHead => self.journal.head_read(Ok(self.head.clone()), now),
-            Step::ReadSegments(range) => {
+            JournalAction::ReadHead => self.journal.head_read(Ok(self.head.clone()), now),
+            JournalAction::ReadSegments(range) => {
                 let found = self.segments.iter().filter(|s| range.contains(&s.number));
                 let found = found.cloned().collect();
                 self.journal.segments_read(Ok(found), now);
             }
-            Step::Swap { expected, head, full } => {
+            JournalAction::Swap { expected, head, segment } => {
                 assert_eq!(expected, self.revision);
                 self.revision += 1;
                 self.swaps += 1;
                 self.head = Some((head, self.revision));
-                self.segments.extend(full);
-                self.journal.swapped(Swapped::Done(self.revision), now);
+                self.segments.extend(segment);
+                self.journal.swap_completed(SwapResult::Done(self.revision), now);
             }
-            Step::Reply { verdict: Verdict::Granted, .. } => self.granted += 1,
-            Step::Reply { .. } => self.refused += 1,
+            JournalAction::Reply { decision: ClaimDecision::Granted, .. } => self.granted += 1,
+            JournalAction::Reply { .. } => self.refused += 1,
         }
     }
 }
@@ -76,18 +77,18 @@
 fn burst_shares_writes_and_is_read_back() {
     let mut quick = Quick::new(1);
     for tick in 0..2_000 {
-        quick.journal.ask(ask(2 * tick), ms(tick));
-        quick.journal.ask(ask(2 * tick + 1), ms(tick));
+        quick.journal.request(ask(2 * tick), ms(tick));
+        quick.journal.request(ask(2 * tick + 1), ms(tick));
         quick.run(ms(tick));
     }
     quick.run(ms(2_200));
     assert_eq!((quick.granted, quick.refused), (4_000, 0));
     assert!(quick.swaps <= 1 + 2_200 / 80 + 1, "{} writes", quick.swaps);
-    assert!(quick.segments.iter().all(|s| s.entries.len() <= SEGMENT));
+    assert!(quick.segments.iter().all(|s| s.entries.len() <= MAX_SEGMENT_ENTRIES));
 
-    let mut successor = Quick { journal: Journal::new("n1".into(), 1_000_000, 9), ..quick };
+    let mut successor = Quick { journal: ClaimJournal::new("n1".into(), 1_000_000, 9), ..quick };
     (successor.granted, successor.refused) = (0, 0);
-    successor.journal.ask(ask(7), ms(3_000));
+    successor.journal.request(ask(7), ms(3_000));
     successor.run(ms(3_000));
     assert_eq!(successor.journal.len(), 4_000);
     assert_eq!((successor.granted, successor.refused), (0, 1));
@@ -97,9 +98,9 @@
 #[test]
 fn lone_claim_hardly_waits() {
     let mut quick = Quick::new(1);
-    quick.journal.ask(ask(1), ms(1_000));
+    quick.journal.request(ask(1), ms(1_000));
     quick.run(ms(1_000));
-    assert_eq!(quick.journal.due(), Some(ms(1_003)));
+    assert_eq!(quick.journal.next_tick(), Some(ms(1_003)));
     quick.run(ms(1_003));
     assert_eq!(quick.granted, 1);
 }
@@ -108,12 +109,13 @@
 /// queue stays bounded.
 #[test]
 fn slow_platform_refuses_in_time() {
-    let mut journal = Journal::new("n0".into(), 0, 1);
+    let mut journal = ClaimJournal::new("n0".into(), 0, 1);
     let mut refused = 0;
     for now in 0..3_000 {
-        journal.ask(ask(now), ms(now));
+        journal.request(ask(now), ms(now));
         journal.tick(ms(now));
-        let replies = journal.steps().into_iter().filter(|s| matches!(s, Step::Reply { .. }));
+        let replies =
+            journal.take_actions().into_iter().filter(|s| matches!(s, JournalAction::Reply { .. }));
         refused += replies.count() as u64;
         assert!(now + 1 - refused <= 1_000, "{} wait at {now}", now + 1 - refused);
     }
@@ -123,32 +125,32 @@
 /// an answer all the same, so nothing is left waiting at the home.
 #[test]
 fn every_ask_is_answered() {
-    let mut journal = Journal::new("n0".into(), 0, 1);
+    let mut journal = ClaimJournal::new("n0".into(), 0, 1);
     let mut open = 0_i64;
     for now in 0..400 {
         let one = ask(now);
-        journal.ask(one.clone(), ms(now));
+        journal.request(one.clone(), ms(now));
         open += 1;
         if now % 3 == 0 {
-            journal.ended(one.key, one.nonce, End::NotRun, ms(now));
+            journal.call_ended(one.key, one.nonce, ClaimOutcome::NotRun, ms(now));
         }
         journal.tick(ms(now));
-        for step in journal.steps() {
+        for step in journal.take_actions() {
             match step {
-                Step::ReadHead => journal.head_read(Ok(None), ms(now)),
-                Step::ReadSegments(_) => journal.segments_read(Ok(vec![]), ms(now)),
-                Step::Swap { expected, .. } => {
-                    journal.swapped(Swapped::Done(expected + 1), ms(now));
+                JournalAction::ReadHead => journal.head_read(Ok(None), ms(now)),
+                JournalAction::ReadSegments(_) => journal.segments_read(Ok(vec![]), ms(now)),
+                JournalAction::Swap { expected, .. } => {
+                    journal.swap_completed(SwapResult::Done(expected + 1), ms(now));
                 }
-                Step::Reply { .. } => open -= 1,
+                JournalAction::Reply { .. } => open -= 1,
             }
         }
     }
     for step in (400..2_000).flat_map(|now| {
         journal.tick(ms(now));
-        journal.steps()
+        journal.take_actions()
     }) {
-        open -= i64::from(matches!(step, Step::Reply { .. }));
+        open -= i64::from(matches!(step, JournalAction::Reply { .. }));
     }
     assert_eq!(open, 0);
 }
@@ -156,10 +158,10 @@
 /// Claims outlive the time for which callers may ask again, and go after it.
 #[test]
 fn retention() {
-    let mut index = Index::default();
-    index.apply(0, &Entry::Claim { ask: ask(1), at: 1_000 });
-    index.apply(1, &Entry::Claim { ask: ask(2), at: 2_000 });
-    let kept = RETENTION.as_secs();
+    let mut index = ClaimIndex::default();
+    index.apply(0, &JournalEntry::Claim { request: ask(1), claimed_at: 1_000 });
+    index.apply(1, &JournalEntry::Claim { request: ask(2), claimed_at: 2_000 });
+    let kept = CLAIM_RETENTION.as_secs();
     assert_eq!(index.expire(0, 2, 1_000 + kept), 0);
     assert_eq!(index.len(), 2);
     assert_eq!(index.expire(0, 2, 1_000 + kept + 600), 1);
@@ -173,16 +175,16 @@
 fn answers_are_bounded() {
     let mut attempts = Attempts::default();
     for nonce in 0..20_000 {
-        attempts.begin(nonce);
-        assert!(attempts.granted(nonce));
-        let kept = Kept { status: 200, kind: None, body: vec![0; 100 << 10] };
+        attempts.claim_requested(nonce);
+        assert!(attempts.claim_granted(nonce));
+        let kept = CachedAnswer { status: 200, content_type: None, body: vec![0; 100 << 10] };
         attempts.ran(nonce, kept, ms(nonce));
         assert!(attempts.bytes() <= 8 << 20);
-        assert!(!attempts.granted(nonce));
+        assert!(!attempts.claim_granted(nonce));
     }
     assert!(attempts.len() <= 16_384);
-    assert!(matches!(attempts.get(19_999), Some(Attempt::Ran(Some(_)))));
-    assert_eq!(attempts.get(10_000), Some(&Attempt::Ran(None)));
+    assert!(matches!(attempts.get(19_999), Some(AttemptState::Ran(Some(_)))));
+    assert_eq!(attempts.get(10_000), Some(&AttemptState::Ran(None)));
     assert_eq!(attempts.get(1), None);
     attempts.not_run(30_000, ms(20_000 + 600_000));
     assert_eq!((attempts.len(), attempts.bytes()), (1, 0));
@@ -197,11 +199,11 @@
     assert_ne!(ClaimKey::new("sync", "a", "bc"), ClaimKey::new("sync", "ab", "c"));
     let names = ["a", "b", "c", "d", "e", "f", "g"];
     for partition in 0..16 {
-        let all = home(partition, names).unwrap();
-        let fewer = home(partition, names.into_iter().filter(|n| *n != "c")).unwrap();
+        let all = home_node(partition, names).unwrap();
+        let fewer = home_node(partition, names.into_iter().filter(|n| *n != "c")).unwrap();
         assert!(all == fewer || all == "c");
     }
-    assert_eq!(home(0, []), None);
+    assert_eq!(home_node(0, []), None);
 }
 
 /// What is told of a claim: only a claim that can't be recorded counts as not run.
--- a/tests/claims/world.rs
+++ b/tests/claims/world.rs
@@ -5,8 +5,8 @@
 
 use mulberrycourse::Name;
 use mulberrycourse::decide::claim::{
-    Ask, Attempt, Attempts, ClaimKey, End, Head, Journal, Resolution, Segment, Step, Swapped,
-    Verdict, Word, resolve,
+    AttemptState, Attempts, ClaimDecision, ClaimJournal, ClaimKey, ClaimOutcome, ClaimRequest,
+    JournalAction, PartitionHead, Resolution, RunnerStatus, Segment, SwapResult, resolve,
 };
 use mulberrycourse::error::Kind;
 
@@ -53,22 +53,22 @@
 
 #[derive(Debug)]
 struct Node {
-    journal: Journal,
+    journal: ClaimJournal,
     attempts: Attempts,
     paused: bool,
 }
 
 /// The naive version: one map from key to body and end; no end while it may run.
-type Naive = BTreeMap<u8, (u8, Option<End>)>;
+type Naive = BTreeMap<u8, (u8, Option<ClaimOutcome>)>;
 
 #[derive(Debug)]
 pub(crate) struct World {
     now: Duration,
     nodes: Vec<Node>,
-    calls: Vec<(usize, Step)>,
-    late: Vec<Step>,
+    calls: Vec<(usize, JournalAction)>,
+    late: Vec<JournalAction>,
     /// Every head that there was, with its revision.
-    heads: Vec<(Head, u64)>,
+    heads: Vec<(PartitionHead, u64)>,
     segments: HashMap<u64, Segment>,
     sessions: Vec<Session>,
     running: Vec<Session>,
@@ -90,7 +90,7 @@
 impl World {
     pub(crate) fn new() -> Self {
         let node = |index| Node {
-            journal: Journal::new(name(index), 1_000_000, index as u64),
+            journal: ClaimJournal::new(name(index), 1_000_000, index as u64),
             attempts: Attempts::default(),
             paused: false,
         };
@@ -137,7 +137,7 @@
 
     pub(crate) fn restart(&mut self, node: usize) {
         self.next += 1;
-        let journal = Journal::new(name(node), 1_000_000, 1_000 + self.next);
+        let journal = ClaimJournal::new(name(node), 1_000_000, 1_000 + self.next);
         self.nodes[node] = Node { journal, attempts: Attempts::default(), paused: false };
         self.sessions.retain(|s| s.node != node);
         self.running.retain(|s| s.node != node);
@@ -145,7 +145,7 @@
         let (gone, rest) =
             std::mem::take(&mut self.calls).into_iter().partition(|(n, _)| *n == node);
         self.calls = rest;
-        let gone: Vec<(usize, Step)> = gone;
+        let gone: Vec<(usize, JournalAction)> = gone;
         self.late.extend(gone.into_iter().map(|(_, step)| step));
     }
 
@@ -164,20 +164,21 @@
             return;
         }
         let session = self.running.remove(which % self.running.len());
-        let end = [End::Ran, End::NotRun, End::Unknown][usize::from(end)];
+        let end =
+            [ClaimOutcome::Ran, ClaimOutcome::NotRun, ClaimOutcome::Unknown][usize::from(end)];
         self.naive.insert(session.key, (session.body, Some(end)));
         let attempts = &mut self.nodes[session.node].attempts;
         match end {
-            End::Ran => {
-                let Attempt::Ran(Some(kept)) = answer(session.body) else { unreachable!() };
+            ClaimOutcome::Ran => {
+                let AttemptState::Ran(Some(kept)) = answer(session.body) else { unreachable!() };
                 attempts.ran(session.nonce, kept, self.now);
             }
-            End::NotRun => attempts.not_run(session.nonce, self.now),
-            End::Unknown => attempts.unknown(session.nonce, self.now),
+            ClaimOutcome::NotRun => attempts.not_run(session.nonce, self.now),
+            ClaimOutcome::Unknown => attempts.unknown(session.nonce, self.now),
         }
         let home = &mut self.nodes[session.home];
         if !home.paused {
-            home.journal.ended(claim_key(session.key), session.nonce, end, self.now);
+            home.journal.call_ended(claim_key(session.key), session.nonce, end, self.now);
         }
         self.run();
     }
@@ -190,11 +191,11 @@
         }
         let (node, step) = self.calls.remove(ready[which % ready.len()]);
         match step {
-            Step::Swap { .. } => {
+            JournalAction::Swap { .. } => {
                 let ended = self.swap(step, fate);
-                self.nodes[node].journal.swapped(ended, self.now);
+                self.nodes[node].journal.swap_completed(ended, self.now);
             }
-            Step::ReadHead => {
+            JournalAction::ReadHead => {
                 let back = match fate {
                     Fate::Good => Some(0),
                     Fate::Behind(back) => Some(back),
@@ -203,7 +204,7 @@
                 let read = back.map(|back| self.head(back)).ok_or(());
                 self.nodes[node].journal.head_read(read, self.now);
             }
-            Step::ReadSegments(range) => {
+            JournalAction::ReadSegments(range) => {
                 let read = match fate {
                     Fate::Good => {
                         Ok(range.filter_map(|n| self.segments.get(&n).cloned()).collect())
@@ -217,7 +218,7 @@
                 };
                 self.nodes[node].journal.segments_read(read, self.now);
             }
-            Step::Reply { .. } => unreachable!("replies are taken out at once"),
+            JournalAction::Reply { .. } => unreachable!("replies are taken out at once"),
         }
         self.run();
     }
@@ -258,44 +259,44 @@
         }
     }
 
-    fn swap(&mut self, step: Step, fate: Fate) -> Swapped {
+    fn swap(&mut self, step: JournalAction, fate: Fate) -> SwapResult {
         match fate {
             Fate::Good => match self.apply(&step) {
-                Some(revision) => Swapped::Done(revision),
-                None => Swapped::Conflict(self.head(0)),
+                Some(revision) => SwapResult::Done(revision),
+                None => SwapResult::Conflict(self.head(0)),
             },
             Fate::Behind(back) => match self.apply(&step) {
-                Some(revision) => Swapped::Done(revision),
-                None => Swapped::Conflict(self.head(back)),
+                Some(revision) => SwapResult::Done(revision),
+                None => SwapResult::Conflict(self.head(back)),
             },
             Fate::Lost => {
                 self.apply(&step);
-                Swapped::Unknown
+                SwapResult::Unknown
             }
-            Fate::Unsent => Swapped::Unsent,
-            Fate::Vanished => Swapped::Unknown,
+            Fate::Unsent => SwapResult::Unsent,
+            Fate::Vanished => SwapResult::Unknown,
             Fate::Delayed => {
                 self.late.push(step);
-                Swapped::Unknown
+                SwapResult::Unknown
             }
         }
     }
 
     /// The platform's transaction: the revision if the compare held.
-    fn apply(&mut self, step: &Step) -> Option<u64> {
-        let Step::Swap { expected, head, full } = step else { return None };
+    fn apply(&mut self, step: &JournalAction) -> Option<u64> {
+        let JournalAction::Swap { expected, head, segment } = step else { return None };
         let current = self.heads.last().map_or(0, |(_, revision)| *revision);
         if current != *expected {
             return None;
         }
-        if let Some(full) = full {
-            self.segments.insert(full.number, full.clone());
+        if let Some(segment) = segment {
+            self.segments.insert(segment.number, segment.clone());
         }
         self.heads.push((head.clone(), current + 1));
         Some(current + 1)
     }
 
-    fn head(&self, back: usize) -> Option<(Head, u64)> {
+    fn head(&self, back: usize) -> Option<(PartitionHead, u64)> {
         self.heads.iter().rev().nth(back).cloned()
     }
 
@@ -304,8 +305,8 @@
         session.nonce = self.next;
         session.hops += 1;
         let (node, home) = (session.node, session.home);
-        self.nodes[node].attempts.begin(session.nonce);
-        let ask = Ask {
+        self.nodes[node].attempts.claim_requested(session.nonce);
+        let ask = ClaimRequest {
             key: claim_key(session.key),
             fingerprint: session.body.into(),
             nonce: session.nonce,
@@ -313,7 +314,7 @@
         };
         self.sessions.push(session);
         if !self.nodes[home].paused {
-            self.nodes[home].journal.ask(ask, self.now);
+            self.nodes[home].journal.request(ask, self.now);
         }
     }
 
@@ -323,10 +324,12 @@
             let mut replies = Vec::new();
             for (index, node) in self.nodes.iter_mut().enumerate().filter(|(_, n)| !n.paused) {
                 node.journal.tick(self.now);
-                for step in node.journal.steps() {
+                for step in node.journal.take_actions() {
                     match step {
-                        Step::Reply { nonce, verdict } => replies.push((nonce, verdict)),
-                        Step::ReadHead | Step::ReadSegments(_) | Step::Swap { .. } => {
+                        JournalAction::Reply { nonce, decision } => replies.push((nonce, decision)),
+                        JournalAction::ReadHead
+                        | JournalAction::ReadSegments(_)
+                        | JournalAction::Swap { .. } => {
                             self.calls.push((index, step));
                         }
                     }
@@ -335,45 +338,45 @@
             if replies.is_empty() {
                 return;
             }
-            for (nonce, verdict) in replies {
-                self.verdict(nonce, verdict);
+            for (nonce, decision) in replies {
+                self.decided(nonce, decision);
             }
         }
     }
 
-    fn verdict(&mut self, nonce: u64, verdict: Verdict) {
+    fn decided(&mut self, nonce: u64, decision: ClaimDecision) {
         let Some(index) = self.sessions.iter().position(|s| s.nonce == nonce) else { return };
         let session = self.sessions.remove(index);
         let runner = &mut self.nodes[session.node].attempts;
-        if verdict == Verdict::Granted {
-            assert!(runner.granted(nonce));
+        if decision == ClaimDecision::Granted {
+            assert!(runner.claim_granted(nonce));
             self.grant(session);
             return;
         }
         runner.not_run(nonce, self.now);
-        match verdict {
-            Verdict::Granted => {}
-            Verdict::Reused => {
+        match decision {
+            ClaimDecision::Granted => {}
+            ClaimDecision::KeyReused => {
                 if self.asked.iter().all(|(k, b)| *k != session.key || *b == session.body) {
                     self.wrong.push(format!("{session:?}: told of a reuse that was none"));
                 }
                 self.tell(&session, Told::Reused);
             }
-            Verdict::Unavailable(_) => self.tell(&session, Told::Unavailable),
-            Verdict::Moved(_) | Verdict::Held(_) if session.hops > 4 => {
+            ClaimDecision::Unavailable(_) => self.tell(&session, Told::Unavailable),
+            ClaimDecision::Moved(_) | ClaimDecision::Held(_) if session.hops > 4 => {
                 self.tell(&session, Told::Unavailable);
             }
-            Verdict::Moved(to) => {
+            ClaimDecision::Moved(to) => {
                 let home = (0..3).find(|n| name(*n) == to).unwrap();
                 self.send(Session { home, ..session });
             }
-            Verdict::Held(holder) => {
+            ClaimDecision::Held(holder) => {
                 let runner = (0..3).find(|n| name(*n) == holder.runner).unwrap();
                 let node = &self.nodes[runner];
                 let word = match node.attempts.get(holder.nonce) {
-                    _ if node.paused => Word::Silent,
-                    Some(attempt) => Word::Known(attempt.clone()),
-                    None => Word::Forgotten,
+                    _ if node.paused => RunnerStatus::Unresponsive,
+                    Some(attempt) => RunnerStatus::Known(attempt.clone()),
+                    None => RunnerStatus::Forgotten,
                 };
                 match resolve(&holder, word) {
                     Resolution::Answer(kept) => self.answered(&session, kept.body[0]),
@@ -382,7 +385,12 @@
                         let home = &mut self.nodes[session.home];
                         if !home.paused {
                             let key = claim_key(session.key);
-                            home.journal.ended(key, holder.nonce, End::NotRun, self.now);
+                            home.journal.call_ended(
+                                key,
+                                holder.nonce,
+                                ClaimOutcome::NotRun,
+                                self.now,
+                            );
                         }
                         self.send(session);
                     }
@@ -393,7 +401,7 @@
 
     fn grant(&mut self, session: Session) {
         match self.naive.get(&session.key) {
-            None | Some((_, Some(End::NotRun))) => {}
+            None | Some((_, Some(ClaimOutcome::NotRun))) => {}
             Some(held) => self.wrong.push(format!("{session:?} granted over {held:?}")),
         }
         self.naive.insert(session.key, (session.body, None));
@@ -402,7 +410,7 @@
     }
 
     fn answered(&mut self, session: &Session, body: u8) {
-        if self.naive.get(&session.key) != Some(&(session.body, Some(End::Ran))) {
+        if self.naive.get(&session.key) != Some(&(session.body, Some(ClaimOutcome::Ran))) {
             self.wrong.push(format!("{session:?} got an answer that it has not"));
         }
         self.tell(session, Told::Answer(body));
@@ -413,7 +421,8 @@
             Kind::OutcomeUnknown => Told::Unknown,
             Kind::InProgress => Told::InProgress,
             Kind::AlreadyRan => {
-                let ran = matches!(self.naive.get(&session.key), Some((_, Some(End::Ran))));
+                let ran =
+                    matches!(self.naive.get(&session.key), Some((_, Some(ClaimOutcome::Ran))));
                 if !ran {
                     self.wrong.push(format!("{session:?} told that it already ran"));
                 }
