--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -76,7 +76,7 @@
                 Reply::Noted
             }
             Request::Claim(ask) => Reply::Verdict(claims::verdict(app, ask).await),
-            Request::Ended { key, nonce, outcome: end } => {
+            Request::Ended { key, nonce, end } => {
                 Reply::Recorded(claims::ended(app, key, nonce, end))
             }
             Request::Attempt(nonce) => Reply::Attempt(claims::attempt(app, nonce)),
