--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -1,4 +1,5 @@
-//! The store, through another node where it turns this one away.
+//! Access to the store, with a fallback to calls through other nodes while this node does not
+//! reach the store itself.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,71 +17,76 @@
 use crate::edge::peer::PeerError;
 use crate::edge::store::{Answer, Store, StoreError, Watched};
 
-/// How long another node may take with a call: its own call may take a third of it, and a
-/// lease has to be renewed within two seconds.
-const LIMIT: Duration = Duration::from_millis(1_000);
-/// How long a look at the own way takes at most, for the same reason.
-const PROBE: Duration = Duration::from_millis(300);
-/// How long a call that began before the store came back may still take after that.
-const GRACE: Duration = Duration::from_millis(100);
-/// A silence of the store that counts as an outage: longer than between two renewals of a
-/// lease, shorter than what makes entries of replicas lapse.
-const OUTAGE: Duration = Duration::from_millis(1_000);
-/// Nodes that are asked for one call.
-const ASKED: usize = 2;
+/// How long another node may take with a call: its own call to the store may take a third of it,
+/// and a lease has to be renewed within two seconds.
+const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long a probe of the direct path may take, for the same reason.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
+/// How long a call that began during an outage of the store may still take after its end.
+const RECOVERY_GRACE: Duration = Duration::from_millis(100);
+/// A time without any reply of the store that counts as an outage: longer than the time between
+/// two renewals of a lease, and shorter than the time after which entries of replicas expire.
+const MIN_OUTAGE: Duration = Duration::from_millis(1_000);
+/// How many other nodes are asked in turn for one call.
+const MAX_PEERS_PER_CALL: usize = 2;
 
-/// The store as a node reaches it. Cloning it shares what is believed.
+/// The store, reached directly or through another node. Clones share their state.
 #[derive(Debug, Clone)]
 pub(in crate::entry) struct FallbackStore {
     pub(super) direct: Arc<dyn Store>,
     peers: Arc<dyn Peers>,
     state: Arc<Mutex<State>>,
-    /// Counts how often the own way was found closed.
-    closed: watch::Sender<u64>,
-    /// Counts how often it was found open again.
-    opened: watch::Sender<u64>,
-    begun: Instant,
+    /// Counts how often the store became unreachable on the direct path.
+    disconnects: watch::Sender<u64>,
+    /// Counts how often the store became reachable again.
+    recoveries: watch::Sender<u64>,
+    started: Instant,
 }
 
-/// Nodes that are told at the same time that the store is back.
-const TOLD: usize = 16;
-/// How long one of them may take to say that it heard; it learns by itself otherwise.
-const TELL: Duration = Duration::from_millis(300);
+/// How many nodes are notified at the same time that the store is back.
+const MAX_CONCURRENT_NOTICES: usize = 16;
+/// How long a node may take to acknowledge that notice. A node that misses it finds out by its own
+/// probe.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Debug)]
 struct State {
+    /// Decides by which path calls are made.
     way: detour::Detour,
-    /// Who can be asked, the one that helped last first.
+    /// The nodes that can be asked, starting with the one that answered last.
     nodes: Vec<SocketAddr>,
-    /// The most that were known: an outage ends the leases of many that look on.
-    most: usize,
-    /// When the store last said something, on whichever way.
-    heard: Moment,
-    /// When it did so again after an outage.
-    back: Option<Moment>,
-    /// How long it was away from everybody in all outages that are over.
-    lost: Duration,
+    /// The largest number of nodes that were known. Probes are paced by it, because an outage ends
+    /// the leases of many nodes that go on probing.
+    max_nodes: usize,
+    /// When the store last replied, directly or through another node.
+    last_reply: Moment,
+    /// When the store replied again after the last outage. None if there was no outage.
+    recovered_at: Option<Moment>,
+    /// The total length of past outages in which no node reached the store.
+    total_outage: Duration,
 }
 
 impl State {
-    /// The store said something; `news` if it had not before, and `nobody` had heard it.
-    fn hear(&mut self, news: bool, nobody: bool, now: Moment) {
-        if nobody && news {
-            self.lost += now.saturating_sub(self.heard);
+    /// Records a reply of the store. `recovered` says that this path did not work before, and
+    /// `was_down` that the store was believed to be unreachable from every node.
+    fn record_reply(&mut self, recovered: bool, was_down: bool, now: Moment) {
+        if was_down && recovered {
+            self.total_outage += now.saturating_sub(self.last_reply);
         }
-        if news || now.saturating_sub(self.heard) > OUTAGE {
-            self.back = Some(now);
+        if recovered || now.saturating_sub(self.last_reply) > MIN_OUTAGE {
+            self.recovered_at = Some(now);
         }
-        self.heard = now;
+        self.last_reply = now;
     }
 }
 
 /// How a call through another node ended.
-enum Helped<T> {
+enum PeerCall<T> {
+    /// The store replied.
     Answered(Result<T, StoreError>),
-    /// It did nothing.
-    Not(StoreError),
-    /// It may have done it.
+    /// The other node did not make the call.
+    NotDone(StoreError),
+    /// The other node may have made the call.
     Unsure(StoreError),
 }
 
@@ -94,62 +100,62 @@
         way.set_pace(detour::pace(seeds.len() + 1, rand::random()), rand::random());
         let state = State {
             way,
-            most: seeds.len(),
+            max_nodes: seeds.len(),
             nodes: seeds,
-            heard: Moment::ZERO,
-            back: None,
-            lost: Duration::ZERO,
+            last_reply: Moment::ZERO,
+            recovered_at: None,
+            total_outage: Duration::ZERO,
         };
         Self {
             direct,
             peers,
             state: Arc::new(Mutex::new(state)),
-            closed: watch::Sender::new(0),
-            opened: watch::Sender::new(0),
-            begun: Instant::now(),
+            disconnects: watch::Sender::new(0),
+            recoveries: watch::Sender::new(0),
+            started: Instant::now(),
         }
     }
 
-    /// Whether the store answers this node, as far as is known.
+    /// Whether this node is believed to reach the store directly.
     pub(in crate::entry) fn is_direct(&self) -> bool {
         self.state.lock().way.open()
     }
 
-    /// Whether the store is away from everybody, as far as is known.
+    /// Whether the store is believed to be unreachable from every node.
     pub(in crate::entry) fn is_down(&self) -> bool {
         self.state.lock().way.nobody()
     }
 
-    /// How long the store has been away from everybody; none while it is not.
+    /// Returns for how long no node has reached the store. None if one does.
     pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
-        let away = self.begun.elapsed().saturating_sub(state.heard);
+        let away = self.started.elapsed().saturating_sub(state.last_reply);
         state.way.nobody().then_some(away)
     }
 
-    /// The present on a clock that stands while the store is away from everybody: nobody can be
-    /// listed meanwhile, so that time says nothing of who is missing.
+    /// Returns the present on a clock that stops while no node reaches the store. Nodes cannot
+    /// renew their registration in that time, so it does not count towards their absence.
     pub(in crate::entry) fn store_time(&self) -> Moment {
         let state = self.state.lock();
-        let now = if state.way.nobody() { state.heard } else { self.begun.elapsed() };
-        now.saturating_sub(state.lost)
+        let now = if state.way.nobody() { state.last_reply } else { self.started.elapsed() };
+        now.saturating_sub(state.total_outage)
     }
 
-    /// How long ago the store came back after an outage; none if there was none.
+    /// Returns how long ago the last outage of the store ended. None if there was no outage.
     pub(in crate::entry) fn time_since_recovery(&self) -> Option<Duration> {
-        let back = self.state.lock().back?;
-        Some(self.begun.elapsed().saturating_sub(back))
+        let recovered_at = self.state.lock().recovered_at?;
+        Some(self.started.elapsed().saturating_sub(recovered_at))
     }
 
-    /// Takes over who can be asked.
+    /// Sets the nodes that can be asked. The node that answered last stays first.
     pub(in crate::entry) fn set_peers(&self, nodes: Vec<SocketAddr>) {
         if nodes.is_empty() {
             return;
         }
         let mut state = self.state.lock();
         let first = state.nodes.first().copied();
-        if nodes.len() > state.most {
-            state.most = nodes.len();
+        if nodes.len() > state.max_nodes {
+            state.max_nodes = nodes.len();
             let pace = detour::pace(nodes.len() + 1, rand::random());
             state.way.set_pace(pace, rand::random());
         }
@@ -159,20 +165,26 @@
         }
     }
 
-    /// Makes a call. `again` for one that may be made more than once.
+    /// Makes a call, directly or through another node. `repeatable` says that the call may be made
+    /// more than once without harm.
+    ///
+    /// # Errors
+    ///
+    /// `Refused` if no node has made the call, `Unknown` if one may have made it, and `Compacted`
+    /// if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
         direct: Answer<T>,
-        ask: StoreRequest,
-        again: bool,
-        open: fn(StoreReply) -> Option<T>,
+        request: StoreRequest,
+        repeatable: bool,
+        extract: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
-        let mut way = self.way(again);
+        let mut way = self.way(repeatable);
         if way == Way::Peer {
-            match self.clone().ask(ask.clone(), again, None, open).await {
-                Err(e) if again || matches!(e, StoreError::Refused(_)) => {
-                    // Nobody can help: the own way may have opened meanwhile.
-                    way = self.way(again);
+            match self.clone().call_peers(request.clone(), repeatable, None, extract).await {
+                Err(e) if repeatable || matches!(e, StoreError::Refused(_)) => {
+                    // No node can help, but the direct path may have recovered meanwhile.
+                    way = self.way(repeatable);
                     if way != Way::Alone {
                         return Err(e);
                     }
@@ -180,162 +192,186 @@
                 answer => return answer,
             }
         }
-        let tried = match way {
-            Way::Peer | Way::Not => return Err(StoreError::Refused("away from all".to_owned())),
-            Way::Probe => look(direct).await,
-            Way::Alone if again => look(direct).await,
-            Way::Direct | Way::Alone => self.until_opened(direct).await,
+        let result = match way {
+            Way::Peer | Way::Not => {
+                return Err(StoreError::Refused(
+                    "the store is unreachable from every node".to_owned(),
+                ));
+            }
+            Way::Probe => probe_call(direct).await,
+            Way::Alone if repeatable => probe_call(direct).await,
+            Way::Direct | Way::Alone => self.until_recovery(direct).await,
         };
-        let failed = match tried {
+        let failed = match result {
             Ok(answer) => {
-                self.answered();
+                self.record_success();
                 return Ok(answer);
             }
             Err(StoreError::Compacted) => {
-                self.answered();
+                self.record_success();
                 return Err(StoreError::Compacted);
             }
             Err(e) => {
-                // Whoever watches has to learn that the watch was cut. That is one connection's
-                // end; the next call shows whether the way is closed.
-                if matches!(ask, StoreRequest::Watch { .. }) {
+                // The caller of a watch has to learn that it was cut. That may be the end of just
+                // one connection; the next call shows whether the store is still reachable.
+                if matches!(request, StoreRequest::Watch { .. }) {
                     return Err(e);
                 }
-                self.failed(&e);
-                if way == Way::Alone || (!again && matches!(e, StoreError::Unknown(_))) {
+                self.record_failure(&e);
+                if way == Way::Alone || (!repeatable && matches!(e, StoreError::Unknown(_))) {
                     return Err(e);
                 }
                 e
             }
         };
-        self.ask(ask, again, Some(failed), open).await
+        self.call_peers(request, repeatable, Some(failed), extract).await
     }
 
-    /// Looks whether the own way is open, whoever looked when. One call.
+    /// Probes the direct path with one call, regardless of when it was last probed. True if the
+    /// store answers.
     pub(in crate::entry) async fn probe(&self, key: &str) -> bool {
-        match look(self.direct.get(key)).await {
+        match probe_call(self.direct.get(key)).await {
             Ok(_) => {
-                self.answered();
+                self.record_success();
                 true
             }
             Err(e) => {
-                self.failed(&e);
+                self.record_failure(&e);
                 false
             }
         }
     }
 
-    fn way(&self, again: bool) -> Way {
-        self.state.lock().way.way(again, self.begun.elapsed())
+    /// Chooses the path of a call.
+    fn way(&self, repeatable: bool) -> Way {
+        self.state.lock().way.way(repeatable, self.started.elapsed())
     }
 
-    async fn ask<T>(
+    /// Makes a call through other nodes. `failed` is the error of the direct call before it.
+    async fn call_peers<T>(
         self,
-        ask: StoreRequest,
-        again: bool,
+        request: StoreRequest,
+        repeatable: bool,
         failed: Option<StoreError>,
-        open: fn(StoreReply) -> Option<T>,
+        extract: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
-        let nodes: Vec<SocketAddr> = self.state.lock().nodes.iter().copied().take(ASKED).collect();
-        let mut last = failed.unwrap_or_else(|| StoreError::Refused("no node to ask".to_owned()));
+        let nodes: Vec<SocketAddr> =
+            self.state.lock().nodes.iter().copied().take(MAX_PEERS_PER_CALL).collect();
+        let mut last = failed.unwrap_or_else(|| {
+            StoreError::Refused("no other node is known to make the call".to_owned())
+        });
         for node in nodes {
-            match self.help(node, ask.clone(), open).await {
-                Helped::Answered(answer) => {
+            match self.call_peer(node, request.clone(), extract).await {
+                PeerCall::Answered(answer) => {
                     let mut state = self.state.lock();
-                    let nobody = state.way.nobody();
-                    let news = state.way.helped();
-                    state.hear(news, nobody, self.begun.elapsed());
+                    let was_down = state.way.nobody();
+                    let recovered = state.way.helped();
+                    state.record_reply(recovered, was_down, self.started.elapsed());
                     return answer;
                 }
-                Helped::Unsure(e) if !again => return Err(e),
-                Helped::Not(e) | Helped::Unsure(e) => last = e,
+                PeerCall::Unsure(e) if !repeatable => return Err(e),
+                PeerCall::NotDone(e) | PeerCall::Unsure(e) => last = e,
             }
-            // The next call asks another one first.
+            // The next call asks another node first.
             self.state.lock().nodes.rotate_left(1);
         }
-        self.state.lock().way.alone(self.begun.elapsed());
+        self.state.lock().way.alone(self.started.elapsed());
         Err(last)
     }
 
-    async fn help<T>(
+    /// Makes a call through one other node.
+    async fn call_peer<T>(
         &self,
         node: SocketAddr,
-        ask: StoreRequest,
-        open: fn(StoreReply) -> Option<T>,
-    ) -> Helped<T> {
-        let limit = match &ask {
-            StoreRequest::Watch { wait, .. } => LIMIT + *wait,
-            _ => LIMIT,
+        request: StoreRequest,
+        extract: fn(StoreReply) -> Option<T>,
+    ) -> PeerCall<T> {
+        let timeout = match &request {
+            StoreRequest::Watch { wait, .. } => PEER_CALL_TIMEOUT + *wait,
+            _ => PEER_CALL_TIMEOUT,
         };
-        match self.peers.ask(node, PeerRequest::Store(ask), limit).await {
-            Ok(PeerReply::Store(Ok(reply))) => Helped::Answered(
-                open(reply).ok_or_else(|| StoreError::Unknown("another answer".to_owned())),
-            ),
+        match self.peers.request(node, PeerRequest::Store(request), timeout).await {
+            Ok(PeerReply::Store(Ok(reply))) => {
+                PeerCall::Answered(extract(reply).ok_or_else(|| {
+                    StoreError::Unknown(
+                        "the node replied with a message of another kind".to_owned(),
+                    )
+                }))
+            }
             Ok(PeerReply::Store(Err(StoreError::Compacted))) => {
-                Helped::Answered(Err(StoreError::Compacted))
+                PeerCall::Answered(Err(StoreError::Compacted))
+            }
+            Ok(PeerReply::Store(Err(e @ StoreError::Refused(_)))) => PeerCall::NotDone(e),
+            Ok(PeerReply::Store(Err(e))) => PeerCall::Unsure(e),
+            Ok(_) => PeerCall::Unsure(StoreError::Unknown(
+                "the node replied with a message of another kind".to_owned(),
+            )),
+            Err(e @ PeerError::Connect { .. }) => {
+                PeerCall::NotDone(StoreError::Refused(e.to_string()))
             }
-            Ok(PeerReply::Store(Err(e @ StoreError::Refused(_)))) => Helped::Not(e),
-            Ok(PeerReply::Store(Err(e))) => Helped::Unsure(e),
-            Ok(_) => Helped::Unsure(StoreError::Unknown("another answer".to_owned())),
-            Err(e @ PeerError::Connect { .. }) => Helped::Not(StoreError::Refused(e.to_string())),
-            Err(e) => Helped::Unsure(StoreError::Unknown(e.to_string())),
+            Err(e) => PeerCall::Unsure(StoreError::Unknown(e.to_string())),
         }
     }
 
-    /// A call on the own way. One that began while the store was away is not answered after
-    /// its return either, and is given up then.
-    async fn until_opened<T>(&self, called: Answer<T>) -> Result<T, StoreError> {
-        let mut opened = self.opened.subscribe();
+    /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
+    /// so it is given up [`RECOVERY_GRACE`] after that.
+    async fn until_recovery<T>(&self, call: Answer<T>) -> Result<T, StoreError> {
+        let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
-            answer = called => answer,
+            answer = call => answer,
             () = async {
-                let _ = opened.changed().await;
-                tokio::time::sleep(GRACE).await;
-            } => Err(StoreError::Unknown("no answer as the store came back".to_owned())),
+                let _ = recoveries.changed().await;
+                tokio::time::sleep(RECOVERY_GRACE).await;
+            } => Err(StoreError::Unknown("no answer to a call that began before the store came back".to_owned())),
         }
     }
 
-    /// A watch on the own way, which hangs unnoticed where the store has fallen silent.
+    /// Wraps a direct watch so that it fails once the store becomes unreachable: the watch itself
+    /// would go on waiting.
     pub(super) fn until_closed(&self, watched: Answer<Watched>) -> Answer<Watched> {
-        let mut closed = self.closed.subscribe();
+        let mut disconnects = self.disconnects.subscribe();
         Box::pin(async move {
             tokio::select! {
                 watched = watched => watched,
-                _ = closed.changed() => {
-                    Err(StoreError::Unknown("the way to the store is closed".to_owned()))
+                _ = disconnects.changed() => {
+                    Err(StoreError::Unknown("the store became unreachable during the watch".to_owned()))
                 }
             }
         })
     }
 
-    fn answered(&self) {
-        let (nobody, news) = {
+    /// Records that the store answered a direct call. Notifies the other nodes if no node reached
+    /// it before.
+    fn record_success(&self) {
+        let (was_down, recovered) = {
             let mut state = self.state.lock();
-            let nobody = state.way.nobody();
-            let news = state.way.answered();
-            state.hear(news, nobody, self.begun.elapsed());
-            (nobody, news)
+            let was_down = state.way.nobody();
+            let recovered = state.way.answered();
+            state.record_reply(recovered, was_down, self.started.elapsed());
+            (was_down, recovered)
         };
-        if !news {
+        if !recovered {
             return;
         }
-        self.opened.send_modify(|n| *n += 1);
+        self.recoveries.send_modify(|n| *n += 1);
         tracing::info!(event = "store_reached", way = "direct");
-        if nobody {
-            tokio::spawn(self.clone().tell());
+        if was_down {
+            tokio::spawn(self.clone().announce_recovery());
         }
     }
 
-    /// Tells the others that the store is back: they look now and not in a while.
-    async fn tell(self) {
+    /// Notifies the other nodes that the store is back, so that they probe it at once.
+    async fn announce_recovery(self) {
         let nodes = self.state.lock().nodes.clone();
-        let asks =
-            nodes.into_iter().map(|to| self.peers.ask(to, PeerRequest::StoreRecovered, TELL));
-        let mut asks = futures_util::stream::iter(asks).buffer_unordered(TOLD);
-        while asks.next().await.is_some() {}
+        let notices = nodes
+            .into_iter()
+            .map(|to| self.peers.request(to, PeerRequest::StoreRecovered, NOTICE_TIMEOUT));
+        let mut notices =
+            futures_util::stream::iter(notices).buffer_unordered(MAX_CONCURRENT_NOTICES);
+        while notices.next().await.is_some() {}
     }
 
-    /// Another node says that the store is back. Whoever is told does not tell on.
+    /// Handles the notice of another node that the store is back. It is not passed on.
     pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
@@ -343,28 +379,29 @@
                 return;
             }
             state.way.told();
-            state.hear(true, true, self.begun.elapsed());
+            state.record_reply(true, true, self.started.elapsed());
         }
-        self.opened.send_modify(|n| *n += 1);
+        self.recoveries.send_modify(|n| *n += 1);
         tracing::info!(event = "store_reached", way = "told");
     }
 
-    /// Waits for a pause to be over, or for the store to be back.
-    pub(in crate::entry) async fn wait_for_recovery(&self, pause: Duration) {
-        let mut opened = self.opened.subscribe();
-        let _ = tokio::time::timeout(pause, opened.changed()).await;
+    /// Waits for `delay`, or until the store is back if that is earlier.
+    pub(in crate::entry) async fn wait_for_recovery(&self, delay: Duration) {
+        let mut recoveries = self.recoveries.subscribe();
+        let _ = tokio::time::timeout(delay, recoveries.changed()).await;
     }
 
-    fn failed(&self, e: &StoreError) {
-        if self.state.lock().way.failed(self.begun.elapsed()) {
-            self.closed.send_modify(|n| *n += 1);
+    /// Records that a direct call failed.
+    fn record_failure(&self, e: &StoreError) {
+        if self.state.lock().way.failed(self.started.elapsed()) {
+            self.disconnects.send_modify(|n| *n += 1);
             tracing::info!(event = "store_not_reached", way = "direct", error = %e);
         }
     }
 }
 
-/// A call that is to show soon whether the own way is open.
-async fn look<T>(called: Answer<T>) -> Result<T, StoreError> {
-    let late = || StoreError::Unknown("no answer to a look".to_owned());
-    tokio::time::timeout(PROBE, called).await.unwrap_or_else(|_| Err(late()))
+/// Makes a call within [`PROBE_TIMEOUT`], to show soon whether the direct path works.
+async fn probe_call<T>(call: Answer<T>) -> Result<T, StoreError> {
+    let late = || StoreError::Unknown("no answer to a probe".to_owned());
+    tokio::time::timeout(PROBE_TIMEOUT, call).await.unwrap_or_else(|_| Err(late()))
 }
--- a/src/entry/peer/http_peers.rs
+++ b/src/entry/peer/http_peers.rs
@@ -1,4 +1,4 @@
-//! Requests to other nodes over HTTP/2.
+//! Sends requests to other entry nodes over HTTP/2.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,28 +11,28 @@
 use crate::edge::peer::{PeerClient, PeerError};
 use crate::metrics::Tally;
 
-/// The client.
+/// An HTTP/2 client for requests to other entry nodes.
 #[derive(Debug, Clone)]
 pub struct HttpPeers {
     client: PeerClient<PeerRequest>,
 }
 
 impl HttpPeers {
-    /// A client whose messages are counted.
+    /// Creates a client that counts its messages and bytes.
     pub fn new(tally: Arc<Tally>) -> Self {
-        let counts = move |ask: &PeerRequest| tally.peer(ask.purpose());
+        let counts = move |request: &PeerRequest| tally.peer(request.purpose());
         Self { client: PeerClient::new(counts) }
     }
 }
 
 impl Peers for HttpPeers {
-    fn ask(
+    fn request(
         &self,
         to: SocketAddr,
-        ask: PeerRequest,
-        limit: Duration,
+        request: PeerRequest,
+        timeout: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>> {
         let client = self.client.clone();
-        Box::pin(async move { client.ask(to, &ask, limit).await })
+        Box::pin(async move { client.ask(to, &request, timeout).await })
     }
 }
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -1,4 +1,5 @@
-//! What nodes say to each other.
+//! The messages that entry nodes exchange. They are encoded by position, so the order of variants
+//! and fields is part of the protocol.
 
 use std::time::Duration;
 
@@ -18,147 +19,148 @@
 /// A request to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Be home to this job.
+    /// Own this job: accept it and run it.
     Submit(Spec),
-    /// Say whether you have this job.
+    /// Ask whether the node owns a job, or has all results of it.
     OwnsJob(Name),
-    /// The body of a sample of a job that you have.
+    /// Read the request body of a sample of a job that the node has.
     Body {
-        /// The job.
+        /// The id of the job.
         job: Name,
-        /// The sample.
+        /// The id of the sample.
         item: Name,
     },
-    /// The results of a job that you have.
+    /// Read results of a job that the node has.
     Read {
-        /// The job.
+        /// The id of the job.
         job: Name,
-        /// From this position on.
+        /// The position of the first result to return.
         after: usize,
-        /// How long to wait for one.
+        /// How long to wait for a result.
         wait: Duration,
     },
-    /// All of what you believe.
+    /// Read a snapshot of a feed.
     Snapshot {
-        /// Of what.
-        followed: FeedTopic,
-        /// How long to wait for it, where nothing is known yet.
+        /// The feed.
+        topic: FeedTopic,
+        /// How long to wait for the first snapshot if the node has none yet.
         wait: Duration,
     },
-    /// Changes that you have watched.
+    /// Read the changes of a feed that the node has watched in the store.
     Follow {
-        /// Of what.
-        followed: FeedTopic,
-        /// After this revision.
+        /// The feed.
+        topic: FeedTopic,
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long to wait for one.
+        /// How long to wait for a change.
         wait: Duration,
     },
-    /// Say what the steps of each model bring at you.
+    /// Read the demand of the training steps and samples on the node.
     Demand,
-    /// Call the store for me.
+    /// Make a call to the store for the sender.
     Store(StoreRequest),
-    /// What you should know of the requests that have begun at me.
+    /// Share the counts of requests that the sender has made.
     Usage {
         /// The incarnation of the node that counted the requests.
         incarnation: Name,
-        /// The time of day there.
+        /// The time of day there, since the Unix epoch.
         time: Duration,
-        /// Its counts.
+        /// Its counts by window.
         notes: Vec<WindowNote>,
     },
-    /// The store answers again.
+    /// Tell the node that the store answers again after an outage.
     StoreRecovered,
 }
 
-/// What one node may follow at another.
+/// A topic that one node may follow on another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FeedTopic {
     /// The configuration.
     Routes,
     /// The list of replicas.
     Replicas,
-    /// Nodes and the holder of orders.
+    /// The nodes and the leader.
     Nodes,
 }
 
-/// A call to the store.
+/// A call to the store that another node makes for the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreRequest {
-    /// A key.
+    /// Read a key.
     Get(Name),
-    /// All keys under a prefix.
+    /// Read all keys under a prefix.
     Range(Name),
-    /// Changes under a prefix after a revision.
+    /// Wait for changes under a prefix after a revision.
     Watch {
         /// The prefix.
         prefix: Name,
-        /// The revision.
+        /// The revision after which changes are returned.
         after: u64,
-        /// How long to wait for one.
+        /// How long to wait for a change.
         wait: Duration,
     },
-    /// A write.
+    /// Run a transaction.
     Txn(Txn),
-    /// A new lease.
+    /// Grant a lease with this time to live.
     Grant(Duration),
-    /// The renewal of a lease.
+    /// Renew a lease.
     Keep(u64),
-    /// The end of a lease.
+    /// End a lease.
     End(u64),
 }
 
-/// The answer of another node.
+/// The reply of a node to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// What became of a submission.
     Submitted(Submitted),
-    /// The results; none where this node is not surely home.
+    /// The results. None if the node may not be the owner of the job any more.
     Read(Option<Read>),
-    /// Whether this node is surely home to it, or has all of it.
+    /// Whether the node is certain to own the job, or has all results of it.
     Found(bool),
-    /// The body; none where this node does not have it.
+    /// The body. None if the node does not have it.
     Body(Option<Bytes>),
-    /// What was heard; none where this node can't say.
+    /// The snapshot or the changes. None if the node has none.
     Followed(Option<FeedUpdate>),
-    /// What the steps of each model bring.
+    /// The demand on the node.
     Demand {
         /// The work of one step, by model.
         steps: Vec<(Name, u64)>,
-        /// The incarnation that says so.
+        /// The incarnation of the node that replies.
         life: Name,
-        /// How long its samples have wanted places, by service, in place milliseconds.
+        /// How long its samples have waited for slots or held them, by service, in
+        /// slot-milliseconds.
         wanted: Vec<(Name, u64)>,
     },
-    /// What the store said.
+    /// The reply of the store.
     Store(Result<StoreReply, StoreError>),
-    /// The counts were heard.
+    /// Usage counts were recorded.
     UsageNoted {
-        /// The incarnation that heard them.
+        /// The incarnation of the node that recorded them.
         life: Name,
-        /// The time of day there.
+        /// The time of day there, since the Unix epoch.
         time: Duration,
     },
-    /// It was heard.
+    /// The message was received.
     Noted,
 }
 
-/// The answer of the store.
+/// The reply of the store to a [`StoreRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
-    /// To `Get`.
+    /// Replies to `Get`: the key, if it exists.
     Item(Option<Item>),
-    /// To `Range`.
+    /// Replies to `Range`.
     Page(Page),
-    /// To `Watch`.
+    /// Replies to `Watch`.
     Watched(Watched),
-    /// To `Txn`.
+    /// Replies to `Txn`.
     Txn(TxnEnd),
-    /// To `Grant`.
+    /// Replies to `Grant`: the lease id.
     Lease(u64),
-    /// To `Keep`.
+    /// Replies to `Keep`: whether the lease still exists.
     Kept(bool),
-    /// To `End`.
+    /// Replies to `End`.
     Ended,
 }
 
@@ -167,7 +169,7 @@
 }
 
 impl PeerRequest {
-    /// What its bytes, and those of its reply, count for.
+    /// Returns the purpose under which the bytes of the request and of its reply are counted.
     pub fn purpose(&self) -> PeerUse {
         match self {
             Self::Submit(_) => PeerUse::Submit,
--- a/src/entry/peer/mod.rs
+++ b/src/entry/peer/mod.rs
@@ -1,5 +1,5 @@
-//! What entry nodes do for each other: a job's home takes its submission and answers its
-//! reads, and a node that the store turns away reaches it through another.
+//! Requests between entry nodes: the owner of a job accepts its submission and answers its reads,
+//! and a node that cannot reach the store makes its calls through another node.
 
 mod fallback_store;
 mod http_peers;
--- a/src/entry/peer/peers.rs
+++ b/src/entry/peer/peers.rs
@@ -1,4 +1,4 @@
-//! The port.
+//! The port to the other entry nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,13 +8,13 @@
 use super::messages::{PeerReply, PeerRequest};
 use crate::edge::peer::PeerError;
 
-/// The other nodes.
+/// Sends requests to other entry nodes.
 pub trait Peers: std::fmt::Debug + Send + Sync + 'static {
-    /// Asks one of them.
-    fn ask(
+    /// Sends a request to the node at `to` and waits at most `timeout` for its reply.
+    fn request(
         &self,
         to: SocketAddr,
-        ask: PeerRequest,
-        limit: Duration,
+        request: PeerRequest,
+        timeout: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>>;
 }
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -1,4 +1,5 @@
-//! Submissions and reads at the node that is home to a job.
+//! Requests of this node to other nodes: submissions and reads at the owner of a job, updates of
+//! feeds, and the demand that the leader collects.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -20,40 +21,41 @@
 use crate::entry::remote_jobs::{JobLocation, RemoteJob};
 use crate::entry::submit::Submitted;
 
-/// How long a home may take to accept a job: one write, in the slowest store that was seen
-/// a quarter of a second.
-const SUBMIT: Duration = Duration::from_millis(600);
-/// How long a node may take to say whether it has a job.
-const FIND: Duration = Duration::from_millis(150);
-/// How much longer than it may wait a home may take to answer a read.
-const READ: Duration = Duration::from_millis(400);
-/// How long another node may wait for a change: its silence is found this much later, and
-/// the time to drain is two or three seconds.
-const FOLLOW: Duration = Duration::from_millis(1_000);
-/// How long a node may take to say all that it believes to one that starts, beside the time
-/// that it may wait for it: it has it at hand, and without an answer the store is asked.
-const WHOLE: Duration = Duration::from_millis(200);
-/// How often homes are asked what their steps bring: steps come every few seconds.
-const DEMAND: Duration = Duration::from_secs(1);
-/// How long a node that did not answer is not asked: its lease ends within two seconds.
-const SHUNNED: Duration = Duration::from_millis(2_500);
+/// How long an owner may take to accept a job. It makes one write, which took a quarter of a second
+/// in the slowest store seen.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long a node may take to answer whether it has a job, or which demand it has.
+const FIND_OWNER_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long a node may take to reply to a read, beyond the time for which it may wait.
+const REPLY_MARGIN: Duration = Duration::from_millis(400);
+/// How long another node may wait for a change before it replies. The failure of that node is
+/// noticed this much later, and the time to drain is two or three seconds.
+const MAX_UPDATE_WAIT: Duration = Duration::from_millis(1_000);
+/// How long a node may take to reply with a snapshot, beyond the time for which it may wait for
+/// one. The snapshot is in memory, and without a reply the store is read.
+const SNAPSHOT_REPLY_MARGIN: Duration = Duration::from_millis(200);
+/// How often the leader asks the owners of jobs for their demand. Steps come every few seconds.
+const DEMAND_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// How long a node that did not reply gets no further requests. If it is gone, its lease ends
+/// within two seconds.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(2_500);
 
-/// What became of a job that was handed to another node.
+/// The outcome of forwarding a job to another node. The variant names appear in log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::entry) enum ForwardOutcome {
-    /// It is kept there.
+    /// The other node has accepted the job.
     Kept,
-    /// It is not.
+    /// The other node has not accepted the job.
     Not,
-    /// It may be.
+    /// The other node may have accepted the job.
     Unsure,
 }
 
 impl App {
-    /// Hands a job to the node that is to be its home, if that is another one.
+    /// Forwards a job to the node that is preferred as its owner, if that is another one.
     pub(in crate::entry) async fn forward_job(&self, spec: &Spec) -> ForwardOutcome {
-        let Some(to) = self.preferred(spec) else { return ForwardOutcome::Not };
-        let reply = self.ask(to, PeerRequest::Submit(spec.clone()), SUBMIT).await;
+        let Some(to) = self.preferred_owner(spec) else { return ForwardOutcome::Not };
+        let reply = self.request(to, PeerRequest::Submit(spec.clone()), SUBMIT_TIMEOUT).await;
         let passed = match &reply {
             Ok(PeerReply::Submitted(Submitted::Kept)) => ForwardOutcome::Kept,
             Ok(PeerReply::Submitted(Submitted::Refused(_))) => ForwardOutcome::Not,
@@ -68,70 +70,81 @@
         passed
     }
 
-    /// Where the jobs of a route are to run; none for this node.
-    fn preferred(&self, spec: &Spec) -> Option<SocketAddr> {
+    /// Returns the address of the node that should own the jobs of a route. None if it is this node,
+    /// is unknown or is unreachable.
+    fn preferred_owner(&self, spec: &Spec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.membership.lock().peers();
         let names: Vec<Name> = nodes.keys().cloned().collect();
-        let homes = affinity::preferred(&routes.batch(), &names);
-        let home = homes.get(&route.name).filter(|home| **home != self.settings.name)?;
-        let to = *nodes.get(home)?;
+        let owners = affinity::preferred(&routes.batch(), &names);
+        let owner = owners.get(&route.name).filter(|owner| **owner != self.settings.name)?;
+        let to = *nodes.get(owner)?;
         (!self.is_unreachable(to)).then_some(to)
     }
 
-    /// Reads at a job's home; none if that does not answer, or is this node.
-    pub(in crate::entry) async fn read_at_home(
+    /// Reads results of a job from its owner. None if the owner does not reply or is this node.
+    pub(in crate::entry) async fn read_from_owner(
         &self,
         job: &str,
         after: usize,
         wait: Duration,
     ) -> Result<Option<Read>, StoreError> {
-        let view = self.remote_jobs.get(job);
-        let Some(life) = self.at(job, &view).await? else { return Ok(None) };
-        let Some(to) = self.membership.lock().peer(&life).filter(|to| !self.is_unreachable(*to))
+        let remote = self.remote_jobs.get(job);
+        let Some(incarnation) = self.locate_owner(job, &remote).await? else { return Ok(None) };
+        let Some(to) =
+            self.membership.lock().peer(&incarnation).filter(|to| !self.is_unreachable(*to))
         else {
             return Ok(None);
         };
-        let ask = PeerRequest::Read { job: job.into(), after, wait };
-        match self.ask(to, ask, wait + READ).await {
+        let request = PeerRequest::Read { job: job.into(), after, wait };
+        match self.request(to, request, wait + REPLY_MARGIN).await {
             Ok(PeerReply::Read(Some(read))) => Ok(Some(read)),
-            // It is home no more, or does not know what its last write came to.
+            // It no longer owns the job, or does not know whether its last write was done.
             Ok(_) => {
-                view.state.lock().location = JobLocation::Unknown;
+                remote.state.lock().location = JobLocation::Unknown;
                 Ok(None)
             }
             Err(_) => Ok(None),
         }
     }
 
-    /// The body of a sample from the node that has its job; none where that can't be asked.
-    pub(in crate::entry) async fn body_at_home(&self, job: &str, item: &str) -> Option<Bytes> {
-        let view = self.remote_jobs.get(job);
-        let known = match &view.state.lock().location {
-            JobLocation::Home { life, .. } => Some(life.clone()),
+    /// Reads the body of a sample from the node that has its job. None if no such node replies.
+    pub(in crate::entry) async fn body_from_owner(&self, job: &str, item: &str) -> Option<Bytes> {
+        let remote = self.remote_jobs.get(job);
+        let known = match &remote.state.lock().location {
+            JobLocation::Owner { incarnation, .. } => Some(incarnation.clone()),
             JobLocation::Store | JobLocation::Unknown => None,
         };
-        let life = self.find(job, known).await?;
-        let to = self.membership.lock().peer(&life)?;
-        let ask = PeerRequest::Body { job: job.into(), item: item.into() };
-        match self.ask(to, ask, READ).await {
+        let incarnation = self.find_owner(job, known).await?;
+        let to = self.membership.lock().peer(&incarnation)?;
+        let request = PeerRequest::Body { job: job.into(), item: item.into() };
+        match self.request(to, request, REPLY_MARGIN).await {
             Ok(PeerReply::Body(body)) => body,
             _ => None,
         }
     }
 
-    /// The life of a node that says it has a job: the one that had it, or one that jobs of a
-    /// route are handed to. It answers for itself, so nothing depends on this.
-    async fn find(&self, job: &str, known: Option<Name>) -> Option<Name> {
-        let asked = self.likely_homes(known);
-        let asks =
-            asked.into_iter().filter(|(_, to)| !self.is_unreachable(*to)).map(|(life, to)| {
-                let ask = self.peers.ask(to, PeerRequest::OwnsJob(job.into()), FIND);
-                async move { matches!(ask.await, Ok(PeerReply::Found(true))).then_some(life) }
-            });
-        let mut asks: FuturesUnordered<_> = asks.collect();
-        while let Some(found) = asks.next().await {
+    /// Finds the incarnation of a node that has a job. Asks `known` if that is running, and
+    /// otherwise the nodes that are preferred as owners of jobs. The owner confirms its ownership
+    /// again with each reply, so a wrong answer does no harm.
+    async fn find_owner(&self, job: &str, known: Option<Name>) -> Option<Name> {
+        let owners = self.likely_owners(known);
+        let requests =
+            owners.into_iter().filter(|(_, to)| !self.is_unreachable(*to)).map(
+                |(incarnation, to)| {
+                    let reply = self.peers.request(
+                        to,
+                        PeerRequest::OwnsJob(job.into()),
+                        FIND_OWNER_TIMEOUT,
+                    );
+                    async move {
+                        matches!(reply.await, Ok(PeerReply::Found(true))).then_some(incarnation)
+                    }
+                },
+            );
+        let mut replies: FuturesUnordered<_> = requests.collect();
+        while let Some(found) = replies.next().await {
             if found.is_some() {
                 return found;
             }
@@ -139,124 +152,143 @@
         None
     }
 
-    fn likely_homes(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
+    /// Returns `known` if that incarnation is running, and otherwise the nodes that are preferred as
+    /// owners of jobs.
+    fn likely_owners(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
         let live = self.membership.lock();
-        if let Some(life) = known
-            && let Some(to) = live.peer(&life)
+        if let Some(incarnation) = known
+            && let Some(to) = live.peer(&incarnation)
         {
-            return vec![(life, to)];
+            return vec![(incarnation, to)];
         }
         let names: Vec<Name> = live.peers().keys().cloned().collect();
         let routes = self.routes().map(|routes| routes.batch()).unwrap_or_default();
-        let homes = affinity::preferred(&routes, &names);
-        let others = homes.values().filter(|name| **name != self.settings.name);
+        let owners = affinity::preferred(&routes, &names);
+        let others = owners.values().filter(|name| **name != self.settings.name);
         let mut likely: Vec<_> = others.filter_map(|name| live.life(name)).collect();
         likely.dedup();
         likely
     }
 
-    /// Asks the homes of the routes what their steps bring, for as long as this node gives
-    /// orders. What is not heard keeps its last value.
+    /// Polls the preferred owners of jobs for their demand while this node is the leader. The last
+    /// value of a node that does not reply is kept.
     pub(in crate::entry) async fn poll_demand(&self) {
         loop {
-            tokio::time::sleep(DEMAND).await;
-            let asks = self
-                .likely_homes(None)
-                .into_iter()
-                .map(|(_, to)| async move { self.peers.ask(to, PeerRequest::Demand, FIND).await });
-            let heard = futures_util::future::join_all(asks).await;
+            tokio::time::sleep(DEMAND_POLL_INTERVAL).await;
+            let requests = self.likely_owners(None).into_iter().map(|(_, to)| async move {
+                self.peers.request(to, PeerRequest::Demand, FIND_OWNER_TIMEOUT).await
+            });
+            let replies = futures_util::future::join_all(requests).await;
             let now = self.now();
             let (mut demand, mut load) = (self.demand.lock(), self.load.lock());
-            let mut note = |life: &Name, wanted: Vec<(Name, u64)>| {
-                wanted.iter().for_each(|(service, total)| load.note(life, service, *total, now));
+            let mut record_load = |incarnation: &Name, wanted: Vec<(Name, u64)>| {
+                wanted
+                    .iter()
+                    .for_each(|(service, total)| load.note(incarnation, service, *total, now));
             };
-            note(&self.incarnation, self.slots.wanted.totals());
-            for reply in heard {
-                let Ok(PeerReply::Demand { steps, life, wanted }) = reply else { continue };
+            record_load(&self.incarnation, self.slots.wanted.totals());
+            for reply in replies {
+                let Ok(PeerReply::Demand { steps, life: incarnation, wanted }) = reply else {
+                    continue;
+                };
                 steps.iter().for_each(|(model, work)| demand.note(model, *work, now));
-                note(&life, wanted);
+                record_load(&incarnation, wanted);
             }
         }
     }
 
-    /// The life that is home to a job, from what the store said since nodes last went.
-    async fn at(&self, job: &str, view: &RemoteJob) -> Result<Option<Name>, StoreError> {
-        let sure = (self.watch_gaps.load(Ordering::Relaxed), self.membership.lock().departures());
-        match &view.state.lock().location {
-            JobLocation::Home { life, sure: then } if *then == sure => {
-                return Ok(Some(life.clone()));
+    /// Returns the incarnation that owns a job, from its reply or the store since the last change
+    /// that may have moved the job. None if the job is unknown or only the store has it.
+    async fn locate_owner(
+        &self,
+        job: &str,
+        remote: &RemoteJob,
+    ) -> Result<Option<Name>, StoreError> {
+        let evidence =
+            (self.watch_gaps.load(Ordering::Relaxed), self.membership.lock().departures());
+        match &remote.state.lock().location {
+            JobLocation::Owner { incarnation, evidence: then } if *then == evidence => {
+                return Ok(Some(incarnation.clone()));
             }
             JobLocation::Store => return Ok(None),
-            JobLocation::Home { .. } | JobLocation::Unknown => {}
+            JobLocation::Owner { .. } | JobLocation::Unknown => {}
         }
-        let known = match &view.state.lock().location {
-            JobLocation::Home { life, .. } => Some(life.clone()),
+        let known = match &remote.state.lock().location {
+            JobLocation::Owner { incarnation, .. } => Some(incarnation.clone()),
             JobLocation::Store | JobLocation::Unknown => None,
         };
-        if let Some(life) = self.find(job, known).await {
-            view.state.lock().location = JobLocation::Home { life: life.clone(), sure };
-            return Ok(Some(life));
+        if let Some(incarnation) = self.find_owner(job, known).await {
+            remote.state.lock().location =
+                JobLocation::Owner { incarnation: incarnation.clone(), evidence };
+            return Ok(Some(incarnation));
         }
         let Some(seen) = self.home_of(job).await? else { return Ok(None) };
-        let mut state = view.state.lock();
+        let mut state = remote.state.lock();
         state.sample_count = Some(seen.value.total);
         if seen.value.ended {
             state.location = JobLocation::Store;
             state.ended = true;
             return Ok(None);
         }
-        state.location = JobLocation::Home { life: seen.value.life.clone(), sure };
+        state.location = JobLocation::Owner { incarnation: seen.value.life.clone(), evidence };
         Ok(Some(seen.value.life))
     }
 
-    /// Asks a node for changes after a revision; none if it can't say.
+    /// Asks a node for the changes of a feed after a revision. None if it does not have them.
     pub(in crate::entry) async fn fetch_update_from(
         &self,
         to: SocketAddr,
-        followed: FeedTopic,
+        topic: FeedTopic,
         after: u64,
     ) -> Option<FeedUpdate> {
-        let ask = PeerRequest::Follow { followed, after, wait: FOLLOW };
-        match self.ask(to, ask, FOLLOW + READ).await {
-            Ok(PeerReply::Followed(news)) => news,
+        let request = PeerRequest::Follow { topic, after, wait: MAX_UPDATE_WAIT };
+        match self.request(to, request, MAX_UPDATE_WAIT + REPLY_MARGIN).await {
+            Ok(PeerReply::Followed(update)) => update,
             _ => None,
         }
     }
 
-    /// Asks a node that may not be there for all of what it believes.
+    /// Asks a node for a snapshot of a feed. The node may not be running yet, so it is not marked
+    /// as unreachable if it does not reply.
     pub(in crate::entry) async fn fetch_snapshot_from(
         &self,
         to: SocketAddr,
-        followed: FeedTopic,
+        topic: FeedTopic,
         wait: Duration,
     ) -> Option<FeedUpdate> {
-        match self.peers.ask(to, PeerRequest::Snapshot { followed, wait }, WHOLE + wait).await {
-            Ok(PeerReply::Followed(news)) => news,
+        match self
+            .peers
+            .request(to, PeerRequest::Snapshot { topic, wait }, SNAPSHOT_REPLY_MARGIN + wait)
+            .await
+        {
+            Ok(PeerReply::Followed(update)) => update,
             _ => None,
         }
     }
 
-    async fn ask(
+    /// Sends a request. A node that does not reply gets no requests for [`UNREACHABLE_BACKOFF`].
+    async fn request(
         &self,
         to: SocketAddr,
-        ask: PeerRequest,
-        limit: Duration,
+        request: PeerRequest,
+        timeout: Duration,
     ) -> Result<PeerReply, PeerError> {
-        let purpose = ask.purpose();
-        let reply = self.peers.ask(to, ask, limit).await;
+        let purpose = request.purpose();
+        let reply = self.peers.request(to, request, timeout).await;
         if let Err(e) = &reply {
             self.tally.peer_given_up(purpose);
             tracing::info!(event = "peer_not_reached", %to, asked = ?purpose, error = %e);
-            let until = self.now() + SHUNNED;
+            let until = self.now() + UNREACHABLE_BACKOFF;
             self.unreachable_peers.lock().insert(to, until);
         }
         reply
     }
 
+    /// Whether a node failed to reply a short while ago and should get no requests.
     pub(in crate::entry) fn is_unreachable(&self, to: SocketAddr) -> bool {
         let now = self.now();
-        let mut shunned = self.unreachable_peers.lock();
-        shunned.retain(|_, until| *until > now);
-        shunned.contains_key(&to)
+        let mut unreachable = self.unreachable_peers.lock();
+        unreachable.retain(|_, until| *until > now);
+        unreachable.contains_key(&to)
     }
 }
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -1,4 +1,4 @@
-//! Answering other nodes.
+//! Answers the requests of other entry nodes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use crate::entry::submit::Submitted;
 use crate::metrics::Traffic;
 
-/// What answers other nodes.
+/// Answers the requests of other entry nodes.
 #[derive(Debug, Clone)]
 pub struct PeerResponder {
     app: Arc<App>,
 }
 
-/// The listener for other nodes. It closes when dropped.
+/// The listener for requests of other entry nodes. It closes when dropped.
 #[derive(Debug)]
 pub struct PeerServer {
     address: SocketAddr,
@@ -28,7 +28,7 @@
 }
 
 impl PeerServer {
-    /// Binds an address; port 0 takes a free one.
+    /// Binds an address and begins to answer; port 0 takes a free port.
     pub async fn bind(app: Arc<App>, address: SocketAddr) -> std::io::Result<Self> {
         let (connections, cancel) = (TaskTracker::new(), CancellationToken::new());
         let listener = PeerListener::bind(address).await?;
@@ -37,7 +37,7 @@
         Ok(Self { address, connections, cancel })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -53,25 +53,25 @@
 impl PeerHandler for PeerResponder {
     type Asked = PeerRequest;
 
-    async fn reply(self: Arc<Self>, ask: PeerRequest) -> PeerReply {
-        self.answer(ask).await
+    async fn reply(self: Arc<Self>, request: PeerRequest) -> PeerReply {
+        self.answer(request).await
     }
 
-    fn traffic(&self, ask: &PeerRequest) -> Traffic {
-        self.app.tally.peer(ask.purpose())
+    fn traffic(&self, request: &PeerRequest) -> Traffic {
+        self.app.tally.peer(request.purpose())
     }
 }
 
 impl PeerResponder {
-    /// What a node answers with.
+    /// Creates a responder that answers from the state of a node.
     pub fn new(app: Arc<App>) -> Self {
         Self { app }
     }
 
     /// Answers one request.
-    pub async fn answer(&self, ask: PeerRequest) -> PeerReply {
+    pub async fn answer(&self, request: PeerRequest) -> PeerReply {
         let app = &self.app;
-        match ask {
+        match request {
             PeerRequest::Submit(spec) => PeerReply::Submitted(if app.has_lease() {
                 app.accept(spec).await
             } else {
@@ -86,18 +86,19 @@
                 if let Some(ended) = app.ended_jobs.get(&job) {
                     return PeerReply::Read(Some(ended.read(after)));
                 }
-                // Without a lease another node may be home by now, and have shown more.
+                // Without a lease another node may own the job by now and have returned more
+                // results.
                 let read = match app.owned_jobs.get(&job).filter(|_| app.has_lease()) {
                     Some(home) => app.read_home(&home, after, app.now() + wait).await,
                     None => None,
                 };
                 PeerReply::Read(read.filter(|_| app.has_lease()))
             }
-            PeerRequest::Snapshot { followed, wait } => {
-                PeerReply::Followed(app.feeds.get(followed).wait_for_snapshot(wait).await)
+            PeerRequest::Snapshot { topic, wait } => {
+                PeerReply::Followed(app.feeds.get(topic).wait_for_snapshot(wait).await)
             }
-            PeerRequest::Follow { followed, after, wait } => {
-                let feed = app.feeds.get(followed);
+            PeerRequest::Follow { topic, after, wait } => {
+                let feed = app.feeds.get(topic);
                 let news = if app.reaches_store() {
                     feed.wait_for_update(after, wait).await
                 } else {
@@ -113,7 +114,7 @@
                     wanted: app.slots.wanted.totals(),
                 }
             }
-            PeerRequest::Store(ask) => PeerReply::Store(self.store(ask).await),
+            PeerRequest::Store(request) => PeerReply::Store(self.store(request).await),
             PeerRequest::Usage { incarnation, time, notes } => {
                 let Some(usage) = &app.usage else { return PeerReply::Noted };
                 usage.record_peer_time(&incarnation, time);
@@ -127,12 +128,15 @@
         }
     }
 
-    async fn store(&self, ask: StoreRequest) -> Result<StoreReply, StoreError> {
+    /// Makes a call to the store for another node. Refused if this node does not reach the store.
+    async fn store(&self, request: StoreRequest) -> Result<StoreReply, StoreError> {
         if !self.app.reaches_store() {
-            return Err(StoreError::Refused("not reached from here either".to_owned()));
+            return Err(StoreError::Refused(
+                "this node does not reach the store either".to_owned(),
+            ));
         }
         let store = &self.app.direct_store;
-        match ask {
+        match request {
             StoreRequest::Get(key) => store.get(&key).await.map(StoreReply::Item),
             StoreRequest::Range(prefix) => store.range(&prefix).await.map(StoreReply::Page),
             StoreRequest::Watch { prefix, after, wait } => {
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -1,4 +1,4 @@
-//! Each call to the store, and what is asked of another node for it.
+//! The calls to the store, each with the request to another node that stands in for it.
 
 use std::time::Duration;
 
@@ -7,10 +7,11 @@
 use crate::Name;
 use crate::edge::store::{Answer, Item, Page, Store, Txn, TxnEnd, Watched};
 
-/// How long a watch through another node waits at most: that node may be gone meanwhile.
-const WATCH: Duration = Duration::from_millis(2_000);
+/// The longest time that a watch through another node waits: that node may go away meanwhile.
+const MAX_PEER_WATCH_WAIT: Duration = Duration::from_millis(2_000);
 
-macro_rules! reply {
+/// A function that extracts the value of one kind of reply.
+macro_rules! extract {
     ($kind:ident) => {
         |reply| match reply {
             StoreReply::$kind(value) => Some(value),
@@ -21,39 +22,43 @@
 
 impl Store for FallbackStore {
     fn get(&self, key: &str) -> Answer<Option<Item>> {
-        let ask = StoreRequest::Get(Name::from(key));
-        Box::pin(self.clone().call(self.direct.get(key), ask, true, reply!(Item)))
+        let request = StoreRequest::Get(Name::from(key));
+        Box::pin(self.clone().call(self.direct.get(key), request, true, extract!(Item)))
     }
 
     fn range(&self, prefix: &str) -> Answer<Page> {
-        let ask = StoreRequest::Range(Name::from(prefix));
-        Box::pin(self.clone().call(self.direct.range(prefix), ask, true, reply!(Page)))
+        let request = StoreRequest::Range(Name::from(prefix));
+        Box::pin(self.clone().call(self.direct.range(prefix), request, true, extract!(Page)))
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Answer<Watched> {
         let direct = self.until_closed(self.direct.watch(prefix, after, wait));
-        let ask = StoreRequest::Watch { prefix: prefix.into(), after, wait: wait.min(WATCH) };
-        Box::pin(self.clone().call(direct, ask, false, reply!(Watched)))
+        let request = StoreRequest::Watch {
+            prefix: prefix.into(),
+            after,
+            wait: wait.min(MAX_PEER_WATCH_WAIT),
+        };
+        Box::pin(self.clone().call(direct, request, false, extract!(Watched)))
     }
 
     fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
-        let ask = StoreRequest::Txn(txn.clone());
-        Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
+        let request = StoreRequest::Txn(txn.clone());
+        Box::pin(self.clone().call(self.direct.txn(txn), request, false, extract!(Txn)))
     }
 
     fn grant(&self, ttl: Duration) -> Answer<u64> {
-        let ask = StoreRequest::Grant(ttl);
-        Box::pin(self.clone().call(self.direct.grant(ttl), ask, true, reply!(Lease)))
+        let request = StoreRequest::Grant(ttl);
+        Box::pin(self.clone().call(self.direct.grant(ttl), request, true, extract!(Lease)))
     }
 
     fn keep(&self, lease: u64) -> Answer<bool> {
-        let ask = StoreRequest::Keep(lease);
-        Box::pin(self.clone().call(self.direct.keep(lease), ask, true, reply!(Kept)))
+        let request = StoreRequest::Keep(lease);
+        Box::pin(self.clone().call(self.direct.keep(lease), request, true, extract!(Kept)))
     }
 
     fn end(&self, lease: u64) -> Answer<()> {
-        let open = |reply| matches!(reply, StoreReply::Ended).then_some(());
-        let ask = StoreRequest::End(lease);
-        Box::pin(self.clone().call(self.direct.end(lease), ask, true, open))
+        let extract = |reply| matches!(reply, StoreReply::Ended).then_some(());
+        let request = StoreRequest::End(lease);
+        Box::pin(self.clone().call(self.direct.end(lease), request, true, extract))
     }
 }
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -66,7 +66,7 @@
         if let Some(ended) = self.ended_jobs.get(job) {
             return ended.read(after);
         }
-        let read = match self.read_at_home(job, after, wait).await {
+        let read = match self.read_from_owner(job, after, wait).await {
             Ok(Some(read)) => return read,
             Ok(None) => self.read_view(job, after, ends).await,
             Err(e) => Err(e),
@@ -132,7 +132,7 @@
                     state.last_update = self.now();
                     for change in &watched.changes {
                         if let Change::Put(item) = change {
-                            state.add(job, item);
+                            state.append_results(job, item);
                         }
                     }
                 }
@@ -170,7 +170,7 @@
         let page = self.store.range(&all_results(job)).await?;
         let mut state = view.state.lock();
         for item in &page.items {
-            state.add(job, item);
+            state.append_results(job, item);
         }
         state.revision = state.revision.max(Some(page.revision));
         state.watch_gaps = doubts;
@@ -194,7 +194,7 @@
         if let Some(body) = self.own_body(job, item) {
             return Found::There(body);
         }
-        if let Some(body) = self.body_at_home(job, item).await {
+        if let Some(body) = self.body_from_owner(job, item).await {
             return Found::There(body);
         }
         let spec = match self.spec_of(job).await {
@@ -246,7 +246,7 @@
         let page = self.store.range(&all_results(job)).await?;
         let mut state = RemoteJobState::default();
         for item in &page.items {
-            state.add(job, item);
+            state.append_results(job, item);
         }
         Ok(state.results)
     }
--- a/src/entry/remote_jobs.rs
+++ b/src/entry/remote_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of other homes, as far as they were read here.
+//! Copies of jobs that other nodes own, as far as their results were read on this node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,73 +11,81 @@
 use crate::edge::store::Item;
 use crate::{Moment, Name};
 
-/// Jobs of other homes, as far as they were read here.
+/// Copies of jobs that other nodes own, by job id.
 #[derive(Debug, Default)]
 pub(super) struct RemoteJobs {
-    views: Mutex<ByName<Arc<RemoteJob>>>,
+    jobs: Mutex<ByName<Arc<RemoteJob>>>,
 }
 
+/// A copy of a job that another node owns.
 #[derive(Debug, Default)]
 pub(super) struct RemoteJob {
     pub state: Mutex<RemoteJobState>,
+    /// The submission of the job, once it was read.
     pub spec: Mutex<Option<Arc<Spec>>>,
 }
 
+/// What is known about the progress of a job that another node owns.
 #[derive(Debug, Default)]
 pub(super) struct RemoteJobState {
-    /// The number of its samples, once that is known.
+    /// The number of its samples. None until it is known.
     pub sample_count: Option<usize>,
+    /// The results that were read so far, by position.
     pub results: Vec<Arc<Listing>>,
-    /// The revision from which a watch goes on; none before the first read.
+    /// The revision from which a watch of the results resumes. None before the first read.
     pub revision: Option<u64>,
-    /// The node's count of cut watches at the last whole read.
+    /// The count of watch gaps of this node when all results were last read from the store.
     pub watch_gaps: u64,
-    /// Whether the store has said that its trainer ended it: nothing comes to it any more.
+    /// Whether the store has the job as ended by its trainer, after which it gets no more results.
     pub ended: bool,
-    /// Whether these are all results that it will ever have.
+    /// Whether `results` holds all results that the job will ever have.
     pub complete: bool,
-    /// When the store was last heard about it.
+    /// When the store last replied to a read or watch of the job.
     pub last_update: Moment,
+    /// Where further results are read.
     pub location: JobLocation,
 }
 
-/// Where a job is read.
+/// Where the results of a job are read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) enum JobLocation {
-    /// Nobody has asked yet.
+    /// Not known yet.
     #[default]
     Unknown,
-    /// JobLocation its home.
-    Home {
-        /// The incarnation that runs it.
-        life: Name,
-        /// The counts of cut watches and of nodes that went as the store said so.
-        sure: (u64, u64),
+    /// From the node that owns the job.
+    Owner {
+        /// The incarnation of that node.
+        incarnation: Name,
+        /// The counts of watch gaps and of departed nodes when the owner was determined. The owner
+        /// is determined again once either has changed.
+        evidence: (u64, u64),
     },
-    /// In the store: its home has no more of it.
+    /// From the store: no node owns the job any more.
     Store,
 }
 
 impl RemoteJobs {
-    /// Forgets views that were not heard of for so long.
-    pub(super) fn forget(&self, now: Moment, kept: Duration) {
-        let rested = |view: &RemoteJob| now.saturating_sub(view.state.lock().last_update);
-        self.views.lock().retain(|_, view| rested(view) <= kept);
+    /// Drops the copies of jobs that were not updated for longer than `retention`.
+    pub(super) fn drop_idle(&self, now: Moment, retention: Duration) {
+        let idle = |remote: &RemoteJob| now.saturating_sub(remote.state.lock().last_update);
+        self.jobs.lock().retain(|_, remote| idle(remote) <= retention);
     }
 
+    /// Drops the copy of a job.
     pub(super) fn remove(&self, job: &str) {
-        self.views.lock().remove(job);
+        self.jobs.lock().remove(job);
     }
 
+    /// Returns the copy of a job, which is empty if the job was not read before.
     pub(super) fn get(&self, job: &str) -> Arc<RemoteJob> {
-        let mut views = self.views.lock();
-        views.entry(job.into()).or_default().clone()
+        let mut jobs = self.jobs.lock();
+        jobs.entry(job.into()).or_default().clone()
     }
 }
 
 impl RemoteJobState {
-    /// Takes over results, if they begin where the known ones end.
-    pub(super) fn add(&mut self, job: &str, item: &Item) {
+    /// Appends a batch of results if it begins where the known results end.
+    pub(super) fn append_results(&mut self, job: &str, item: &Item) {
         if *item.key != *results(job, self.results.len()) {
             return;
         }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -226,7 +226,7 @@
 impl App {
     /// Forgets views and finished homes that nobody may ask for any more.
     fn tidy(&self, now: Moment) {
-        self.remote_jobs.forget(now, self.settings.job_retention * 2);
+        self.remote_jobs.drop_idle(now, self.settings.job_retention * 2);
         for (job, home) in self.owned_jobs.all() {
             let over = home.job.lock().complete();
             if over && old(self, &home.key.lock().value) {
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -55,7 +55,7 @@
             }
             let (incarnation, time) = (app.incarnation.clone(), usage.time());
             let request = PeerRequest::Usage { incarnation, time, notes: fresh };
-            match app.peers.ask(at, request, SHARE_TIMEOUT).await {
+            match app.peers.request(at, request, SHARE_TIMEOUT).await {
                 Ok(PeerReply::UsageNoted { life, time }) => {
                     usage.record_peer_time(&life, time);
                     acknowledged.insert(at, notes.clone());
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -113,7 +113,7 @@
 }
 
 impl Peers for Links {
-    fn ask(
+    fn request(
         &self,
         to: SocketAddr,
         ask: PeerRequest,
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -349,14 +349,15 @@
     world.kv.put("some/key", "value");
     let get = PeerRequest::Store(StoreRequest::Get("some/key".into()));
     let item = node.line.get("some/key").await.unwrap();
-    let got = line.ask(door.address(), get, limit).await.unwrap();
+    let got = line.request(door.address(), get, limit).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::Item(item))));
-    let submitted = line.ask(door.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
+    let submitted =
+        line.request(door.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
     assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
     node.whole("j", 1).await;
     let read = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
     let PeerReply::Read(Some(Read::Page { total: 1, results })) =
-        line.ask(door.address(), read, limit).await.unwrap()
+        line.request(door.address(), read, limit).await.unwrap()
     else {
         panic!("no page");
     };
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -232,7 +232,7 @@
     /// Asks another node for results.
     pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<Read>> {
         let to = to.app().settings.peer_address.unwrap();
-        match self.links.ask(to, ask, Duration::from_secs(1)).await {
+        match self.links.request(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
             _ => None,
         }
