--- a/benches/places.rs
+++ b/benches/places.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use mulberrycourse::decide::{Ended, Fleet, Listed, Waiting, Want};
+use mulberrycourse::decide::{Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest};
 use mulberrycourse::edge::replica::{Load, Target};
 
 const SLOTS: u32 = 6;
@@ -15,7 +15,7 @@
     let mut fleet = Fleet::new("z".into());
     for i in 0..replicas {
         let address = SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
-        fleet.list(Listed {
+        fleet.upsert(ListedReplica {
             target: Target { id: format!("r{i:05}").into(), address, born: None },
             service: "engines".into(),
             zone: "z".into(),
@@ -28,9 +28,14 @@
     fleet
 }
 
-fn want(text: usize) -> Want {
+fn want(text: usize) -> SlotRequest {
     let model = MODELS[text % MODELS.len()];
-    Want { service: "engines".into(), model: Some(model.into()), least: 1, avoid: Vec::new() }
+    SlotRequest {
+        service: "engines".into(),
+        model: Some(model.into()),
+        min_version: 1,
+        avoid: Vec::new(),
+    }
 }
 
 /// All places are taken and texts wait; one place comes free and is given.
@@ -39,12 +44,12 @@
     for (replicas, texts) in [(30, 500), (300, 5_000), (3_000, 20_000)] {
         for (way, alone) in [("offered", true), ("looked_for", false)] {
             let mut fleet = fleet(replicas);
-            let mut waiting: Waiting<usize> = Waiting::default();
+            let mut waiting: SlotQueue<usize> = SlotQueue::default();
             (0..texts).for_each(|i| waiting.add((1, 0, i as u64), want(i), i));
             let mut now = Duration::from_secs(100);
             for i in 0..replicas {
                 let id = format!("r{i:05}");
-                (0..SLOTS).for_each(|_| fleet.start(&id, now));
+                (0..SLOTS).for_each(|_| fleet.start_attempt(&id, now));
             }
             let mut turn = texts as u64;
             let id = BenchmarkId::new(way, format!("{replicas}_replicas_{texts}_texts"));
@@ -52,12 +57,12 @@
                 b.iter(|| {
                     now += Duration::from_millis(1);
                     let replica = format!("r{:05}", turn as usize % replicas);
-                    fleet.end(&replica, None, Ended::Dropped, now);
-                    fleet.load(&replica, Load { running: SLOTS - 1, waiting: 0 }, now);
+                    fleet.end_attempt(&replica, None, ReplicaOutcome::Abandoned, now);
+                    fleet.report_load(&replica, Load { running: SLOTS - 1, waiting: 0 }, now);
                     let given = if alone {
-                        waiting.offer(&replica, &mut fleet, now)
+                        waiting.assign_at(&replica, &mut fleet, now)
                     } else {
-                        waiting.pump(&mut fleet, now)
+                        waiting.assign_all(&mut fleet, now)
                     };
                     assert_eq!(given.len(), 1);
                     turn += 1;
--- a/src/decide/fleet/wish.rs
+++ b/src/decide/fleet/attempt_request.rs
@@ -4,7 +4,7 @@
 
 /// What an attempt asks for.
 #[derive(Debug, Clone, Copy)]
-pub struct Wish<'a> {
+pub struct AttemptRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// The model and the oldest version that will do.
@@ -12,5 +12,5 @@
     /// Replicas that failed it.
     pub avoid: &'a [Name],
     /// Whether it may go where all places are taken.
-    pub over: bool,
+    pub allow_full: bool,
 }
--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use super::replica::{Replica, Told, fits};
-use super::{Ended, Listed, Wish};
+use super::{AttemptRequest, ListedReplica, ReplicaOutcome};
 use crate::decide::{Others, Pace, expected, most_out};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
@@ -78,7 +78,7 @@
     }
 
     /// Takes over an entry of the list. True if it says something new of who may get work.
-    pub fn list(&mut self, listed: Listed) -> bool {
+    pub fn upsert(&mut self, listed: ListedReplica) -> bool {
         let id = listed.target.id.clone();
         let Some(known) = self.replicas.get_mut(&id) else {
             self.replicas.insert(id, Replica::new(listed));
@@ -111,7 +111,7 @@
     }
 
     /// Whether there are too many to look at all of them for each text.
-    pub fn many(&self) -> bool {
+    pub fn is_large(&self) -> bool {
         self.replicas.len() > MANY
     }
 
@@ -121,12 +121,12 @@
     }
 
     /// The replica, if it is on the table.
-    pub fn get(&self, id: &str) -> Option<&Listed> {
+    pub fn get(&self, id: &str) -> Option<&ListedReplica> {
         self.replicas.get(id).map(|r| &r.listed)
     }
 
     /// Whether new work may still go there: it is listed and not leaving.
-    pub fn open(&self, id: &str) -> bool {
+    pub fn accepts_work(&self, id: &str) -> bool {
         self.replicas.get(id).is_some_and(|r| !r.listed.draining)
     }
 
@@ -138,7 +138,7 @@
 
     /// The replicas of a service that do not leave, by availability zone: those that may be
     /// taken back at short notice, or the others.
-    pub fn count(&self, service: &str, spot: bool) -> BTreeMap<Name, u32> {
+    pub fn count_by_zone(&self, service: &str, spot: bool) -> BTreeMap<Name, u32> {
         let mut zones = BTreeMap::new();
         for replica in self.of(service).filter(|r| !r.listed.draining && r.listed.spot == spot) {
             *zones.entry(replica.listed.zone.clone()).or_default() += 1;
@@ -147,19 +147,19 @@
     }
 
     /// The places of one replica of a service; none where there is no replica.
-    pub fn slots(&self, service: &str) -> Option<u32> {
+    pub fn slots_per_replica(&self, service: &str) -> Option<u32> {
         self.of(service).next().map(|r| r.listed.slots)
     }
 
     /// Places at replicas that serve a model from this version on.
-    pub fn places(&self, model: &str, least: u64) -> usize {
+    pub fn slots_at_version(&self, model: &str, least: u64) -> usize {
         let open = self.replicas.values().filter(|r| !r.listed.draining);
         let able = open.filter(|r| r.versions.get(model).is_some_and(|v| *v >= least));
         able.map(|r| r.listed.slots as usize).sum()
     }
 
     /// An incarnation of a replica was seen to run a model at a version.
-    pub fn seen(&mut self, target: &Target, model: &str, version: u64) {
+    pub fn raise_version(&mut self, target: &Target, model: &str, version: u64) {
         let Some(replica) = self.incarnation(target) else { return };
         if let Some(known) = replica.versions.get_mut(model) {
             *known = version.max(*known);
@@ -167,13 +167,13 @@
     }
 
     /// An incarnation made an event under a version that is older than was believed.
-    pub fn shown(&mut self, target: &Target, model: &str, version: u64) {
+    pub fn set_version(&mut self, target: &Target, model: &str, version: u64) {
         let Some(replica) = self.incarnation(target) else { return };
         replica.versions.insert(model.into(), version);
     }
 
     /// What a replica said of its load.
-    pub fn load(&mut self, id: &str, load: Load, now: Moment) {
+    pub fn report_load(&mut self, id: &str, load: Load, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         let others = (load.running + load.waiting).saturating_sub(replica.running);
         replica.others = Others::new(others, now);
@@ -181,17 +181,17 @@
     }
 
     /// A replica answered and said nothing of its load.
-    pub fn untold(&mut self, id: &str) {
+    pub fn report_no_load(&mut self, id: &str) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.silent();
         }
     }
 
     /// The replica for an attempt. Without `over`, only one with a free place.
-    pub fn choose(&self, wish: &Wish<'_>, now: Moment) -> Option<Target> {
+    pub fn choose(&self, wish: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
         let heed = self.heeds(wish.service, now);
-        let blind = wish.over || wish.weights.is_none();
-        let many = self.many();
+        let blind = wish.allow_full || wish.weights.is_none();
+        let many = self.is_large();
         let mut best: Option<Rated<'_>> = None;
         let mut chosen: Option<Rated<'_>> = None;
         for replica in self.after_last(wish.service).filter(|r| fits(r, wish, now, heed)) {
@@ -216,7 +216,7 @@
 
     /// The replica itself, if an attempt may go there now: for those who wait, after word from
     /// it alone. One that is slow is left to [`Fleet::choose`], which knows the others.
-    pub fn offer(&self, id: &str, wish: &Wish<'_>, now: Moment) -> Option<Target> {
+    pub fn offer(&self, id: &str, wish: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
         let replica = self.replicas.get(id).filter(|r| fits(r, wish, now, true))?;
         let (known, usual) = self.usual(replica, wish);
         let slow = known.faded(usual, now) > SLOW * usual;
@@ -225,7 +225,7 @@
     }
 
     /// The pace that an attempt goes by at a replica, and what is usual of it.
-    fn usual<'a>(&self, replica: &'a Replica, wish: &Wish<'_>) -> (&'a Pace, f64) {
+    fn usual<'a>(&self, replica: &'a Replica, wish: &AttemptRequest<'_>) -> (&'a Pace, f64) {
         match (wish.weights, self.beats.get(wish.service)) {
             (Some(_), Some(beat)) => (&replica.beat, *beat),
             _ => {
@@ -256,7 +256,13 @@
         all.filter(move |r| &*r.listed.service == service)
     }
 
-    fn rate<'a>(&self, replica: &'a Replica, wish: &Wish<'_>, pace: f64, now: Moment) -> Rated<'a> {
+    fn rate<'a>(
+        &self,
+        replica: &'a Replica,
+        wish: &AttemptRequest<'_>,
+        pace: f64,
+        now: Moment,
+    ) -> Rated<'a> {
         let listed = &replica.listed;
         let far = self.zone.as_ref().is_some_and(|zone| *zone != listed.zone);
         let load = f64::from(replica.running) + replica.others.faded(now);
@@ -271,12 +277,12 @@
     /// of all runs, their own among them, none of these would count as slow; so what is usual
     /// is what a quarter of the replicas keep up with, two of three being slow now and then,
     /// and the time between events, without waits and prompts.
-    pub fn beat(&mut self, id: &str, seconds: f64, now: Moment) {
+    pub fn record_event_interval(&mut self, id: &str, seconds: f64, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.beat.record(1, Duration::from_secs_f64(seconds.max(0.0)), now);
         let service = replica.listed.service.clone();
         let fresh = self.judged.get(&service).is_some_and(|at| now.saturating_sub(*at) < JUDGE);
-        if fresh && self.many() {
+        if fresh && self.is_large() {
             return;
         }
         self.judged.insert(service.clone(), now);
@@ -290,7 +296,13 @@
     /// Whether a run that goes at `pace`, in seconds a unit, is better cut and taken up at
     /// another replica with a free place. Reading the prompt and what is there already costs
     /// about as much as one event.
-    pub fn faster(&self, id: &str, weights: Option<(&str, u64)>, pace: f64, now: Moment) -> bool {
+    pub fn has_faster_replica(
+        &self,
+        id: &str,
+        weights: Option<(&str, u64)>,
+        pace: f64,
+        now: Moment,
+    ) -> bool {
         let Some(here) = self.replicas.get(id) else { return false };
         let service = &here.listed.service;
         let beat = self.beats.get(service).copied();
@@ -300,7 +312,7 @@
         if pace < SLOW * typical {
             return false;
         }
-        let wish = Wish { service, weights, avoid: &[], over: false };
+        let wish = AttemptRequest { service, weights, avoid: &[], allow_full: false };
         let others = self.of(service).filter(|r| r.listed.target.id != here.listed.target.id);
         others
             .filter(|r| fits(r, &wish, now, true))
@@ -309,22 +321,28 @@
     }
 
     /// An attempt begins.
-    pub fn start(&mut self, id: &str, now: Moment) {
+    pub fn start_attempt(&mut self, id: &str, now: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.running += 1;
             replica.began = now;
-            if self.many() {
+            if self.is_large() {
                 self.last = id.into();
             }
         }
     }
 
     /// An attempt ended.
-    pub fn end(&mut self, id: &str, model: Option<&str>, ended: Ended, now: Moment) {
+    pub fn end_attempt(
+        &mut self,
+        id: &str,
+        model: Option<&str>,
+        ended: ReplicaOutcome,
+        now: Moment,
+    ) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.running = replica.running.saturating_sub(1);
         match ended {
-            Ended::Answered { took, cost } => {
+            ReplicaOutcome::Answered { duration: took, cost } => {
                 replica.pace.record(cost, took, now);
                 replica.failures.answered();
                 replica.silent();
@@ -333,23 +351,23 @@
                     .or_default()
                     .record(cost, took, now);
             }
-            Ended::Full => replica.out = replica.out.max(now + FULL),
-            Ended::Loading => {
+            ReplicaOutcome::Full => replica.out = replica.out.max(now + FULL),
+            ReplicaOutcome::Loading => {
                 if let Some(model) = model {
                     replica.loading.insert(model.into(), now + LOADING);
                 }
             }
-            Ended::Unreachable => {
+            ReplicaOutcome::Unreachable => {
                 replica.failures.unreachable();
                 replica.out = replica.failures.eject(now);
             }
-            Ended::Failed => {
+            ReplicaOutcome::Failed => {
                 replica.failures.failed();
                 if replica.failures.over() {
                     replica.out = replica.failures.eject(now);
                 }
             }
-            Ended::Dropped => {}
+            ReplicaOutcome::Abandoned => {}
         }
         if let Some(replica) = self.replicas.get(id) {
             self.latest = self.latest.max(replica.out);
@@ -357,7 +375,7 @@
     }
 
     /// Places of a service that are free, as far as this node knows.
-    pub fn free(&self, service: &str, now: Moment) -> u32 {
+    pub fn free_slots(&self, service: &str, now: Moment) -> u32 {
         let open = self.of(service).filter(|r| !r.listed.draining && r.out <= now);
         open.map(|r| r.listed.slots.saturating_sub(r.running + r.others.faded(now) as u32)).sum()
     }
--- a/src/decide/fleet/listed.rs
+++ b/src/decide/fleet/listed_replica.rs
@@ -5,7 +5,7 @@
 
 /// A replica as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedReplica {
     /// Its incarnation and address.
     pub target: Target,
     /// The service it belongs to.
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -1,14 +1,14 @@
 //! The replicas of all services, and which of them gets an attempt.
 
-mod ended;
+mod attempt_request;
 mod fleet;
-mod listed;
+mod listed_replica;
 mod replica;
-mod waiting;
-mod wish;
+mod replica_outcome;
+mod slot_queue;
 
-pub use ended::Ended;
+pub use attempt_request::AttemptRequest;
 pub use fleet::Fleet;
-pub use listed::Listed;
-pub use waiting::{Position, Waiting, Want};
-pub use wish::Wish;
+pub use listed_replica::ListedReplica;
+pub use replica_outcome::ReplicaOutcome;
+pub use slot_queue::{SlotQueue, SlotRequest, WaitPosition};
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{Listed, Wish};
+use super::{AttemptRequest, ListedReplica};
 use crate::decide::{Failures, Others, Pace};
 use crate::{Moment, Name};
 
@@ -14,7 +14,7 @@
 /// A replica as far as this node knows it.
 #[derive(Debug)]
 pub(super) struct Replica {
-    pub listed: Listed,
+    pub listed: ListedReplica,
     pub running: u32,
     pub others: Others,
     pub pace: Pace,
@@ -32,7 +32,7 @@
 
 impl Replica {
     /// A replica of which nothing is known but its entry.
-    pub(super) fn new(listed: Listed) -> Self {
+    pub(super) fn new(listed: ListedReplica) -> Self {
         Self {
             versions: listed.versions.iter().cloned().collect(),
             listed,
@@ -77,7 +77,7 @@
 
     /// It started again under its id: nothing that was known holds. Attempts at the former
     /// incarnation are still counted until they end.
-    pub(super) fn begin_anew(&mut self, listed: Listed) {
+    pub(super) fn begin_anew(&mut self, listed: ListedReplica) {
         *self = Self { running: self.running, ..Self::new(listed) };
     }
 }
@@ -93,12 +93,12 @@
 }
 
 /// Whether a replica may get an attempt; one that is left out only where that is heeded.
-pub(super) fn fits(replica: &Replica, wish: &Wish<'_>, now: Moment, heed: bool) -> bool {
+pub(super) fn fits(replica: &Replica, wish: &AttemptRequest<'_>, now: Moment, heed: bool) -> bool {
     if replica.listed.draining || (heed && replica.out > now) {
         return false;
     }
     let load = f64::from(replica.running) + replica.others.faded(now);
-    if !wish.over && load >= f64::from(replica.listed.slots) {
+    if !wish.allow_full && load >= f64::from(replica.listed.slots) {
         return false;
     }
     let Some((model, least)) = wish.weights else { return true };
--- a/src/decide/fleet/ended.rs
+++ b/src/decide/fleet/replica_outcome.rs
@@ -4,11 +4,11 @@
 
 /// How an attempt ended, for the choice of the next ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum ReplicaOutcome {
     /// With a whole answer.
     Answered {
         /// How long it took.
-        took: Duration,
+        duration: Duration,
         /// What it came to, in units that can be compared within a service.
         cost: u32,
     },
@@ -21,5 +21,5 @@
     /// It broke off or fell silent.
     Failed,
     /// It was given up for a reason that says nothing of the replica.
-    Dropped,
+    Abandoned,
 }
--- a/src/decide/fleet/waiting.rs
+++ b/src/decide/fleet/slot_queue.rs
@@ -9,86 +9,86 @@
 
 use std::collections::BTreeMap;
 
-use super::{Fleet, Wish};
+use super::{AttemptRequest, Fleet};
 use crate::edge::replica::Target;
 use crate::{Moment, Name};
 
 /// The order in which samples get places: rank of the route, age of the job, index.
-pub type Position = (u8, u64, u64);
+pub type WaitPosition = (u8, u64, u64);
 
 /// A service, and the model that is asked for there.
 type Kind = (Name, Option<Name>);
 
 /// What a waiting sample asks for.
 #[derive(Debug, Clone)]
-pub struct Want {
+pub struct SlotRequest {
     /// The service.
     pub service: Name,
     /// The model; none where any replica will do.
     pub model: Option<Name>,
     /// The oldest version of the model that will do.
-    pub least: u64,
+    pub min_version: u64,
     /// Replicas that failed it.
     pub avoid: Vec<Name>,
 }
 
-impl Want {
+impl SlotRequest {
     fn kind(&self) -> Kind {
         (self.service.clone(), self.model.clone())
     }
 
-    fn wish(&self) -> Wish<'_> {
-        Wish {
+    fn wish(&self) -> AttemptRequest<'_> {
+        AttemptRequest {
             service: &self.service,
-            weights: self.model.as_deref().map(|model| (model, self.least)),
+            weights: self.model.as_deref().map(|model| (model, self.min_version)),
             avoid: &self.avoid,
-            over: false,
+            allow_full: false,
         }
     }
 }
 
 #[derive(Debug)]
 struct Waiter<G> {
-    want: Want,
+    want: SlotRequest,
     grant: G,
 }
 
 /// Those who wait, each with what it is told by.
 #[derive(Debug)]
-pub struct Waiting<G> {
-    kinds: BTreeMap<Kind, BTreeMap<Position, Waiter<G>>>,
+pub struct SlotQueue<G> {
+    kinds: BTreeMap<Kind, BTreeMap<WaitPosition, Waiter<G>>>,
 }
 
-impl<G> Default for Waiting<G> {
+impl<G> Default for SlotQueue<G> {
     fn default() -> Self {
         Self { kinds: BTreeMap::new() }
     }
 }
 
-impl<G> Waiting<G> {
+impl<G> SlotQueue<G> {
     /// Whether nobody waits.
     pub fn is_empty(&self) -> bool {
         self.kinds.is_empty()
     }
 
     /// Somebody begins to wait.
-    pub fn add(&mut self, turn: Position, want: Want, grant: G) {
+    pub fn add(&mut self, turn: WaitPosition, want: SlotRequest, grant: G) {
         self.kinds.entry(want.kind()).or_default().insert(turn, Waiter { want, grant });
     }
 
     /// Somebody waits no more.
-    pub fn remove(&mut self, turn: Position, service: &Name, model: &Option<Name>) {
+    pub fn remove(&mut self, turn: WaitPosition, service: &Name, model: &Option<Name>) {
         drop(self.take(turn, &(service.clone(), model.clone())));
     }
 
     /// Gives all free places, in turn. Each was begun by [`Fleet::start`].
-    pub fn pump(&mut self, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
+    pub fn assign_all(&mut self, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
         self.give(fleet, now, |_| true, |fleet, want| fleet.choose(&want.wish(), now))
     }
 
     /// Gives the places of one replica that are free, in turn. Each was begun by
     /// [`Fleet::start`].
-    pub fn offer(&mut self, id: &str, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
+    pub fn assign_at(&mut self, id: &str, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
         let Some(service) = fleet.get(id).map(|listed| listed.service.clone()) else {
             return Vec::new();
         };
@@ -102,7 +102,7 @@
         fleet: &mut Fleet,
         now: Moment,
         served: impl Fn(&Kind) -> bool,
-        choose: impl Fn(&Fleet, &Want) -> Option<Target>,
+        choose: impl Fn(&Fleet, &SlotRequest) -> Option<Target>,
     ) -> Vec<(G, Target)> {
         let mut given = Vec::new();
         let mut open: Vec<Kind> = self.kinds.keys().filter(|kind| served(kind)).cloned().collect();
@@ -111,7 +111,7 @@
             let chosen = self.kinds[kind].get(&turn).and_then(|w| choose(fleet, &w.want));
             match chosen.and_then(|target| Some((self.take(turn, kind)?, target))) {
                 Some((waiter, target)) => {
-                    fleet.start(&target.id, now);
+                    fleet.start_attempt(&target.id, now);
                     given.push((waiter.grant, target));
                 }
                 None => drop(open.swap_remove(place)),
@@ -121,7 +121,7 @@
     }
 
     /// The first turn of some queues, and which queue it is in.
-    fn first(&self, open: &[Kind]) -> Option<(Position, usize)> {
+    fn first(&self, open: &[Kind]) -> Option<(WaitPosition, usize)> {
         let firsts = open.iter().enumerate().filter_map(|(place, kind)| {
             let (turn, _) = self.kinds.get(kind)?.first_key_value()?;
             Some((*turn, place))
@@ -129,7 +129,7 @@
         firsts.min()
     }
 
-    fn take(&mut self, turn: Position, kind: &Kind) -> Option<Waiter<G>> {
+    fn take(&mut self, turn: WaitPosition, kind: &Kind) -> Option<Waiter<G>> {
         let queue = self.kinds.get_mut(kind)?;
         let waiter = queue.remove(&turn);
         if queue.is_empty() {
--- a/src/decide/job/job.rs
+++ b/src/decide/job/job.rs
@@ -29,7 +29,7 @@
 
 /// A batch job as it was submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spec {
+pub struct JobSpec {
     /// Its id.
     pub id: Name,
     /// The host and path that it came to.
@@ -39,16 +39,16 @@
     /// The model that makes its texts; none where the route names no model.
     pub model: Option<Name>,
     /// The oldest version that may make them.
-    pub oldest: u64,
+    pub min_version: u64,
     /// The samples, in order.
     pub items: Vec<Arc<ItemSpec>>,
     /// The number of whole groups that its trainer waits for; none if it did not say.
-    pub wanted: Option<usize>,
+    pub wanted_groups: Option<usize>,
     /// Whose it is; none where it came without a key.
     pub organisation: Option<Name>,
 }
 
-impl Spec {
+impl JobSpec {
     /// Decodes a submission as it lies in the store. An earlier format ends before the last
     /// one or two fields, which are none then.
     pub fn decode(mut bytes: Vec<u8>) -> Result<Self, bincode::error::DecodeError> {
@@ -64,8 +64,8 @@
 
     /// What all its samples come to, by their senders' estimates; one without counts as the
     /// mean.
-    pub fn work(&self) -> u64 {
-        let known: Vec<u64> = self.items.iter().filter_map(|item| item.length).collect();
+    pub fn estimated_work(&self) -> u64 {
+        let known: Vec<u64> = self.items.iter().filter_map(|item| item.length_hint).collect();
         let sum: u64 = known.iter().sum();
         let count = known.len().max(1) as u64;
         let mean = (sum / count).max(1);
@@ -73,14 +73,14 @@
     }
 
     /// About how many bytes it takes up.
-    pub fn size(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         self.items.iter().map(|item| item.body.len() + 2 * FRAME).sum()
     }
 }
 
 /// How a sample ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum ItemState {
     /// With a text, the versions that made it, and its score.
     Completed {
         /// The text.
@@ -96,22 +96,22 @@
 
 /// A result at its position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct ItemResult {
     /// The sample's id.
     pub id: Name,
     /// How it ended.
-    pub state: State,
+    pub state: ItemState,
 }
 
-impl Listing {
+impl ItemResult {
     /// About how many bytes it takes up.
-    pub fn size(&self) -> usize {
+    pub fn approx_bytes(&self) -> usize {
         let state = match &self.state {
-            State::Completed { output, versions, score } => {
+            ItemState::Completed { output, versions, score } => {
                 let score = score.as_ref().map_or(0, |score| score.len());
                 output.len() + versions.len() * size_of::<u64>() + score
             }
-            State::Dead => 0,
+            ItemState::Dead => 0,
         };
         self.id.len() + state + FRAME
     }
@@ -119,7 +119,7 @@
 
 /// What the end of a sample comes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finished {
+pub enum FinishEffect {
     /// Others of its group are still to come: nobody waits for it alone.
     Sample,
     /// Its group is whole.
@@ -132,11 +132,11 @@
 #[derive(Debug)]
 pub struct Job {
     /// What was submitted.
-    pub spec: Arc<Spec>,
+    pub spec: Arc<JobSpec>,
     /// Results that last, by position.
-    listed: Vec<Arc<Listing>>,
+    listed: Vec<Arc<ItemResult>>,
     /// Results that are not written yet, in the order in which they came.
-    fresh: Vec<Arc<Listing>>,
+    fresh: Vec<Arc<ItemResult>>,
     /// Index of each sample that has no result yet.
     open: HashMap<Name, usize>,
     /// How many of these each group has that is not whole.
@@ -148,7 +148,7 @@
 
 impl Job {
     /// A job with the results that last already.
-    pub fn new(spec: Arc<Spec>, listed: Vec<Arc<Listing>>) -> Self {
+    pub fn new(spec: Arc<JobSpec>, listed: Vec<Arc<ItemResult>>) -> Self {
         let mut open: HashMap<Name, usize> =
             spec.items.iter().enumerate().map(|(i, item)| (item.id.clone(), i)).collect();
         for listing in &listed {
@@ -169,12 +169,12 @@
     /// waits for them. Begun last, they would end a whole turn of the places later. Where the
     /// places are taken in many turns the step may not be whole in time; begun by length all
     /// its groups would be nearly whole then, and none of use to its trainer.
-    pub fn todo(&self, places: usize) -> Vec<Arc<ItemSpec>> {
+    pub fn pending_items(&self, places: usize) -> Vec<Arc<ItemSpec>> {
         if self.ended {
             return Vec::new();
         }
         let mut left: Vec<usize> = self.open.values().copied().collect();
-        left.sort_unstable_by_key(|i| (std::cmp::Reverse(self.spec.items[*i].length), *i));
+        left.sort_unstable_by_key(|i| (std::cmp::Reverse(self.spec.items[*i].length_hint), *i));
         if left.len() > TURNS * places {
             let mut first: HashMap<&Name, usize> = HashMap::new();
             for (place, item) in self.spec.items.iter().enumerate() {
@@ -186,32 +186,32 @@
     }
 
     /// A sample ended.
-    pub fn finish(&mut self, id: &str, state: State) -> Finished {
+    pub fn finish(&mut self, id: &str, state: ItemState) -> FinishEffect {
         if self.ended {
-            return Finished::Unwanted;
+            return FinishEffect::Unwanted;
         }
-        let Some((id, index)) = self.open.remove_entry(id) else { return Finished::Unwanted };
-        self.fresh.push(Arc::new(Listing { id, state }));
+        let Some((id, index)) = self.open.remove_entry(id) else { return FinishEffect::Unwanted };
+        self.fresh.push(Arc::new(ItemResult { id, state }));
         let group = &self.spec.items[index].group;
-        let Some(left) = self.groups.get_mut(group) else { return Finished::Group };
+        let Some(left) = self.groups.get_mut(group) else { return FinishEffect::Group };
         *left -= 1;
         if *left > 0 {
-            return Finished::Sample;
+            return FinishEffect::Sample;
         }
         self.groups.remove(group);
-        Finished::Group
+        FinishEffect::Group
     }
 
     /// Whether its trainer may be waiting for the next results to go on: the groups that it
     /// wants are whole, or all but one in ten and one. Until then results are of no use to it.
-    pub fn awaited(&self) -> bool {
-        let wanted = self.spec.wanted.unwrap_or_default().min(self.total);
+    pub fn is_urgent(&self) -> bool {
+        let wanted = self.spec.wanted_groups.unwrap_or_default().min(self.total);
         let whole = self.total - self.groups.len();
-        whole + wanted.div_ceil(NEAR) + 1 >= wanted || self.made()
+        whole + wanted.div_ceil(NEAR) + 1 >= wanted || self.all_finished()
     }
 
     /// The position of the next result that is written.
-    pub fn position(&self) -> usize {
+    pub fn next_position(&self) -> usize {
         self.listed.len()
     }
 
@@ -220,11 +220,11 @@
     ///
     /// Load pattern: everything that was made in an outage is written in one go after it. A
     /// step of 128 samples comes to more than the megabyte that a value may have.
-    pub fn batch(&self, most: usize) -> (usize, Vec<Arc<Listing>>) {
+    pub fn next_batch(&self, most: usize) -> (usize, Vec<Arc<ItemResult>>) {
         let mut size = 0;
         let mut batch = Vec::new();
         for listing in &self.fresh {
-            size += listing.size();
+            size += listing.approx_bytes();
             if size > most && !batch.is_empty() {
                 break;
             }
@@ -234,17 +234,17 @@
     }
 
     /// Whether results wait to be written.
-    pub fn fresh(&self) -> bool {
+    pub fn has_unwritten(&self) -> bool {
         !self.fresh.is_empty()
     }
 
     /// The first `count` fresh results last now.
-    pub fn written(&mut self, count: usize) {
+    pub fn mark_written(&mut self, count: usize) {
         self.listed.extend(self.fresh.drain(..count));
     }
 
     /// The results that last, by position.
-    pub fn listed(&self) -> &[Arc<Listing>] {
+    pub fn written_results(&self) -> &[Arc<ItemResult>] {
         &self.listed
     }
 
@@ -259,12 +259,12 @@
     }
 
     /// Whether every sample has a result that lasts.
-    pub fn complete(&self) -> bool {
+    pub fn all_written(&self) -> bool {
         self.listed.len() == self.spec.items.len()
     }
 
     /// Whether every sample has a result, written or not.
-    pub fn made(&self) -> bool {
+    pub fn all_finished(&self) -> bool {
         self.open.is_empty()
     }
 }
--- a/src/decide/job/mod.rs
+++ b/src/decide/job/mod.rs
@@ -5,7 +5,7 @@
 mod sample;
 mod text;
 
-pub use job::{Finished, Job, Listing, Spec, State};
+pub use job::{FinishEffect, ItemResult, ItemState, Job, JobSpec};
 pub use order::JobOrder;
 pub use sample::{ItemSpec, Score, Scorer};
-pub use text::{Event, EventReader, Fault, Growth, Saved, Text};
+pub use text::{Event, EventReader, SampleText, SavedProgress, StreamError, TextDelta};
--- a/src/decide/job/sample.rs
+++ b/src/decide/job/sample.rs
@@ -35,7 +35,7 @@
     /// Samples of one group share their prompt.
     pub group: Name,
     /// The sender's estimate of the tokens that it comes to, often far off.
-    pub length: Option<u64>,
+    pub length_hint: Option<u64>,
     /// Who scores it; none for a sample without a score.
     pub scorer: Option<Scorer>,
 }
--- a/src/decide/job/text.rs
+++ b/src/decide/job/text.rs
@@ -26,10 +26,10 @@
 
 /// Why a stream can't be read on.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum StreamError {
     /// Bytes that are no event.
     #[error("bytes that are no event")]
-    Garbled,
+    Malformed,
     /// An event that is not the next one.
     #[error("event {got} where {wanted} is due")]
     OutOfOrder {
@@ -40,10 +40,10 @@
     },
     /// An event without a version.
     #[error("an event of unknown version")]
-    Unlabelled,
+    MissingVersion,
     /// A version that the job does not allow.
     #[error("version {0} is not allowed here")]
-    Version(u64),
+    DisallowedVersion(u64),
 }
 
 /// The longest event, in bytes: far above what replicas send, so that a replica that never
@@ -57,14 +57,14 @@
     }
 
     /// Adds bytes and returns the events that are whole by now.
-    pub fn push(&mut self, bytes: &Bytes) -> Result<Vec<Event>, Fault> {
+    pub fn push(&mut self, bytes: &Bytes) -> Result<Vec<Event>, StreamError> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         while let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
             let raw = self.buffer.split_to(end + 2).freeze();
             events.push(self.event(raw)?);
         }
-        if self.buffer.len() > LONGEST { Err(Fault::Garbled) } else { Ok(events) }
+        if self.buffer.len() > LONGEST { Err(StreamError::Malformed) } else { Ok(events) }
     }
 
     /// Whether bytes of an unfinished event are left.
@@ -72,12 +72,13 @@
         !self.buffer.is_empty()
     }
 
-    fn event(&self, raw: Bytes) -> Result<Event, Fault> {
-        let text = std::str::from_utf8(&raw[..raw.len() - 2]).map_err(|_| Fault::Garbled)?;
+    fn event(&self, raw: Bytes) -> Result<Event, StreamError> {
+        let text =
+            std::str::from_utf8(&raw[..raw.len() - 2]).map_err(|_| StreamError::Malformed)?;
         let (mut id, mut version) = (None, None);
         let mut data: Option<String> = None;
         for line in text.lines() {
-            let (name, value) = line.split_once(':').ok_or(Fault::Garbled)?;
+            let (name, value) = line.split_once(':').ok_or(StreamError::Malformed)?;
             let value = value.strip_prefix(' ').unwrap_or(value);
             match name {
                 "id" => id = value.parse().ok(),
@@ -89,12 +90,12 @@
                     None => data = Some(value.to_owned()),
                 },
                 name if name == self.field => {
-                    version = Some(value.trim().parse().map_err(|_| Fault::Garbled)?);
+                    version = Some(value.trim().parse().map_err(|_| StreamError::Malformed)?);
                 }
                 _ => {}
             }
         }
-        let id = id.ok_or(Fault::Garbled)?;
+        let id = id.ok_or(StreamError::Malformed)?;
         let data = data.unwrap_or_default();
         Ok(Event { id, data, version, raw })
     }
@@ -102,7 +103,7 @@
 
 /// The text so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Text {
+pub struct SampleText {
     /// How often it was begun anew.
     begun: u32,
     events: u64,
@@ -113,7 +114,7 @@
 
 /// How much of a text is kept elsewhere.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Saved {
+pub struct SavedProgress {
     begun: u32,
     events: u64,
     bytes: usize,
@@ -121,7 +122,7 @@
 
 /// What has come to a text since it was last kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Growth {
+pub struct TextDelta {
     begun: u32,
     /// The last event before it; 0 for a text from its beginning.
     from: u64,
@@ -132,16 +133,16 @@
     versions: Vec<u64>,
 }
 
-impl Growth {
+impl TextDelta {
     /// The bytes of text that it brings.
     pub fn bytes(&self) -> usize {
         self.output.len()
     }
 }
 
-impl Text {
+impl SampleText {
     /// The number of the last event.
-    pub fn last(&self) -> u64 {
+    pub fn last_event(&self) -> u64 {
         self.events
     }
 
@@ -151,13 +152,14 @@
     }
 
     /// What has come since `saved`; none if nothing has. With it, what is saved then.
-    pub fn growth(&self, saved: Saved) -> Option<(Growth, Saved)> {
-        let now = Saved { begun: self.begun, events: self.events, bytes: self.output.len() };
+    pub fn delta_since(&self, saved: SavedProgress) -> Option<(TextDelta, SavedProgress)> {
+        let now =
+            SavedProgress { begun: self.begun, events: self.events, bytes: self.output.len() };
         if self.events == 0 || now == saved {
             return None;
         }
-        let saved = if saved.begun == self.begun { saved } else { Saved::default() };
-        let growth = Growth {
+        let saved = if saved.begun == self.begun { saved } else { SavedProgress::default() };
+        let growth = TextDelta {
             begun: self.begun,
             from: saved.events,
             to: self.events,
@@ -169,7 +171,7 @@
 
     /// Takes up what was kept. What does not follow on what is there is left out: the text
     /// then goes on from an earlier event.
-    pub fn grow(&mut self, growth: &Growth) {
+    pub fn apply_delta(&mut self, growth: &TextDelta) {
         let follows = growth.begun == self.begun && growth.from == self.events;
         if growth.from == 0 {
             *self = Self { begun: growth.begun, ..Self::default() };
@@ -181,28 +183,32 @@
         self.versions.clone_from(&growth.versions);
     }
 
-    /// What is kept of it right after [`Text::grow`].
-    pub fn saved(&self) -> Saved {
-        Saved { begun: self.begun, events: self.events, bytes: self.output.len() }
+    /// What is kept of it right after [`SampleText::grow`].
+    pub fn progress(&self) -> SavedProgress {
+        SavedProgress { begun: self.begun, events: self.events, bytes: self.output.len() }
     }
 
     /// A run begins or goes on at a replica whose weights have this version.
-    pub fn at(&mut self, version: Option<u64>) {
+    pub fn set_version(&mut self, version: Option<u64>) {
         self.current = version;
     }
 
     /// Adds the next event; `allowed` says which versions may make it.
-    pub fn push(&mut self, event: &Event, allowed: impl Fn(u64) -> bool) -> Result<(), Fault> {
+    pub fn push(
+        &mut self,
+        event: &Event,
+        allowed: impl Fn(u64) -> bool,
+    ) -> Result<(), StreamError> {
         let wanted = self.events + 1;
         if event.id != wanted {
-            return Err(Fault::OutOfOrder { wanted, got: event.id });
+            return Err(StreamError::OutOfOrder { wanted, got: event.id });
         }
         if event.version.is_some() {
             self.current = event.version;
         }
-        let version = self.current.ok_or(Fault::Unlabelled)?;
+        let version = self.current.ok_or(StreamError::MissingVersion)?;
         if !allowed(version) {
-            return Err(Fault::Version(version));
+            return Err(StreamError::DisallowedVersion(version));
         }
         if !self.versions.contains(&version) {
             self.versions.push(version);
@@ -216,7 +222,7 @@
     }
 
     /// The version of the run that goes on now, as far as it has said so.
-    pub fn current(&self) -> Option<u64> {
+    pub fn current_version(&self) -> Option<u64> {
         self.current
     }
 
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -57,7 +57,9 @@
 };
 pub use drag::Drag;
 pub use eject::{Failures, most_out};
-pub use fleet::{Ended, Fleet, Listed, Position, Waiting, Want, Wish};
+pub use fleet::{
+    AttemptRequest, Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition,
+};
 pub use freshness::{Prospect, Served, floor};
 pub use label::{Label, Span, Unlabelled};
 pub use leaving::{Departure, Leaving};
--- a/src/edge/notice/notice.rs
+++ b/src/edge/notice/notice.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::Name;
-use crate::decide::{Listed, Routes};
+use crate::decide::{ListedReplica, Routes};
 use crate::edge::store::Put;
 
 /// Something that operators or trainers have written.
@@ -42,7 +42,7 @@
     /// The id of the replica that a key belongs to.
     fn replica_id(&self, key: &str) -> Name;
     /// An entry of the list of replicas.
-    fn replica(&self, key: &str, value: &[u8]) -> Result<Listed, String>;
+    fn replica(&self, key: &str, value: &[u8]) -> Result<ListedReplica, String>;
     /// Tells the operator that a machine has nothing left that has to last.
     fn retired(&self, node: &str) -> Put;
 }
--- a/src/entry/ended.rs
+++ b/src/entry/ended.rs
@@ -14,7 +14,7 @@
 use super::homes::Home;
 use super::read::{Read, page};
 use crate::Name;
-use crate::decide::job::{Listing, Spec};
+use crate::decide::job::{ItemResult, JobSpec};
 
 /// Bytes of results and submissions that are kept: two minutes of steps of a small fleet, and
 /// half of what a node may use. What is older is read from the store.
@@ -23,8 +23,8 @@
 /// One of them.
 #[derive(Debug)]
 pub(super) struct Ended {
-    pub spec: Arc<Spec>,
-    pub listed: Vec<Arc<Listing>>,
+    pub spec: Arc<JobSpec>,
+    pub listed: Vec<Arc<ItemResult>>,
 }
 
 /// All that are kept, the newest at the end.
@@ -47,8 +47,8 @@
     }
 
     fn bytes(&self) -> usize {
-        let listed: usize = self.listed.iter().map(|listing| listing.size()).sum();
-        listed + self.spec.size()
+        let listed: usize = self.listed.iter().map(|listing| listing.approx_bytes()).sum();
+        listed + self.spec.approx_bytes()
     }
 }
 
@@ -93,7 +93,7 @@
                 return;
             }
             let job = home.job.lock();
-            let ended = Ended { spec: job.spec.clone(), listed: job.listed().to_vec() };
+            let ended = Ended { spec: job.spec.clone(), listed: job.written_results().to_vec() };
             app.ended.add(ended);
         });
     }
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -94,7 +94,7 @@
         match self.notices.replica(&item.key, &item.value) {
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
-                if self.slots.fleet.lock().list(listed) {
+                if self.slots.fleet.lock().upsert(listed) {
                     tracing::info!(event = "replica_listed", replica = %id, draining);
                 }
             }
--- a/src/entry/home.rs
+++ b/src/entry/home.rs
@@ -15,7 +15,7 @@
 use super::live::Seen;
 use super::sample;
 use crate::Name;
-use crate::decide::job::{Job, Listing, Saved, Spec, Text};
+use crate::decide::job::{ItemResult, Job, JobSpec, SampleText, SavedProgress};
 use crate::edge::store::{Change, Item};
 use crate::metrics::JobStep;
 
@@ -32,29 +32,29 @@
 #[derive(Debug, Default)]
 pub(super) struct Kept {
     /// Its results.
-    pub listed: Vec<Arc<Listing>>,
+    pub listed: Vec<Arc<ItemResult>>,
     /// Its unfinished texts.
-    pub texts: ByName<(Text, Saved)>,
+    pub texts: ByName<(SampleText, SavedProgress)>,
     /// The number of writes that these lie in.
     pub saves: usize,
 }
 
 impl App {
     /// Runs a job that this node is home to since `revision`.
-    pub(super) fn run(self: &Arc<Self>, spec: Arc<Spec>, kept: Kept, key: Seen<HomeValue>) {
+    pub(super) fn run(self: &Arc<Self>, spec: Arc<JobSpec>, kept: Kept, key: Seen<HomeValue>) {
         let Kept { listed, texts, saves } = kept;
         let id = spec.id.clone();
         if let Some(model) = &spec.model {
-            self.demand.lock().note(model, spec.work(), self.now());
+            self.demand.lock().note(model, spec.estimated_work(), self.now());
         }
         let turn = self.homes.turn(&spec);
         let job = Job::new(spec, listed);
         let places = match &job.spec.model {
-            Some(model) => self.slots.fleet.lock().places(model, job.spec.oldest),
+            Some(model) => self.slots.fleet.lock().slots_at_version(model, job.spec.min_version),
             None => job.spec.items.len(),
         };
-        let todo = job.todo(places);
-        let count = job.position();
+        let todo = job.pending_items(places);
+        let count = job.next_position();
         let home = Arc::new(Home {
             job: Mutex::new(job),
             key: Mutex::new(key),
@@ -145,7 +145,7 @@
                 return lose(&app, &home, &id);
             }
         }
-        if home.job.lock().complete() {
+        if home.job.lock().all_written() {
             return;
         }
     }
--- a/src/entry/homes.rs
+++ b/src/entry/homes.rs
@@ -11,15 +11,15 @@
 use super::keys::HomeValue;
 use super::live::Seen;
 use crate::Name;
-use crate::decide::job::{Growth, Job, JobOrder, Saved, Spec, Text};
+use crate::decide::job::{Job, JobOrder, JobSpec, SampleText, SavedProgress, TextDelta};
 
 /// What has come to unfinished texts.
 #[derive(Debug, Default)]
 pub(super) struct Unsaved {
     /// The growth of each.
-    pub growths: Vec<(Name, Growth)>,
+    pub growths: Vec<(Name, TextDelta)>,
     /// What the store has of each once that is written.
-    pub after: Vec<(Name, Saved)>,
+    pub after: Vec<(Name, SavedProgress)>,
 }
 
 /// A job that runs here.
@@ -29,7 +29,7 @@
     /// The home's key, whose revision makes this node its home.
     pub key: Mutex<Seen<HomeValue>>,
     /// The texts of samples that run, and how much of each the store has.
-    pub texts: Mutex<ByName<(Text, Saved)>>,
+    pub texts: Mutex<ByName<(SampleText, SavedProgress)>>,
     /// The number of writes of unfinished texts.
     pub saves: Mutex<usize>,
     /// Told when a sample ends.
@@ -48,7 +48,7 @@
 
 impl Home {
     /// Works on the text of a sample.
-    pub(super) fn text<T>(&self, item: &Name, work: impl FnOnce(&mut Text) -> T) -> T {
+    pub(super) fn text<T>(&self, item: &Name, work: impl FnOnce(&mut SampleText) -> T) -> T {
         let mut texts = self.texts.lock();
         work(&mut texts.entry(item.clone()).or_default().0)
     }
@@ -59,7 +59,7 @@
         let mut size = 0;
         let mut unsaved = Unsaved::default();
         for (item, (text, saved)) in &*texts {
-            let Some((growth, after)) = text.growth(*saved) else { continue };
+            let Some((growth, after)) = text.delta_since(*saved) else { continue };
             if size + growth.bytes() > most {
                 continue;
             }
@@ -71,7 +71,7 @@
     }
 
     /// The store has these now.
-    pub(super) fn saved(&self, saves: Vec<(Name, Saved)>) {
+    pub(super) fn saved(&self, saves: Vec<(Name, SavedProgress)>) {
         let mut texts = self.texts.lock();
         for (item, saved) in saves {
             if let Some(entry) = texts.get_mut(&item) {
@@ -93,7 +93,7 @@
 
 impl Homes {
     /// The place of a job that comes.
-    pub(super) fn turn(&self, spec: &Spec) -> u64 {
+    pub(super) fn turn(&self, spec: &JobSpec) -> u64 {
         self.order.lock().begin(spec.organisation.clone(), spec.items.len())
     }
 
@@ -116,7 +116,7 @@
     /// Whether a job here has samples to make.
     pub(super) fn busy(&self) -> bool {
         let homes = self.homes.lock();
-        homes.values().any(|home| !home.stop.is_cancelled() && !home.job.lock().made())
+        homes.values().any(|home| !home.stop.is_cancelled() && !home.job.lock().all_finished())
     }
 
     /// Waits until a job here has samples to make.
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -45,18 +45,18 @@
             () = home.fresh.notified() => {}
         }
         for _ in 0..WINDOWS {
-            if home.job.lock().made() {
+            if home.job.lock().all_finished() {
                 break;
             }
             tokio::time::sleep(WINDOW).await;
-            if home.job.lock().awaited() {
+            if home.job.lock().is_urgent() {
                 break;
             }
         }
         if !write_all(&app, &home, &id, usize::MAX).await {
             return;
         }
-        if home.job.lock().complete() {
+        if home.job.lock().all_written() {
             app.tally.job(JobStep::Complete);
             tracing::info!(event = "job_complete", job = %id);
             break;
@@ -69,12 +69,12 @@
 pub(super) async fn write_all(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
     let _writing = home.writing.lock().await;
     loop {
-        let before = home.job.lock().position();
+        let before = home.job.lock().next_position();
         if !write(app, home, id, tries).await {
             return false;
         }
         let job = home.job.lock();
-        if !job.fresh() || job.position() == before {
+        if !job.has_unwritten() || job.next_position() == before {
             return true;
         }
     }
@@ -82,7 +82,7 @@
 
 /// Writes what is fresh and fits a value.
 async fn write(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
-    let (position, batch) = home.job.lock().batch(app.settings.value - SPARE);
+    let (position, batch) = home.job.lock().next_batch(app.settings.value - SPARE);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
@@ -163,8 +163,8 @@
         return;
     }
     let mut job = home.job.lock();
-    job.written(count);
-    let listed = job.position();
+    job.mark_written(count);
+    let listed = job.next_position();
     drop(job);
     home.listed.send_replace(listed);
 }
--- a/src/entry/mover.rs
+++ b/src/entry/mover.rs
@@ -173,7 +173,7 @@
     if let Some(has) = has
         && has >= wanted.version
     {
-        app.slots.fleet.lock().seen(&target, &wanted.model, has);
+        app.slots.fleet.lock().raise_version(&target, &wanted.model, has);
         return Moved::Done;
     }
     if stance.busy || !app.holds(fence) {
@@ -203,7 +203,7 @@
     match end {
         OrderEnd::Accepted | OrderEnd::Unknown => wait(app, &target, &wanted).await,
         OrderEnd::Holds => {
-            app.slots.fleet.lock().seen(&target, &wanted.model, wanted.version);
+            app.slots.fleet.lock().raise_version(&target, &wanted.model, wanted.version);
             Moved::Done
         }
         OrderEnd::Busy | OrderEnd::Refused => Moved::Failed,
@@ -221,7 +221,7 @@
         }
         let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
         if has.is_some_and(|has| has >= wanted.version) {
-            app.slots.fleet.lock().seen(target, &wanted.model, wanted.version);
+            app.slots.fleet.lock().raise_version(target, &wanted.model, wanted.version);
             app.slots.pump(app.now());
             return Moved::Done;
         }
--- a/src/entry/peer/home.rs
+++ b/src/entry/peer/home.rs
@@ -11,7 +11,7 @@
 use super::message::{Followed, PeerAsk, PeerReply};
 use crate::Name;
 use crate::decide::affinity;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::edge::peer::PeerError;
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
@@ -51,7 +51,7 @@
 
 impl App {
     /// Hands a job to the node that is to be its home, if that is another one.
-    pub(in crate::entry) async fn pass_on(&self, spec: &Spec) -> Passed {
+    pub(in crate::entry) async fn pass_on(&self, spec: &JobSpec) -> Passed {
         let Some(to) = self.preferred(spec) else { return Passed::Not };
         let reply = self.ask(to, PeerAsk::Submit(spec.clone()), SUBMIT).await;
         let passed = match &reply {
@@ -69,7 +69,7 @@
     }
 
     /// Where the jobs of a route are to run; none for this node.
-    fn preferred(&self, spec: &Spec) -> Option<SocketAddr> {
+    fn preferred(&self, spec: &JobSpec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.live.lock().peers();
--- a/src/entry/peer/message.rs
+++ b/src/entry/peer/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::decide::usage::WindowNote;
 use crate::edge::peer::Message;
 use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerAsk {
     /// Be home to this job.
-    Submit(Spec),
+    Submit(JobSpec),
     /// Say whether you have this job.
     Find(Name),
     /// The body of a sample of a job that you have.
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -13,7 +13,7 @@
 use super::live::Seen;
 use super::views::{View, ViewState};
 use crate::Moment;
-use crate::decide::job::{Listing, Spec, State};
+use crate::decide::job::{ItemResult, ItemState, JobSpec};
 use crate::edge::store::{Change, StoreError};
 
 /// Text in one answer, in bytes: half of the megabyte that answers may have, as text grows
@@ -35,7 +35,7 @@
         /// The number of the job's samples.
         total: usize,
         /// The results.
-        results: Vec<Arc<Listing>>,
+        results: Vec<Arc<ItemResult>>,
     },
     /// There is no such job.
     Unknown,
@@ -85,12 +85,12 @@
         let total = home.job.lock().spec.items.len();
         let mut listed = home.listed.subscribe();
         loop {
-            let results = page(home.job.lock().listed(), after);
+            let results = page(home.job.lock().written_results(), after);
             // A write that was not answered may show at other nodes already.
             if home.job.lock().ended() || home.unsure.load(Ordering::Relaxed) {
                 return None;
             }
-            let over = home.job.lock().complete();
+            let over = home.job.lock().all_written();
             if !results.is_empty() || over || self.now() >= ends {
                 return Some(Read::Page { total, results });
             }
@@ -217,7 +217,7 @@
         body_of(&spec, item)
     }
 
-    async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
+    async fn spec_of(&self, job: &str) -> Result<Option<Arc<JobSpec>>, StoreError> {
         let view = self.views.get(job);
         if let Some(spec) = view.spec.lock().clone() {
             return Ok(Some(spec));
@@ -231,18 +231,18 @@
     }
 
     /// Reads a submission from the store.
-    pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<Spec>, StoreError> {
+    pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<JobSpec>, StoreError> {
         let page = self.store.range(&parts(job)).await?;
         let mut bytes = Vec::new();
         for item in &page.items {
             bytes.extend_from_slice(&item.value);
         }
-        let spec = Spec::decode(bytes).map_err(|e| StoreError::Refused(e.to_string()))?;
+        let spec = JobSpec::decode(bytes).map_err(|e| StoreError::Refused(e.to_string()))?;
         Ok(Arc::new(spec))
     }
 
     /// Reads all results of a job from the store.
-    pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<Listing>>, StoreError> {
+    pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<ItemResult>>, StoreError> {
         let page = self.store.range(&all_results(job)).await?;
         let mut state = ViewState::default();
         for item in &page.items {
@@ -252,18 +252,18 @@
     }
 }
 
-fn body_of(spec: &Spec, item: &str) -> Option<Bytes> {
+fn body_of(spec: &JobSpec, item: &str) -> Option<Bytes> {
     spec.items.iter().find(|i| *i.id == *item).map(|item| item.body.clone())
 }
 
 /// The results from a position on that fit one answer; at least one if there is one.
-pub(super) fn page(listed: &[Arc<Listing>], after: usize) -> Vec<Arc<Listing>> {
+pub(super) fn page(listed: &[Arc<ItemResult>], after: usize) -> Vec<Arc<ItemResult>> {
     let mut size = 0;
     let mut results = Vec::new();
     for listing in listed.iter().skip(after) {
         size += match &listing.state {
-            State::Completed { output, .. } => output.len(),
-            State::Dead => 0,
+            ItemState::Completed { output, .. } => output.len(),
+            ItemState::Dead => 0,
         };
         if size > PAGE && !results.is_empty() {
             break;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use super::slots::Held;
 use super::stream;
 use crate::decide::comeback::SOON;
-use crate::decide::{Again, Ended, History, Outcome, Route, Wish};
+use crate::decide::{Again, AttemptRequest, History, Outcome, ReplicaOutcome, Route};
 use crate::edge::http::gather;
 use crate::edge::replica::{Call, Failure, Pieces, Reply};
 use crate::error::{Kind, Refusal};
@@ -150,7 +150,12 @@
         let Some(service) = course.route.service(self.draw()).cloned() else {
             return Came::Over(refused(Kind::NoUpstream, "the route names no service"));
         };
-        let wish = Wish { service: &service, weights: None, avoid: &course.avoid, over: true };
+        let wish = AttemptRequest {
+            service: &service,
+            weights: None,
+            avoid: &course.avoid,
+            allow_full: true,
+        };
         let Some(mut held) = self.take(&wish) else {
             return Came::Over(refused(Kind::NoUpstream, "no replica takes work"));
         };
@@ -187,7 +192,7 @@
             Err(_) => return course.failed(self, &mut held, Failure::Broken("silent".to_owned())),
         };
         let took = self.now().saturating_sub(began);
-        held.ended(Ended::Answered { took, cost: 1 });
+        held.ended(ReplicaOutcome::Answered { duration: took, cost: 1 });
         if signature.is_none() {
             return course.failed(self, &mut held, Failure::Broken("unsigned".to_owned()));
         }
@@ -197,7 +202,7 @@
             course.failures += 1;
         }
         if failed {
-            held.ended(Ended::Failed);
+            held.ended(ReplicaOutcome::Failed);
             if course.may_repeat() && course.made < course.route.attempts {
                 course.history.note(Outcome::Unknown);
                 course.avoid.push(held.target.id.clone());
@@ -255,9 +260,9 @@
             Failure::Broken(_) => AttemptEnd::Broken,
         });
         held.ended(match failure {
-            Failure::Unsent(_) | Failure::Stranger => Ended::Unreachable,
-            Failure::NotRun(_) => Ended::Full,
-            Failure::Broken(_) => Ended::Failed,
+            Failure::Unsent(_) | Failure::Stranger => ReplicaOutcome::Unreachable,
+            Failure::NotRun(_) => ReplicaOutcome::Full,
+            Failure::Broken(_) => ReplicaOutcome::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -9,8 +9,8 @@
 use super::homes::Home;
 use super::slots::Held;
 use crate::Moment;
-use crate::decide::job::{Event, EventReader, Fault, ItemSpec, Spec};
-use crate::decide::{Ended, Route};
+use crate::decide::job::{Event, EventReader, ItemSpec, JobSpec, StreamError};
+use crate::decide::{ReplicaOutcome, Route};
 use crate::edge::replica::{Call, Failure, Reply};
 use crate::metrics::AttemptEnd;
 
@@ -29,7 +29,7 @@
     pub app: &'a App,
     pub home: &'a Home,
     pub item: &'a ItemSpec,
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     pub route: &'a Route,
 }
 
@@ -76,7 +76,7 @@
             Ok(Ok(reply)) => reply,
             Ok(Err(failure)) => return self.refused(held, &failure),
             Err(_) => {
-                held.ended(Ended::Failed);
+                held.ended(ReplicaOutcome::Failed);
                 return Tried::Again(AttemptEnd::Broken);
             }
         };
@@ -85,7 +85,7 @@
             StatusCode::UNPROCESSABLE_ENTITY => return Tried::Impossible,
             StatusCode::INTERNAL_SERVER_ERROR => return Tried::Failed,
             status if !status.is_success() || reply.signature.is_none() => {
-                held.ended(Ended::Failed);
+                held.ended(ReplicaOutcome::Failed);
                 return Tried::Again(AttemptEnd::Broken);
             }
             _ => {}
@@ -94,7 +94,7 @@
         let read = self.read(held, reply).await;
         let took = self.app.now().saturating_sub(begun);
         let cost = self.last().saturating_sub(before).max(1) as u32;
-        let answered = Ended::Answered { took, cost };
+        let answered = ReplicaOutcome::Answered { duration: took, cost };
         match read {
             Ok(Read::Whole) => {
                 held.ended(answered);
@@ -105,14 +105,14 @@
                 Tried::Again(AttemptEnd::Slow)
             }
             Ok(Read::Broken) => {
-                held.ended(Ended::Failed);
+                held.ended(ReplicaOutcome::Failed);
                 Tried::Again(AttemptEnd::Broken)
             }
             Ok(Read::Silent) => {
-                held.ended(Ended::Failed);
+                held.ended(ReplicaOutcome::Failed);
                 Tried::Again(AttemptEnd::Broken)
             }
-            Err(Fault::Version(version)) if version < self.spec.oldest => {
+            Err(StreamError::DisallowedVersion(version)) if version < self.spec.min_version => {
                 // The event was not taken: what came before it stays.
                 self.shown(held, version);
                 Tried::Again(AttemptEnd::Fault)
@@ -128,11 +128,13 @@
 
     fn refused(self, held: &mut Held<'_>, failure: &Failure) -> Tried {
         let (ended, end) = match failure {
-            Failure::Unsent(_) => (Ended::Unreachable, AttemptEnd::Unsent),
-            Failure::NotRun(_) if self.spec.model.is_some() => (Ended::Loading, AttemptEnd::NotRun),
-            Failure::NotRun(_) => (Ended::Full, AttemptEnd::NotRun),
-            Failure::Stranger => (Ended::Unreachable, AttemptEnd::Stranger),
-            Failure::Broken(_) => (Ended::Failed, AttemptEnd::Broken),
+            Failure::Unsent(_) => (ReplicaOutcome::Unreachable, AttemptEnd::Unsent),
+            Failure::NotRun(_) if self.spec.model.is_some() => {
+                (ReplicaOutcome::Loading, AttemptEnd::NotRun)
+            }
+            Failure::NotRun(_) => (ReplicaOutcome::Full, AttemptEnd::NotRun),
+            Failure::Stranger => (ReplicaOutcome::Unreachable, AttemptEnd::Stranger),
+            Failure::Broken(_) => (ReplicaOutcome::Failed, AttemptEnd::Broken),
         };
         held.ended(ended);
         tracing::debug!(event = "attempt_failed", item = %self.item.id, %failure);
@@ -140,14 +142,14 @@
     }
 
     fn last(self) -> u64 {
-        self.home.text(&self.item.id, |text| text.last())
+        self.home.text(&self.item.id, |text| text.last_event())
     }
 
     /// Reads events into the text.
-    async fn read(self, held: &Held<'_>, reply: Reply) -> Result<Read, Fault> {
+    async fn read(self, held: &Held<'_>, reply: Reply) -> Result<Read, StreamError> {
         let mut reader = EventReader::new(self.app.replicas.version_field());
         let mut body = reply.body;
-        self.home.text(&self.item.id, |text| text.at(reply.version));
+        self.home.text(&self.item.id, |text| text.set_version(reply.version));
         let mut seen = None;
         let mut mark: Option<(Moment, u64)> = None;
         loop {
@@ -178,21 +180,21 @@
     }
 
     /// Adds events to the text and returns the version that made the last.
-    fn add(self, events: &[Event]) -> Result<Option<u64>, Fault> {
+    fn add(self, events: &[Event]) -> Result<Option<u64>, StreamError> {
         self.home.text(&self.item.id, |text| {
             for event in events {
                 let known = text.versions();
                 let fits = |v| !self.route.one_version || known.iter().all(|k| *k == v);
-                text.push(event, |v| v >= self.spec.oldest && fits(v))?;
+                text.push(event, |v| v >= self.spec.min_version && fits(v))?;
             }
-            Ok(text.current().filter(|_| !events.is_empty()))
+            Ok(text.current_version().filter(|_| !events.is_empty()))
         })
     }
 
     /// A replica was seen to have a version.
     fn saw(self, held: &Held<'_>, version: Option<u64>) {
         if let (Some(model), Some(version)) = (&self.spec.model, version) {
-            self.app.slots.fleet.lock().seen(&held.target, model, version);
+            self.app.slots.fleet.lock().raise_version(&held.target, model, version);
         }
     }
 
@@ -202,16 +204,16 @@
         if let Some(model) = &self.spec.model {
             let replica = &held.target.id;
             tracing::info!(event = "replica_older", %replica, %model, version);
-            self.app.slots.fleet.lock().shown(&held.target, model, version);
+            self.app.slots.fleet.lock().set_version(&held.target, model, version);
         }
     }
 
     /// Takes note of the time that an event took of late. True if the run is better moved.
     fn slow(self, held: &Held<'_>, beat: f64) -> bool {
         let now = self.app.now();
-        let weights = self.spec.model.as_deref().map(|model| (model, self.spec.oldest));
+        let weights = self.spec.model.as_deref().map(|model| (model, self.spec.min_version));
         let mut fleet = self.app.slots.fleet.lock();
-        fleet.beat(&held.target.id, beat, now);
-        fleet.faster(&held.target.id, weights, beat, now)
+        fleet.record_event_interval(&held.target.id, beat, now);
+        fleet.has_faster_replica(&held.target.id, weights, beat, now)
     }
 }
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -10,8 +10,8 @@
 use super::run::{Run, Tried};
 use super::score::score;
 use crate::Name;
-use crate::decide::job::{Finished, ItemSpec, Spec, State};
-use crate::decide::{Route, Want};
+use crate::decide::job::{FinishEffect, ItemSpec, ItemState, JobSpec};
+use crate::decide::{Route, SlotRequest};
 use crate::edge::replica::Call;
 use crate::metrics::SampleEnd;
 
@@ -27,34 +27,34 @@
 /// Makes a sample and hands its result to the job.
 pub(super) async fn run(app: &Arc<App>, home: &Home, item: &ItemSpec, index: u64) {
     let state = make(app, home, item, index).await;
-    let dead = state == State::Dead;
+    let dead = state == ItemState::Dead;
     home.texts.lock().remove(&item.id);
     let finished = home.job.lock().finish(&item.id, state);
     match finished {
-        Finished::Unwanted => return,
+        FinishEffect::Unwanted => return,
         // A trainer takes whole groups: the rest goes with the next write.
-        Finished::Sample => {}
-        Finished::Group => home.fresh.notify_one(),
+        FinishEffect::Sample => {}
+        FinishEffect::Group => home.fresh.notify_one(),
     }
     app.tally.sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
     let job = home.job.lock().spec.id.clone();
     tracing::info!(event = "sample_made", %job, item = %item.id, dead);
 }
 
-async fn make(app: &Arc<App>, home: &Home, item: &ItemSpec, index: u64) -> State {
+async fn make(app: &Arc<App>, home: &Home, item: &ItemSpec, index: u64) -> ItemState {
     let spec = home.job.lock().spec.clone();
     let begun = app.now();
     if !text(app, home, &spec, item, index).await {
-        return State::Dead;
+        return ItemState::Dead;
     }
     let score = match &item.scorer {
         None => None,
         Some(scorer) => match score(app, &item.id, scorer, begun).await {
             Some(score) => Some(score),
-            None => return State::Dead,
+            None => return ItemState::Dead,
         },
     };
-    home.text(&item.id, |text| State::Completed {
+    home.text(&item.id, |text| ItemState::Completed {
         output: text.output().to_owned(),
         versions: text.versions(),
         score,
@@ -62,7 +62,7 @@
 }
 
 /// Makes the text of a sample. False if it can't be made.
-async fn text(app: &Arc<App>, home: &Home, spec: &Spec, item: &ItemSpec, index: u64) -> bool {
+async fn text(app: &Arc<App>, home: &Home, spec: &JobSpec, item: &ItemSpec, index: u64) -> bool {
     let begun = app.now();
     let mut failed = 0;
     let mut idle = 0;
@@ -84,17 +84,21 @@
             tokio::time::sleep(ABSENT).await;
             continue;
         };
-        let want =
-            Want { service, model: spec.model.clone(), least: spec.oldest, avoid: avoid.clone() };
+        let want = SlotRequest {
+            service,
+            model: spec.model.clone(),
+            min_version: spec.min_version,
+            avoid: avoid.clone(),
+        };
         let priority = routes.priority(&route, spec.organisation.as_ref());
         let turn = (priority, home.turn, index);
         let Some(mut held) = app.place(turn, want).await else { continue };
-        let before = home.text(&item.id, |text| text.last());
+        let before = home.text(&item.id, |text| text.last_event());
         let run = Run { app, home, item, spec, route: &route };
         let tried = run.attempt(&mut held, call(&route, priority, spec, item, before)).await;
         let replica = held.target.id.clone();
         drop(held);
-        let events = home.text(&item.id, |text| text.last());
+        let events = home.text(&item.id, |text| text.last_event());
         match tried {
             Tried::Whole => {
                 tracing::debug!(event = "text_whole", item = %item.id, %replica, events);
@@ -126,7 +130,7 @@
     }
 }
 
-fn call(route: &Route, priority: u8, spec: &Spec, item: &ItemSpec, last: u64) -> Call {
+fn call(route: &Route, priority: u8, spec: &JobSpec, item: &ItemSpec, last: u64) -> Call {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         if let (Ok(name), Ok(value)) =
--- a/src/entry/scale/order.rs
+++ b/src/entry/scale/order.rs
@@ -97,7 +97,7 @@
         let Some(wanted) = self.app.load.lock().wanted(&limits.service, now) else { return false };
         let (base, slots) = {
             let fleet = self.app.slots.fleet.lock();
-            (fleet.count(&limits.service, false), fleet.slots(&limits.service))
+            (fleet.count_by_zone(&limits.service, false), fleet.slots_per_replica(&limits.service))
         };
         let Some(slots) = slots else { return false };
         let planner = self.planners.entry(limits.service.clone());
@@ -123,7 +123,7 @@
     /// Sends the orders of a service that are new, were not answered or have come to nothing.
     async fn send(&mut self, limits: &Autoscale) {
         let Some(planner) = self.planners.get(&limits.service).cloned() else { return };
-        let there = self.app.slots.fleet.lock().count(&limits.service, limits.spot);
+        let there = self.app.slots.fleet.lock().count_by_zone(&limits.service, limits.spot);
         for (zone, extra) in planner.extra() {
             let there = there.get(zone).copied().unwrap_or(0);
             // Each kind is counted by itself, and the base is of the other one.
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -8,14 +8,14 @@
 
 use super::app::App;
 use super::scale::{Wanted, WantedPlace};
-use crate::decide::{Ended, Fleet, Position, Waiting, Want, Wish};
+use crate::decide::{AttemptRequest, Fleet, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
 
 /// How often those who wait are looked at again while replicas are left out for a time.
 const LOOK: Duration = Duration::from_millis(50);
 
-type Queue = Waiting<oneshot::Sender<Target>>;
+type Queue = SlotQueue<oneshot::Sender<Target>>;
 
 /// The replicas and those who wait for a place.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
 
     /// Gives free places to those who wait, in turn.
     pub(super) fn pump(&self, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.pump(fleet, now));
+        self.give(now, |waiting, fleet| waiting.assign_all(fleet, now));
     }
 
     /// A place at a replica is free again.
@@ -54,7 +54,7 @@
     /// places are taken. Looking through all replicas at each text's end to find the place that
     /// it gave back costs texts times replicas; the others are looked at soon after.
     fn freed(&self, replica: &str, now: Moment) {
-        if self.fleet.lock().many() {
+        if self.fleet.lock().is_large() {
             self.offer(replica, now);
         } else {
             self.pump(now);
@@ -63,7 +63,7 @@
 
     /// Gives the free places of one replica, in turn.
     fn offer(&self, replica: &str, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.offer(replica, fleet, now));
+        self.give(now, |waiting, fleet| waiting.assign_at(replica, fleet, now));
     }
 
     fn give(
@@ -75,7 +75,7 @@
         let mut fleet = self.fleet.lock();
         for (grant, target) in choose(&mut waiting, &mut fleet) {
             if let Err(target) = grant.send(target) {
-                fleet.end(&target.id, None, Ended::Dropped, now);
+                fleet.end_attempt(&target.id, None, ReplicaOutcome::Abandoned, now);
             }
         }
     }
@@ -87,7 +87,7 @@
     app: &'a App,
     pub target: Target,
     model: Option<Name>,
-    ended: Ended,
+    ended: ReplicaOutcome,
     /// Of a sample, from when it began to wait.
     _wanted: Option<WantedPlace>,
 }
@@ -95,11 +95,11 @@
 impl<'a> Held<'a> {
     /// A place that was counted by [`Fleet::start`] already.
     pub(super) fn began(app: &'a App, target: Target) -> Self {
-        Self { app, target, model: None, ended: Ended::Dropped, _wanted: None }
+        Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _wanted: None }
     }
 
     /// Says how the attempt ended.
-    pub(super) fn ended(&mut self, ended: Ended) {
+    pub(super) fn ended(&mut self, ended: ReplicaOutcome) {
         self.ended = ended;
     }
 }
@@ -108,7 +108,7 @@
     fn drop(&mut self) {
         let now = self.app.now();
         let model = self.model.as_deref();
-        self.app.slots.fleet.lock().end(&self.target.id, model, self.ended, now);
+        self.app.slots.fleet.lock().end_attempt(&self.target.id, model, self.ended, now);
         if self.app.slots.waits() {
             self.app.slots.freed(&self.target.id, now);
         }
@@ -122,8 +122,8 @@
         {
             let mut fleet = self.slots.fleet.lock();
             match load {
-                Some(load) => fleet.load(replica, load, now),
-                None => fleet.untold(replica),
+                Some(load) => fleet.report_load(replica, load, now),
+                None => fleet.report_no_load(replica),
             }
         }
         if self.slots.waits() {
@@ -132,7 +132,7 @@
     }
 
     /// Waits for a free place.
-    pub(super) async fn place(&self, turn: Position, want: Want) -> Option<Held<'_>> {
+    pub(super) async fn place(&self, turn: WaitPosition, want: SlotRequest) -> Option<Held<'_>> {
         let (service, model) = (want.service.clone(), want.model.clone());
         let wanted = self.slots.wanted.begin(service.clone());
         let (grant, granted) = oneshot::channel();
@@ -141,7 +141,13 @@
         self.slots.pump(self.now());
         self.slots.begun.notify_one();
         let target = (&mut waiting.granted).await.ok()?;
-        Some(Held { app: self, target, model, ended: Ended::Dropped, _wanted: Some(wanted) })
+        Some(Held {
+            app: self,
+            target,
+            model,
+            ended: ReplicaOutcome::Abandoned,
+            _wanted: Some(wanted),
+        })
     }
 
     /// Looks after those who wait, for as long as someone does.
@@ -156,20 +162,20 @@
     }
 
     /// Takes a place at once, also where all are taken.
-    pub(super) fn take(&self, wish: &Wish<'_>) -> Option<Held<'_>> {
+    pub(super) fn take(&self, wish: &AttemptRequest<'_>) -> Option<Held<'_>> {
         let mut fleet = self.slots.fleet.lock();
         let now = self.now();
         let target = fleet.choose(wish, now)?;
-        fleet.start(&target.id, now);
+        fleet.start_attempt(&target.id, now);
         let model = wish.weights.map(|(model, _)| model.into());
-        Some(Held { app: self, target, model, ended: Ended::Dropped, _wanted: None })
+        Some(Held { app: self, target, model, ended: ReplicaOutcome::Abandoned, _wanted: None })
     }
 }
 
 /// Takes a waiter out of the queue when its sample gives up.
 struct Wait<'a> {
     app: &'a App,
-    turn: Position,
+    turn: WaitPosition,
     service: Name,
     model: Option<Name>,
     granted: oneshot::Receiver<Target>,
@@ -182,7 +188,12 @@
         self.granted.close();
         if let Ok(target) = self.granted.try_recv() {
             let now = self.app.now();
-            self.app.slots.fleet.lock().end(&target.id, None, Ended::Dropped, now);
+            self.app.slots.fleet.lock().end_attempt(
+                &target.id,
+                None,
+                ReplicaOutcome::Abandoned,
+                now,
+            );
         }
     }
 }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -13,7 +13,7 @@
 use super::relay::Course;
 use super::slots::Held;
 use crate::decide::job::EventReader;
-use crate::decide::{Again, Ended, Wish};
+use crate::decide::{Again, AttemptRequest, ReplicaOutcome};
 use crate::edge::replica::{Pieces, Reply, Target};
 
 /// How long the next event may take before the replica counts as silent.
@@ -57,7 +57,7 @@
         version: reply.version,
         app: app.clone(),
     };
-    app.slots.fleet.lock().start(&target.id, app.now());
+    app.slots.fleet.lock().start_attempt(&target.id, app.now());
     let (sender, receiver) = mpsc::channel(AHEAD);
     // The task ends with the client: a receiver that is gone fails the next send, and the
     // select below notices one that is gone between events.
@@ -76,11 +76,11 @@
             match self.part(body, &to).await {
                 Part::Whole => {
                     let took = app.now().saturating_sub(began);
-                    place.ended(Ended::Answered { took, cost: 1 });
+                    place.ended(ReplicaOutcome::Answered { duration: took, cost: 1 });
                     return;
                 }
                 Part::ClientLeft => return,
-                Part::Broken => place.ended(Ended::Failed),
+                Part::Broken => place.ended(ReplicaOutcome::Failed),
             }
             self.avoid.push(place.target.id.clone());
             drop(held.take());
@@ -100,7 +100,12 @@
                 break;
             }
             let Some(service) = self.service.clone() else { break };
-            let wish = Wish { service: &service, weights: None, avoid: &self.avoid, over: true };
+            let wish = AttemptRequest {
+                service: &service,
+                weights: None,
+                avoid: &self.avoid,
+                allow_full: true,
+            };
             let Some(held) = app.take(&wish) else { break };
             let mut call = self.call.clone();
             call.after = self.last;
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -13,7 +13,7 @@
 use super::peer::Passed;
 use super::takeover;
 use crate::Name;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
 
@@ -40,7 +40,7 @@
 
 impl App {
     /// Takes in a job.
-    pub async fn submit(self: &Arc<Self>, spec: Spec) -> Submitted {
+    pub async fn submit(self: &Arc<Self>, spec: JobSpec) -> Submitted {
         let kept = self.homes.get(&spec.id).is_some();
         let passed = if kept || self.draining() { Passed::Not } else { self.pass_on(&spec).await };
         match passed {
@@ -56,7 +56,7 @@
     }
 
     /// Takes in a job at this node.
-    pub(super) async fn accept(self: &Arc<Self>, spec: Spec) -> Submitted {
+    pub(super) async fn accept(self: &Arc<Self>, spec: JobSpec) -> Submitted {
         let submitted = self.take_in(spec).await;
         self.tally.job(match submitted {
             Submitted::Kept => JobStep::Accepted,
@@ -66,7 +66,7 @@
         submitted
     }
 
-    async fn take_in(self: &Arc<Self>, spec: Spec) -> Submitted {
+    async fn take_in(self: &Arc<Self>, spec: JobSpec) -> Submitted {
         let id = spec.id.clone();
         if self.homes.get(&id).is_some() {
             return Submitted::Kept;
@@ -104,7 +104,7 @@
         self.write(spec, value, txn).await
     }
 
-    async fn write(self: &Arc<Self>, spec: Arc<Spec>, value: HomeValue, txn: Txn) -> Submitted {
+    async fn write(self: &Arc<Self>, spec: Arc<JobSpec>, value: HomeValue, txn: Txn) -> Submitted {
         let begun = self.now();
         let mut unsure = false;
         let mut looked = false;
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -13,7 +13,7 @@
 use super::keys::{HOMES, HomeValue, all_texts, home as home_key, whole_job};
 use super::live::Seen;
 use super::submit::unix_millis;
-use crate::decide::job::{Growth, Listing, Saved, Spec, Text};
+use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
 use crate::decide::rank;
 use crate::edge::store::{Page, StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
@@ -162,7 +162,7 @@
     }
 }
 
-async fn load(app: &App, job: &str) -> Result<(Arc<Spec>, Kept), StoreError> {
+async fn load(app: &App, job: &str) -> Result<(Arc<JobSpec>, Kept), StoreError> {
     let spec = app.load_spec(job).await?;
     let listed = app.load_results(job).await?;
     let page = app.store.range(&all_texts(job)).await?;
@@ -171,12 +171,15 @@
 }
 
 /// The unfinished texts, from all writes of them in turn, and the number for the next write.
-fn unfinished(page: &Page, listed: &[Arc<Listing>]) -> (ByName<(Text, Saved)>, usize) {
-    let mut texts: ByName<(Text, Saved)> = ByName::new();
+fn unfinished(
+    page: &Page,
+    listed: &[Arc<ItemResult>],
+) -> (ByName<(SampleText, SavedProgress)>, usize) {
+    let mut texts: ByName<(SampleText, SavedProgress)> = ByName::new();
     for item in &page.items {
         let config = bincode::config::standard();
         let decoded =
-            bincode::serde::decode_from_slice::<Vec<(Name, Growth)>, _>(&item.value, config);
+            bincode::serde::decode_from_slice::<Vec<(Name, TextDelta)>, _>(&item.value, config);
         let growths = match decoded {
             Ok((growths, _)) => growths,
             Err(e) => {
@@ -185,14 +188,14 @@
             }
         };
         for (name, growth) in &growths {
-            texts.entry(name.clone()).or_default().0.grow(growth);
+            texts.entry(name.clone()).or_default().0.apply_delta(growth);
         }
     }
     for listing in listed {
         texts.remove(&listing.id);
     }
     for (text, saved) in texts.values_mut() {
-        *saved = text.saved();
+        *saved = text.progress();
     }
     (texts, page.items.len())
 }
@@ -228,7 +231,7 @@
     fn tidy(&self, now: Moment) {
         self.views.forget(now, self.settings.kept * 2);
         for (job, home) in self.homes.all() {
-            let over = home.job.lock().complete();
+            let over = home.job.lock().all_written();
             if over && old(self, &home.key.lock().value) {
                 self.homes.remove(&job);
             }
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -7,7 +7,7 @@
 
 use super::app::ByName;
 use super::keys::results;
-use crate::decide::job::{Listing, Spec};
+use crate::decide::job::{ItemResult, JobSpec};
 use crate::edge::store::Item;
 use crate::{Moment, Name};
 
@@ -20,14 +20,14 @@
 #[derive(Debug, Default)]
 pub(super) struct View {
     pub state: Mutex<ViewState>,
-    pub spec: Mutex<Option<Arc<Spec>>>,
+    pub spec: Mutex<Option<Arc<JobSpec>>>,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct ViewState {
     /// The number of its samples, once that is known.
     pub total: Option<usize>,
-    pub listed: Vec<Arc<Listing>>,
+    pub listed: Vec<Arc<ItemResult>>,
     /// The revision from which a watch goes on; none before the first read.
     pub revision: Option<u64>,
     /// The node's count of cut watches at the last whole read.
@@ -82,7 +82,7 @@
             return;
         }
         let config = bincode::config::standard();
-        match bincode::serde::decode_from_slice::<Vec<Arc<Listing>>, _>(&item.value, config) {
+        match bincode::serde::decode_from_slice::<Vec<Arc<ItemResult>>, _>(&item.value, config) {
             Ok((batch, _)) => self.listed.extend(batch),
             Err(e) => tracing::error!(event = "results_unreadable", job, error = %e),
         }
--- a/standins/src/kv/words.rs
+++ b/standins/src/kv/words.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::Listed;
+use mulberrycourse::decide::ListedReplica;
 use mulberrycourse::edge::notice::{Notice, Notices};
 use mulberrycourse::edge::store::Put;
 use parking_lot::Mutex;
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Words {
     notices: Arc<Mutex<Vec<Notice>>>,
-    listed: Arc<Mutex<Vec<Listed>>>,
+    listed: Arc<Mutex<Vec<ListedReplica>>>,
 }
 
 impl Words {
@@ -32,7 +32,7 @@
     }
 
     /// A replica writes its entry.
-    pub fn list(&self, service: &KvService, entry: Listed) {
+    pub fn list(&self, service: &KvService, entry: ListedReplica) {
         let mut listed = self.listed.lock();
         let key = format!("replicas/{}", entry.target.id);
         listed.push(entry);
@@ -76,7 +76,7 @@
         key.trim_start_matches("replicas/").into()
     }
 
-    fn replica(&self, _: &str, value: &[u8]) -> Result<Listed, String> {
+    fn replica(&self, _: &str, value: &[u8]) -> Result<ListedReplica, String> {
         self.listed.lock().get(index(value)?).cloned().ok_or_else(|| "no entry".to_owned())
     }
 
--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -10,7 +10,7 @@
 use futures_util::future::BoxFuture;
 use http::{HeaderMap, StatusCode};
 use mulberrycourse::Name;
-use mulberrycourse::decide::Listed;
+use mulberrycourse::decide::ListedReplica;
 use mulberrycourse::edge::replica::{
     Call, Failure, Load, Order, OrderEnd, Pieces, Replicas, Reply, Stance, Target,
 };
@@ -70,7 +70,7 @@
     pub fn list(&self, service: &str, id: &str, draining: bool) {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
         let versions = self.state.lock().replicas[id].versions.clone();
-        let listed = Listed {
+        let listed = ListedReplica {
             target: Target { id: id.into(), born: self.state.lock().replicas[id].born, address },
             service: service.into(),
             zone: "z".into(),
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -189,7 +189,7 @@
     }
     a.submit("j", &["i1"]).await;
     let whole = a.whole("j", 1).await;
-    assert_eq!(whole[0].state, mulberrycourse::decide::job::State::Dead);
+    assert_eq!(whole[0].state, mulberrycourse::decide::job::ItemState::Dead);
     assert_eq!(world.replicas.ran().iter().filter(|r| &*r.id == "i1").count(), 3);
 }
 
--- a/tests/entry/shares.rs
+++ b/tests/entry/shares.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::decide::job::Spec;
+use mulberrycourse::decide::job::JobSpec;
 
 use crate::world::{World, spec};
 
@@ -15,7 +15,7 @@
     let submit = async |owner: &str, job: &str| {
         let ids: Vec<String> = (0..40).map(|i| format!("{job}-{i}")).collect();
         let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-        let spec = Spec { organisation: Some(owner.into()), ..spec(job, &ids) };
+        let spec = JobSpec { organisation: Some(owner.into()), ..spec(job, &ids) };
         a.app().submit(spec).await;
     };
     for i in 0..10 {
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
-use mulberrycourse::decide::job::{ItemSpec, Listing, Scorer, Spec, State};
+use mulberrycourse::decide::job::{ItemResult, ItemSpec, ItemState, JobSpec, Scorer};
 use mulberrycourse::decide::scale::Autoscale;
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
@@ -228,7 +228,7 @@
     }
 
     /// Reads from a position without waiting.
-    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<Listing>> {
+    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
         match self.app().read(job, after, Duration::ZERO).await {
             Read::Page { results, .. } => results,
             other => panic!("{other:?}"),
@@ -236,7 +236,7 @@
     }
 
     /// Reads until all results are there.
-    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<Listing>> {
+    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
         let reading = async {
             let mut all = Vec::new();
             while all.len() < total {
@@ -294,22 +294,22 @@
     }
 }
 
-pub(crate) fn spec(job: &str, items: &[&str]) -> Spec {
-    Spec {
+pub(crate) fn spec(job: &str, items: &[&str]) -> JobSpec {
+    JobSpec {
         id: job.into(),
         host: HOST.into(),
         path: format!("/jobs/{job}").into(),
         model: Some(MODEL.into()),
-        oldest: 1,
+        min_version: 1,
         items: items.iter().map(|id| Arc::new(item(id))).collect(),
-        wanted: None,
+        wanted_groups: None,
         organisation: None,
     }
 }
 
 /// The same, from this version on.
-pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> Spec {
-    Spec { oldest, ..spec(job, items) }
+pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
+    JobSpec { min_version: oldest, ..spec(job, items) }
 }
 
 fn item(id: &str) -> ItemSpec {
@@ -319,7 +319,7 @@
         headers: vec![("model".into(), MODEL.into())],
         body: Bytes::from(format!("body of {id}")),
         group: "g".into(),
-        length: None,
+        length_hint: None,
         scorer: Some(Scorer {
             id: format!("score-{id}").into(),
             host: HOST.into(),
@@ -352,8 +352,8 @@
 }
 
 /// Checks a result against what the replicas made.
-pub(crate) fn check(listing: &Listing, events: u64) {
-    let State::Completed { output, versions, score } = &listing.state else {
+pub(crate) fn check(listing: &ItemResult, events: u64) {
+    let ItemState::Completed { output, versions, score } = &listing.state else {
         panic!("{listing:?}");
     };
     assert_eq!(*output, text(&listing.id, events));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::{Ended, Fleet, Listed, Wish};
+use mulberrycourse::decide::{AttemptRequest, Fleet, ListedReplica, ReplicaOutcome};
 use mulberrycourse::edge::replica::{Load, Target};
 
 const S: &str = "engines";
 const NOW: Duration = Duration::from_secs(10);
 
-fn listed(id: &str, draining: bool, version: u64) -> Listed {
-    Listed {
+fn listed(id: &str, draining: bool, version: u64) -> ListedReplica {
+    ListedReplica {
         target: Target { id: id.into(), born: None, address: SocketAddr::from(([10, 0, 0, 1], 1)) },
         service: S.into(),
         zone: "z".into(),
@@ -27,20 +27,20 @@
 fn fleet(ids: &[&str]) -> Fleet {
     let mut fleet = Fleet::new("z".into());
     for id in ids {
-        fleet.list(listed(id, false, 1));
+        fleet.upsert(listed(id, false, 1));
     }
     fleet
 }
 
-fn wish(over: bool) -> Wish<'static> {
-    Wish { service: S, weights: None, avoid: &[], over }
+fn wish(over: bool) -> AttemptRequest<'static> {
+    AttemptRequest { service: S, weights: None, avoid: &[], allow_full: over }
 }
 
 /// Begins attempts until no place is free, and counts them by replica.
 fn burst(fleet: &mut Fleet, now: Duration) -> HashMap<Name, u32> {
     let mut counts = HashMap::new();
     while let Some(target) = fleet.choose(&wish(false), now) {
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
         *counts.entry(target.id).or_default() += 1;
     }
     counts
@@ -51,7 +51,7 @@
     let mut fleet = fleet(&["a", "b", "c"]);
     let counts = burst(&mut fleet, NOW);
     assert_eq!(counts.values().copied().collect::<Vec<u32>>(), [8, 8, 8]);
-    assert_eq!(fleet.free(S, NOW), 0);
+    assert_eq!(fleet.free_slots(S, NOW), 0);
     assert!(fleet.choose(&wish(true), NOW).is_some());
 }
 
@@ -61,7 +61,7 @@
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for _ in 0..12 {
         let target = fleet.choose(&wish(false), NOW).unwrap();
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
         *counts.entry(target.id).or_default() += 1;
     }
     assert!(counts.values().all(|c| *c == 4), "{counts:?}");
@@ -72,29 +72,29 @@
     let mut fleet = fleet(&["a", "b", "c"]);
     for _ in 0..20 {
         for (id, millis) in [("a", 140), ("b", 35), ("c", 35)] {
-            fleet.start(id, NOW);
+            fleet.start_attempt(id, NOW);
             let took = Duration::from_millis(millis * 10);
-            fleet.end(id, None, Ended::Answered { took, cost: 10 }, NOW);
+            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration: took, cost: 10 }, NOW);
         }
     }
-    assert!(fleet.faster("a", None, 0.140, NOW));
-    assert!(!fleet.faster("b", None, 0.036, NOW));
+    assert!(fleet.has_faster_replica("a", None, 0.140, NOW));
+    assert!(!fleet.has_faster_replica("b", None, 0.036, NOW));
     let mut slow = 0;
     for _ in 0..12 {
         let target = fleet.choose(&wish(false), NOW).unwrap();
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
         slow += u32::from(&*target.id == "a");
     }
     assert!(slow <= 2, "{slow}");
     burst(&mut fleet, NOW);
-    assert!(!fleet.faster("a", None, 0.140, NOW), "nowhere to go");
+    assert!(!fleet.has_faster_replica("a", None, 0.140, NOW), "nowhere to go");
 }
 
 #[test]
 fn a_replica_that_leaves_gets_nothing() {
     let mut fleet = fleet(&["a", "b"]);
-    assert!(fleet.list(listed("a", true, 1)));
-    assert!(!fleet.open("a"));
+    assert!(fleet.upsert(listed("a", true, 1)));
+    assert!(!fleet.accepts_work("a"));
     assert!(burst(&mut fleet, NOW).keys().all(|id| &**id == "b"));
     fleet.remove("b");
     assert_eq!(fleet.choose(&wish(true), NOW), None);
@@ -103,17 +103,17 @@
 #[test]
 fn weights_that_are_too_old_or_loading_are_passed_over() {
     let mut fleet = fleet(&["a", "b"]);
-    let wish = Wish { weights: Some(("m", 2)), ..wish(false) };
+    let wish = AttemptRequest { weights: Some(("m", 2)), ..wish(false) };
     assert_eq!(fleet.choose(&wish, NOW), None);
     let b = listed("b", false, 1).target;
-    fleet.seen(&b, "m", 2);
+    fleet.raise_version(&b, "m", 2);
     assert_eq!(&*fleet.choose(&wish, NOW).unwrap().id, "b");
-    fleet.start("b", NOW);
-    fleet.end("b", Some("m"), Ended::Loading, NOW);
+    fleet.start_attempt("b", NOW);
+    fleet.end_attempt("b", Some("m"), ReplicaOutcome::Loading, NOW);
     assert_eq!(fleet.choose(&wish, NOW), None);
     assert!(fleet.choose(&wish, NOW + Duration::from_secs(1)).is_some());
     // The list lags: what was seen is not taken back by it.
-    fleet.list(listed("b", false, 1));
+    fleet.upsert(listed("b", false, 1));
     assert!(fleet.choose(&wish, NOW + Duration::from_secs(1)).is_some());
 }
 
@@ -121,20 +121,20 @@
 fn failing_replicas_are_left_out_but_never_most_of_them() {
     let mut fleet = fleet(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
-        fleet.start(id, NOW);
-        fleet.end(id, None, Ended::Unreachable, NOW);
+        fleet.start_attempt(id, NOW);
+        fleet.end_attempt(id, None, ReplicaOutcome::Unreachable, NOW);
     }
     assert!(fleet.choose(&wish(true), NOW).is_some());
     let mut fleet = self::fleet(&["a", "b", "c"]);
-    fleet.start("a", NOW);
-    fleet.end("a", None, Ended::Unreachable, NOW);
+    fleet.start_attempt("a", NOW);
+    fleet.end_attempt("a", None, ReplicaOutcome::Unreachable, NOW);
     assert!(!burst(&mut fleet, NOW).contains_key("a"));
 }
 
 #[test]
 fn the_load_of_others_counts_and_fades() {
     let mut fleet = fleet(&["a", "b"]);
-    fleet.load("a", Load { running: 8, waiting: 4 }, NOW);
+    fleet.report_load("a", Load { running: 8, waiting: 4 }, NOW);
     assert_eq!(&*fleet.choose(&wish(false), NOW).unwrap().id, "b");
     assert_eq!(burst(&mut fleet, NOW).get("a"), None);
     let later = NOW + Duration::from_secs(5);
@@ -152,19 +152,19 @@
         for (i, id) in ids.iter().enumerate() {
             let event = if i < 4 { 0.140 } else { 0.040 };
             let took = Duration::from_secs_f64(event * 10.0);
-            fleet.end(id, None, Ended::Answered { took, cost: 10 }, NOW);
-            fleet.beat(id, event, NOW);
+            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration: took, cost: 10 }, NOW);
+            fleet.record_event_interval(id, event, NOW);
         }
     }
-    assert!(fleet.faster("r05", None, 0.082, NOW), "twice the usual time an event");
-    assert!(!fleet.faster("r05", None, 0.050, NOW));
+    assert!(fleet.has_faster_replica("r05", None, 0.082, NOW), "twice the usual time an event");
+    assert!(!fleet.has_faster_replica("r05", None, 0.050, NOW));
     // Samples go where events come fast.
     let weights = Some(("m", 1));
     for _ in 0..24 {
-        let wish = Wish { service: S, weights, avoid: &[], over: false };
+        let wish = AttemptRequest { service: S, weights, avoid: &[], allow_full: false };
         let target = fleet.choose(&wish, NOW).unwrap();
         assert!(&*target.id >= "r04", "{target:?}");
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
     }
 }
 
@@ -177,26 +177,26 @@
         listed.target.born = Some(born);
         listed
     };
-    let weights = Wish { weights: Some(("m", 5)), ..wish(false) };
+    let weights = AttemptRequest { weights: Some(("m", 5)), ..wish(false) };
     let mut fleet = Fleet::new("z".into());
-    fleet.list(at(100, 5));
+    fleet.upsert(at(100, 5));
     for _ in 0..3 {
-        fleet.start("a", NOW);
-        fleet.end("a", None, Ended::Failed, NOW);
+        fleet.start_attempt("a", NOW);
+        fleet.end_attempt("a", None, ReplicaOutcome::Failed, NOW);
     }
-    fleet.start("a", NOW);
-    assert!(fleet.list(at(200, 1)), "a new incarnation is news");
+    fleet.start_attempt("a", NOW);
+    assert!(fleet.upsert(at(200, 1)), "a new incarnation is news");
     assert_eq!(fleet.choose(&weights, NOW), None, "it has version 1");
     assert!(fleet.choose(&wish(false), NOW).is_some(), "failures of before are not its own");
     // What comes later from the one before says nothing of this one.
-    assert!(!fleet.list(at(100, 6)));
-    fleet.seen(&at(100, 1).target, "m", 6);
+    assert!(!fleet.upsert(at(100, 6)));
+    fleet.raise_version(&at(100, 1).target, "m", 6);
     assert_eq!(fleet.choose(&weights, NOW), None);
-    fleet.seen(&at(200, 1).target, "m", 5);
+    fleet.raise_version(&at(200, 1).target, "m", 5);
     assert!(fleet.choose(&weights, NOW).is_some());
     // The attempt of before ends after the start and is counted once.
-    fleet.end("a", None, Ended::Dropped, NOW);
-    assert_eq!(fleet.free(S, NOW), 8);
+    fleet.end_attempt("a", None, ReplicaOutcome::Abandoned, NOW);
+    assert_eq!(fleet.free_slots(S, NOW), 8);
 }
 
 /// Load pattern: the steps of six trainers begin at once at six homes, before ten replicas with
@@ -207,14 +207,14 @@
     let ids: Vec<String> = (0..10).map(|i| format!("r{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let mut homes: Vec<Fleet> = (0..6).map(|_| fleet(&ids)).collect();
-    let text = Wish { weights: Some(("m", 1)), ..wish(false) };
+    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
     let mut arrived: HashMap<Name, u32> = HashMap::new();
     for turn in 0..20 {
         let now = NOW + Duration::from_millis(turn * 10);
         let mut sent = Vec::new();
         for (home, fleet) in homes.iter_mut().enumerate() {
             while let Some(target) = fleet.choose(&text, now) {
-                fleet.start(&target.id, now);
+                fleet.start_attempt(&target.id, now);
                 *arrived.entry(target.id.clone()).or_default() += 1;
                 sent.push((home, target.id));
             }
@@ -222,7 +222,7 @@
         for (home, id) in sent {
             let load =
                 Load { running: arrived[&id].min(8), waiting: arrived[&id].saturating_sub(8) };
-            homes[home].load(&id, load, now + Duration::from_millis(5));
+            homes[home].report_load(&id, load, now + Duration::from_millis(5));
         }
     }
     let (least, most) = (arrived.values().min().unwrap(), arrived.values().max().unwrap());
@@ -234,14 +234,14 @@
 #[test]
 fn a_replica_that_does_not_tell_its_load_is_filled() {
     let mut fleet = fleet(&["a"]);
-    let text = Wish { weights: Some(("m", 1)), ..wish(false) };
+    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
     let target = fleet.choose(&text, NOW).unwrap();
-    fleet.start(&target.id, NOW);
+    fleet.start_attempt(&target.id, NOW);
     assert_eq!(fleet.choose(&text, NOW), None, "its first answer is awaited");
-    fleet.untold("a");
+    fleet.report_no_load("a");
     for _ in 1..8 {
         let target = fleet.choose(&text, NOW).unwrap();
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
     }
     assert_eq!(fleet.choose(&text, NOW), None);
 }
@@ -253,11 +253,11 @@
     let ids: Vec<String> = (0..3_000).map(|i| format!("r{i:04}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let mut fleet = fleet(&ids);
-    let text = Wish { weights: Some(("m", 1)), ..wish(false) };
+    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
     let mut chosen = std::collections::HashSet::new();
     for _ in 0..3_000 {
         let target = fleet.choose(&text, NOW).unwrap();
-        fleet.start(&target.id, NOW);
+        fleet.start_attempt(&target.id, NOW);
         assert!(chosen.insert(target.id));
     }
 }
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -6,10 +6,10 @@
 
 use bytes::Bytes;
 use mulberrycourse::Name;
-use mulberrycourse::decide::job::{Finished, ItemSpec, Job, Listing, Spec, State};
+use mulberrycourse::decide::job::{FinishEffect, ItemResult, ItemSpec, ItemState, Job, JobSpec};
 use proptest::prelude::*;
 
-fn spec(lengths: &[Option<u64>]) -> Arc<Spec> {
+fn spec(lengths: &[Option<u64>]) -> Arc<JobSpec> {
     let item = |(index, length): (usize, &Option<u64>)| {
         Arc::new(ItemSpec {
             id: format!("i{index}").into(),
@@ -17,18 +17,18 @@
             headers: Vec::new(),
             body: Bytes::new(),
             group: "g".into(),
-            length: *length,
+            length_hint: *length,
             scorer: None,
         })
     };
-    Arc::new(Spec {
+    Arc::new(JobSpec {
         id: "j".into(),
         host: "h".into(),
         path: "/jobs/j".into(),
         model: None,
-        oldest: 0,
+        min_version: 0,
         items: lengths.iter().enumerate().map(item).collect(),
-        wanted: None,
+        wanted_groups: None,
         organisation: None,
     })
 }
@@ -37,7 +37,7 @@
 const ALL: usize = 10_000;
 
 fn ids(job: &Job) -> Vec<Name> {
-    job.todo(ALL).iter().map(|i| i.id.clone()).collect()
+    job.pending_items(ALL).iter().map(|i| i.id.clone()).collect()
 }
 
 #[test]
@@ -50,7 +50,7 @@
 fn step() -> Job {
     let lengths: Vec<Option<u64>> =
         (0..80).map(|i| Some(if i % 8 == 3 { 50 } else { 6 + i * 7 % 9 })).collect();
-    let mut spec = Spec::clone(&spec(&lengths));
+    let mut spec = JobSpec::clone(&spec(&lengths));
     for (i, item) in spec.items.iter_mut().enumerate() {
         let group = format!("g{}", i / 8).into();
         *item = Arc::new(ItemSpec { group, ..ItemSpec::clone(item) });
@@ -64,7 +64,7 @@
     let mut whole: HashMap<Name, u64> = HashMap::new();
     for item in order {
         let next = free.iter_mut().min().unwrap();
-        *next += item.length.unwrap();
+        *next += item.length_hint.unwrap();
         let end = whole.entry(item.group.clone()).or_default();
         *end = (*end).max(*next);
     }
@@ -76,38 +76,38 @@
 /// length hardly a group is whole then.
 #[test]
 fn a_step_that_is_late_brings_the_groups_that_fit() {
-    let (in_time, last) = play(step().todo(12), 12, 80);
+    let (in_time, last) = play(step().pending_items(12), 12, 80);
     assert!(last > 80, "the step is late: {last}");
     assert!(in_time >= 5, "{in_time} of 10 groups in time");
-    let (by_length, _) = play(step().todo(ALL), 12, 80);
+    let (by_length, _) = play(step().pending_items(ALL), 12, 80);
     assert!(by_length <= 2, "{by_length} of 10 groups in time");
 }
 
 /// Where there are places enough the long samples go first, and the step ends with them.
 #[test]
 fn a_step_with_places_enough_ends_with_its_longest_samples() {
-    assert_eq!(play(step().todo(40), 40, 50), (10, 50));
+    assert_eq!(play(step().pending_items(40), 40, 50), (10, 50));
 }
 
 #[test]
 fn an_ended_job_has_nothing_to_do_and_takes_no_results() {
     let mut job = Job::new(spec(&[None, None]), Vec::new());
     job.end();
-    assert!(job.todo(ALL).is_empty());
-    assert_eq!(job.finish("i0", State::Dead), Finished::Unwanted);
+    assert!(job.pending_items(ALL).is_empty());
+    assert_eq!(job.finish("i0", ItemState::Dead), FinishEffect::Unwanted);
 }
 
 #[test]
 fn the_last_of_a_group_completes_it() {
-    let mut spec = Spec::clone(&spec(&[None, None, None]));
+    let mut spec = JobSpec::clone(&spec(&[None, None, None]));
     let mut other = ItemSpec::clone(&spec.items[2]);
     other.group = "h".into();
     spec.items[2] = Arc::new(other);
     let mut job = Job::new(Arc::new(spec), Vec::new());
-    assert_eq!(job.finish("i1", State::Dead), Finished::Sample);
-    assert_eq!(job.finish("i2", State::Dead), Finished::Group);
-    assert_eq!(job.finish("i0", State::Dead), Finished::Group);
-    assert_eq!(job.finish("i0", State::Dead), Finished::Unwanted);
+    assert_eq!(job.finish("i1", ItemState::Dead), FinishEffect::Sample);
+    assert_eq!(job.finish("i2", ItemState::Dead), FinishEffect::Group);
+    assert_eq!(job.finish("i0", ItemState::Dead), FinishEffect::Group);
+    assert_eq!(job.finish("i0", ItemState::Dead), FinishEffect::Unwanted);
 }
 
 proptest! {
@@ -119,27 +119,27 @@
     ) {
         let spec = spec(&[None; 6]);
         let mut job = Job::new(spec.clone(), Vec::new());
-        let mut lasting: Vec<Arc<Listing>> = Vec::new();
+        let mut lasting: Vec<Arc<ItemResult>> = Vec::new();
         for (step, n) in steps {
             match step {
                 0 => {
-                    job.finish(&format!("i{n}"), State::Dead);
+                    job.finish(&format!("i{n}"), ItemState::Dead);
                 }
                 1 => {
-                    let (position, batch) = job.batch(usize::MAX);
+                    let (position, batch) = job.next_batch(usize::MAX);
                     prop_assert_eq!(position, lasting.len());
                     let count = n.min(batch.len());
                     lasting.extend(batch.into_iter().take(count));
-                    job.written(count);
+                    job.mark_written(count);
                 }
                 _ => job = Job::new(spec.clone(), lasting.clone()),
             }
-            prop_assert_eq!(job.listed(), &*lasting);
+            prop_assert_eq!(job.written_results(), &*lasting);
             let mut seen: Vec<&Name> = lasting.iter().map(|l| &l.id).collect();
             seen.sort_unstable();
             seen.dedup();
             prop_assert_eq!(seen.len(), lasting.len());
-            prop_assert_eq!(job.complete(), lasting.len() == 6);
+            prop_assert_eq!(job.all_written(), lasting.len() == 6);
         }
     }
 }
@@ -151,15 +151,15 @@
     let mut job = Job::new(spec(&[None; 6]), Vec::new());
     for i in 0..6 {
         let output = "x".repeat(1_000);
-        let state = State::Completed { output, versions: vec![1], score: None };
+        let state = ItemState::Completed { output, versions: vec![1], score: None };
         job.finish(&format!("i{i}"), state);
     }
     let mut batches = Vec::new();
-    while !job.complete() {
-        let (position, batch) = job.batch(3_000);
+    while !job.all_written() {
+        let (position, batch) = job.next_batch(3_000);
         assert_eq!(position, batches.iter().sum::<usize>());
         batches.push(batch.len());
-        job.written(batch.len());
+        job.mark_written(batch.len());
     }
     assert_eq!(batches, [2, 2, 2]);
 }
@@ -167,17 +167,17 @@
 #[test]
 fn a_result_that_does_not_fit_is_tried_alone() {
     let mut job = Job::new(spec(&[None; 2]), Vec::new());
-    job.finish("i0", State::Dead);
-    job.finish("i1", State::Dead);
-    assert_eq!(job.batch(1).1.len(), 1);
+    job.finish("i0", ItemState::Dead);
+    job.finish("i1", ItemState::Dead);
+    assert_eq!(job.next_batch(1).1.len(), 1);
 }
 
-fn in_groups(groups: usize, size: usize, wanted: usize) -> Arc<Spec> {
-    let mut spec = Spec::clone(&spec(&vec![None; groups * size]));
+fn in_groups(groups: usize, size: usize, wanted: usize) -> Arc<JobSpec> {
+    let mut spec = JobSpec::clone(&spec(&vec![None; groups * size]));
     for (i, item) in spec.items.iter_mut().enumerate() {
         Arc::make_mut(item).group = format!("g{}", i / size).into();
     }
-    spec.wanted = Some(wanted);
+    spec.wanted_groups = Some(wanted);
     Arc::new(spec)
 }
 
@@ -188,38 +188,38 @@
     let mut job = Job::new(in_groups(33, 4, 30), Vec::new());
     let mut awaited_at = None;
     for i in 0..33 * 4 {
-        if job.awaited() && awaited_at.is_none() {
+        if job.is_urgent() && awaited_at.is_none() {
             awaited_at = Some(i / 4);
         }
-        job.finish(&format!("i{i}"), State::Dead);
+        job.finish(&format!("i{i}"), ItemState::Dead);
     }
     assert_eq!(awaited_at, Some(26));
-    assert!(job.made() && job.awaited());
+    assert!(job.all_finished() && job.is_urgent());
 }
 
 #[test]
 fn results_of_a_trainer_that_did_not_say_are_always_awaited() {
-    assert!(Job::new(spec(&[None, None]), Vec::new()).awaited());
+    assert!(Job::new(spec(&[None, None]), Vec::new()).is_urgent());
 }
 
 #[test]
 fn groups_that_lie_in_the_store_count_as_whole() {
     let spec = in_groups(5, 2, 5);
-    let listed = (0..6).map(|i| Listing { id: format!("i{i}").into(), state: State::Dead });
-    assert!(!Job::new(spec.clone(), Vec::new()).awaited());
-    assert!(Job::new(spec, listed.map(Arc::new).collect()).awaited());
+    let listed = (0..6).map(|i| ItemResult { id: format!("i{i}").into(), state: ItemState::Dead });
+    assert!(!Job::new(spec.clone(), Vec::new()).is_urgent());
+    assert!(Job::new(spec, listed.map(Arc::new).collect()).is_urgent());
 }
 
 /// Submissions of earlier versions, which kept no organisation, or not the number of wanted groups either.
 #[test]
 fn a_submission_without_wanted_groups_is_read() {
-    let spec = Spec::clone(&spec(&[Some(3), None]));
+    let spec = JobSpec::clone(&spec(&[Some(3), None]));
     let mut bytes = bincode::serde::encode_to_vec(&spec, bincode::config::standard()).unwrap();
-    assert_eq!(Spec::decode(bytes.clone()).unwrap(), spec);
+    assert_eq!(JobSpec::decode(bytes.clone()).unwrap(), spec);
     for _ in 0..2 {
         assert_eq!(bytes.pop(), Some(0));
-        assert_eq!(Spec::decode(bytes.clone()).unwrap(), spec);
+        assert_eq!(JobSpec::decode(bytes.clone()).unwrap(), spec);
     }
     bytes.truncate(bytes.len() / 2);
-    assert!(Spec::decode(bytes).is_err());
+    assert!(JobSpec::decode(bytes).is_err());
 }
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
-use mulberrycourse::decide::job::{Event, EventReader, Fault, Saved, Text};
+use mulberrycourse::decide::job::{Event, EventReader, SampleText, SavedProgress, StreamError};
 use proptest::prelude::*;
 
 const FIELD: &str = "version";
@@ -28,7 +28,7 @@
     events
 }
 
-fn push(text: &mut Text, events: &[Event]) {
+fn push(text: &mut SampleText, events: &[Event]) {
     for event in events {
         text.push(event, |_| true).unwrap();
     }
@@ -51,14 +51,14 @@
     fn kept_growth_is_always_a_true_beginning(
         steps in proptest::collection::vec((0_u8..4, 1_usize..4), 1..30),
     ) {
-        let mut text = Text::default();
-        text.at(Some(1));
-        let mut saved = Saved::default();
-        let mut there = Text::default();
+        let mut text = SampleText::default();
+        text.set_version(Some(1));
+        let mut saved = SavedProgress::default();
+        let mut there = SampleText::default();
         for (step, count) in steps {
             match step {
                 0 | 1 => {
-                    let from = text.last() + 1;
+                    let from = text.last_event() + 1;
                     for id in from..from + count as u64 {
                         let data = format!("d{id}");
                         let event = Event { id, data, version: None, raw: Bytes::new() };
@@ -66,8 +66,8 @@
                     }
                 }
                 2 => {
-                    if let Some((growth, after)) = text.growth(saved) {
-                        there.grow(&growth);
+                    if let Some((growth, after)) = text.delta_since(saved) {
+                        there.apply_delta(&growth);
                         // Every third write gets no answer, so that it is made again.
                         if count < 3 {
                             saved = after;
@@ -76,10 +76,10 @@
                 }
                 _ => {
                     text.restart();
-                    text.at(Some(1));
+                    text.set_version(Some(1));
                 }
             }
-            let wanted: Vec<String> = (1..=there.last()).map(|n| format!("d{n}")).collect();
+            let wanted: Vec<String> = (1..=there.last_event()).map(|n| format!("d{n}")).collect();
             prop_assert_eq!(there.output(), wanted.join("\n"));
         }
     }
@@ -89,24 +89,24 @@
 fn an_event_that_is_missing_or_comes_twice_is_a_fault() {
     let events = read(&stream(4, None), &[]);
     for wrong in [vec![0, 2], vec![0, 0], vec![1]] {
-        let mut text = Text::default();
-        text.at(Some(1));
+        let mut text = SampleText::default();
+        text.set_version(Some(1));
         let failed = wrong.iter().find_map(|i| text.push(&events[*i], |_| true).err());
-        assert!(matches!(failed, Some(Fault::OutOfOrder { .. })), "{wrong:?}");
+        assert!(matches!(failed, Some(StreamError::OutOfOrder { .. })), "{wrong:?}");
     }
 }
 
 #[test]
 fn every_version_that_made_an_event_is_named_and_no_other() {
     let events = read(&stream(6, Some(4)), &[]);
-    let mut text = Text::default();
-    text.at(Some(1));
+    let mut text = SampleText::default();
+    text.set_version(Some(1));
     push(&mut text, &events[..5]);
     assert_eq!(text.versions(), [1, 2]);
     // A run that goes on elsewhere under a version of which no event comes.
-    text.at(Some(3));
+    text.set_version(Some(3));
     assert_eq!(text.versions(), [1, 2]);
-    text.at(Some(2));
+    text.set_version(Some(2));
     push(&mut text, &events[5..]);
     assert_eq!(text.versions(), [1, 2]);
 }
@@ -114,23 +114,23 @@
 #[test]
 fn a_version_that_is_not_allowed_or_not_known_spoils_the_text() {
     let events = read(&stream(2, None), &[]);
-    let mut text = Text::default();
-    text.at(Some(1));
-    assert_eq!(text.push(&events[0], |v| v >= 2), Err(Fault::Version(1)));
-    let mut text = Text::default();
-    text.at(None);
-    assert_eq!(text.push(&events[0], |_| true), Err(Fault::Unlabelled));
+    let mut text = SampleText::default();
+    text.set_version(Some(1));
+    assert_eq!(text.push(&events[0], |v| v >= 2), Err(StreamError::DisallowedVersion(1)));
+    let mut text = SampleText::default();
+    text.set_version(None);
+    assert_eq!(text.push(&events[0], |_| true), Err(StreamError::MissingVersion));
 }
 
 #[test]
 fn bytes_that_are_no_event_are_told() {
     for wire in ["no colon\n\n", "data: x\n\n", "id: 1\nversion: x\n\n", "id: \u{fffd}\n\n"] {
         let mut reader = EventReader::new(FIELD);
-        assert_eq!(reader.push(&Bytes::from(wire)), Err(Fault::Garbled), "{wire:?}");
+        assert_eq!(reader.push(&Bytes::from(wire)), Err(StreamError::Malformed), "{wire:?}");
     }
     let mut reader = EventReader::new(FIELD);
     let endless = Bytes::from(vec![b'x'; 2 << 20]);
-    assert_eq!(reader.push(&endless), Err(Fault::Garbled));
+    assert_eq!(reader.push(&endless), Err(StreamError::Malformed));
 }
 
 #[test]
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::{Ended, Fleet, Listed, Waiting, Want};
+use mulberrycourse::decide::{Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest};
 use mulberrycourse::edge::replica::{Load, Target};
 use proptest::prelude::*;
 
@@ -17,7 +17,7 @@
     let mut fleet = Fleet::new("z".into());
     for i in 0..replicas {
         let address = std::net::SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
-        fleet.list(Listed {
+        fleet.upsert(ListedReplica {
             target: Target { id: format!("r{i:04}").into(), address, born: None },
             service: "engines".into(),
             zone: "z".into(),
@@ -30,8 +30,13 @@
     fleet
 }
 
-fn want(model: &'static str) -> Want {
-    Want { service: "engines".into(), model: Some(model.into()), least: 1, avoid: Vec::new() }
+fn want(model: &'static str) -> SlotRequest {
+    SlotRequest {
+        service: "engines".into(),
+        model: Some(model.into()),
+        min_version: 1,
+        avoid: Vec::new(),
+    }
 }
 
 /// One millisecond after the other: heads that are due tell the load, of which others have a
@@ -39,7 +44,7 @@
 /// milliseconds it took until so many texts had begun.
 fn begun_after(texts: u64, enough: usize, look: u64, heads: bool) -> u64 {
     let mut fleet = fleet(10, |_| "m");
-    let mut waiting: Waiting<u64> = Waiting::default();
+    let mut waiting: SlotQueue<u64> = SlotQueue::default();
     (0..texts).for_each(|i| waiting.add((1, 0, i), want("m"), i));
     let mut due: BTreeMap<u64, Vec<Name>> = BTreeMap::new();
     let mut running: BTreeMap<Name, u32> = BTreeMap::new();
@@ -49,13 +54,13 @@
         let mut given = Vec::new();
         for id in due.remove(&millis).unwrap_or_default() {
             // Other homes have two texts there.
-            fleet.load(&id, Load { running: running[&id] + 2, waiting: 0 }, now);
+            fleet.report_load(&id, Load { running: running[&id] + 2, waiting: 0 }, now);
             if heads {
-                given.extend(waiting.offer(&id, &mut fleet, now));
+                given.extend(waiting.assign_at(&id, &mut fleet, now));
             }
         }
         if millis % look == 0 {
-            given.extend(waiting.pump(&mut fleet, now));
+            given.extend(waiting.assign_all(&mut fleet, now));
         }
         for (_, target) in given {
             begun += 1;
@@ -81,15 +86,15 @@
 #[test]
 fn a_replica_is_offered_to_the_first_that_it_serves() {
     let mut fleet = fleet(2, |i| if i == 0 { "a" } else { "b" });
-    let mut waiting = Waiting::default();
+    let mut waiting = SlotQueue::default();
     waiting.add((2, 0, 0), want("a"), "late a");
     waiting.add((1, 0, 0), want("b"), "first b");
     waiting.add((1, 5, 0), want("a"), "first a");
-    let given = waiting.offer("r0000", &mut fleet, NOW);
+    let given = waiting.assign_at("r0000", &mut fleet, NOW);
     let given: Vec<&str> = given.into_iter().map(|(name, _)| name).collect();
     assert_eq!(given, ["first a"], "the next one waits for word of the load");
-    assert!(waiting.offer("gone", &mut fleet, NOW).is_empty());
-    assert_eq!(waiting.pump(&mut fleet, NOW).len(), 1);
+    assert!(waiting.assign_at("gone", &mut fleet, NOW).is_empty());
+    assert_eq!(waiting.assign_all(&mut fleet, NOW).len(), 1);
     waiting.remove((2, 0, 0), &"engines".into(), &Some("a".into()));
     assert!(waiting.is_empty());
 }
@@ -97,9 +102,9 @@
 #[test]
 fn a_replica_that_failed_a_text_is_not_offered_to_it() {
     let mut fleet = fleet(1, |_| "m");
-    let mut waiting = Waiting::default();
-    waiting.add((1, 0, 0), Want { avoid: vec!["r0000".into()], ..want("m") }, 0);
-    assert!(waiting.offer("r0000", &mut fleet, NOW).is_empty());
+    let mut waiting = SlotQueue::default();
+    waiting.add((1, 0, 0), SlotRequest { avoid: vec!["r0000".into()], ..want("m") }, 0);
+    assert!(waiting.assign_at("r0000", &mut fleet, NOW).is_empty());
     assert!(!waiting.is_empty());
 }
 
@@ -112,7 +117,7 @@
     ) {
         let models = ["a", "b"];
         let mut fleet = fleet(4, |i| models[i % 2]);
-        let mut waiting: Waiting<(usize, u64)> = Waiting::default();
+        let mut waiting: SlotQueue<(usize, u64)> = SlotQueue::default();
         let mut open: BTreeSet<(usize, u64)> = BTreeSet::new();
         let mut running: BTreeMap<Name, u32> = BTreeMap::new();
         let mut served = BTreeSet::new();
@@ -135,13 +140,13 @@
                 3 => {
                     let own = running.get(&*id).copied().unwrap_or(0);
                     if own > 0 {
-                        fleet.end(&id, None, Ended::Dropped, now);
+                        fleet.end_attempt(&id, None, ReplicaOutcome::Abandoned, now);
                         running.insert(id.clone().into(), own - 1);
                     }
-                    fleet.load(&id, Load { running: own.saturating_sub(1), waiting: 0 }, now);
-                    waiting.offer(&id, &mut fleet, now)
+                    fleet.report_load(&id, Load { running: own.saturating_sub(1), waiting: 0 }, now);
+                    waiting.assign_at(&id, &mut fleet, now)
                 }
-                _ => waiting.pump(&mut fleet, now),
+                _ => waiting.assign_all(&mut fleet, now),
             };
             for ((kind, index), target) in given {
                 prop_assert!(open.remove(&(kind, index)));
