--- a/src/decide/fleet/attempt_request.rs
+++ b/src/decide/fleet/attempt_request.rs
@@ -1,16 +1,16 @@
-//! What an attempt asks of the fleet.
+//! The requirements of an attempt on its replica.
 
 use crate::Name;
 
-/// What an attempt asks for.
+/// The requirements of an attempt on its replica.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptRequest<'a> {
-    /// The service.
+    /// The service that the replica belongs to.
     pub service: &'a str,
-    /// The model and the oldest version that will do.
+    /// The model and its minimum version; none if any replica of the service will do.
     pub weights: Option<(&'a str, u64)>,
-    /// Replicas that failed it.
+    /// Replicas at which earlier attempts failed; they are chosen last.
     pub avoid: &'a [Name],
-    /// Whether it may go where all places are taken.
+    /// Whether a replica without a free slot may be chosen.
     pub allow_full: bool,
 }
--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -1,66 +1,73 @@
-//! The replicas of all services as one node sees them, and which of them gets an attempt.
+//! The replicas of all services as one node sees them, and the choice of a replica for each
+//! attempt.
 //!
 //! Load patterns: a step of a hundred samples begins at once beside live requests; a replica
-//! slows down to a quarter, goes silent, or refuses for the second in which it loads weights.
-//! Without own counts a whole step would go to whichever replica reported the least load.
+//! slows down to a quarter of its speed, stops responding, or refuses requests for the second in
+//! which it loads weights. Without counts of its own, a node would send a whole step to the
+//! replica that reported the least load.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Bound::{Excluded, Included, Unbounded};
 use std::time::Duration;
 
-use super::replica::{Replica, Told, fits};
+use super::replica::{LoadReporting, Replica, fits};
 use super::{AttemptRequest, ListedReplica, ReplicaOutcome};
 use crate::decide::{Others, Pace, expected, most_out};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
 
-/// How long a replica that refuses for want of room gets nothing: about one sample's events.
-const FULL: Duration = Duration::from_millis(100);
+/// How long a replica that refused because it was full gets nothing: about the time of one
+/// sample's events.
+const FULL_EXCLUSION: Duration = Duration::from_millis(100);
 /// How long a replica that is loading weights gets no sample of that model: a third of the
-/// usual load of 0.9 s, so that it is found ready soon after.
-const LOADING: Duration = Duration::from_millis(300);
-
-/// With more replicas than this not all are looked at for each text and each event: the first
-/// that is idle, near and as fast as usual gets a text, and what is usual, for which all are
-/// sorted, is worked out so often. With few of them the fastest one is worth the look.
-const MANY: usize = 64;
-/// A tenth of the time in which a run is judged.
-const JUDGE: Duration = Duration::from_millis(50);
-
-/// A run this much slower than usual is worth moving. Replicas of one kind differ by less than
-/// half with their load; one in trouble is two to four times as slow.
-const SLOW: f64 = 1.7;
-
-/// A replica that may get an attempt.
+/// usual loading time of 0.9 s, so that it is used soon after it is ready.
+const LOADING_EXCLUSION: Duration = Duration::from_millis(300);
+
+/// With more replicas than this, not all are considered for each text and each event: the first
+/// replica that is idle, near and as fast as usual gets a text, and the usual event interval,
+/// which requires sorting all replicas, is computed once per [`TYPICAL_INTERVAL_REFRESH`]. With
+/// fewer, considering all in order to find the fastest one is worth the time.
+const LARGE_FLEET_REPLICAS: usize = 64;
+/// Time between two computations of the usual event interval of a service in a large fleet: a
+/// tenth of the time in which the speed of a run is judged.
+const TYPICAL_INTERVAL_REFRESH: Duration = Duration::from_millis(50);
+
+/// A run slower than usual by this factor is worth moving. Depending on their load, replicas of
+/// one kind differ by less than half; a faulty replica is two to four times as slow.
+const SLOW_FACTOR: f64 = 1.7;
+
+/// A candidate for an attempt. Smaller is better.
 #[derive(Clone, Copy)]
 struct Rated<'a> {
-    /// Whether it failed the attempt before, and whether its places are taken.
-    last: (bool, bool),
-    time: f64,
+    /// Whether an earlier attempt failed there, and whether it has no free slot.
+    penalties: (bool, bool),
+    /// Expected time until an answer, in seconds.
+    latency: f64,
     replica: &'a Replica,
 }
 
 impl Rated<'_> {
     fn order(&self, other: &Self) -> Ordering {
-        self.last.cmp(&other.last).then(self.time.total_cmp(&other.time))
+        self.penalties.cmp(&other.penalties).then(self.latency.total_cmp(&other.latency))
     }
 }
 
-/// The table.
+/// The table of the replicas of all services that a node knows.
 #[derive(Debug)]
 pub struct Fleet {
     zone: Option<Name>,
     replicas: BTreeMap<Name, Replica>,
-    /// The id that got the last attempt.
-    last: Name,
-    /// Until when any replica is left out.
-    latest: Moment,
-    typical: HashMap<Name, Pace>,
-    /// When that was last worked out.
-    judged: HashMap<Name, Moment>,
-    /// The beat that a quarter of the replicas keep up with, by service, in seconds.
-    beats: HashMap<Name, f64>,
+    /// Id of the replica that got the last attempt.
+    last_chosen: Name,
+    /// The latest time until which any replica is excluded.
+    last_exclusion: Moment,
+    /// Usual time per cost of the attempts of each service.
+    typical_pace: HashMap<Name, Pace>,
+    /// When the typical event interval of each service was last computed.
+    interval_updates: HashMap<Name, Moment>,
+    /// The event interval that a quarter of a service's replicas do not exceed, in seconds.
+    typical_intervals: HashMap<Name, f64>,
 }
 
 impl Fleet {
@@ -69,15 +76,16 @@
         Self {
             zone: Some(zone),
             replicas: BTreeMap::new(),
-            last: "".into(),
-            latest: Moment::ZERO,
-            typical: HashMap::new(),
-            beats: HashMap::new(),
-            judged: HashMap::new(),
+            last_chosen: "".into(),
+            last_exclusion: Moment::ZERO,
+            typical_pace: HashMap::new(),
+            typical_intervals: HashMap::new(),
+            interval_updates: HashMap::new(),
         }
     }
 
-    /// Takes over an entry of the list. True if it says something new of who may get work.
+    /// Adds or updates a replica from an entry of the platform's list. Returns true if this
+    /// changes which replicas may get work.
     pub fn upsert(&mut self, listed: ListedReplica) -> bool {
         let id = listed.target.id.clone();
         let Some(known) = self.replicas.get_mut(&id) else {
@@ -87,7 +95,7 @@
         match listed.target.born.cmp(&known.listed.target.born) {
             Ordering::Less => return false,
             Ordering::Greater => {
-                known.begin_anew(listed);
+                known.reset(listed);
                 return true;
             }
             Ordering::Equal => {}
@@ -105,39 +113,40 @@
         changed
     }
 
-    /// Takes a replica off the table. True if it was there.
+    /// Removes a replica. Returns true if it was present.
     pub fn remove(&mut self, id: &str) -> bool {
         self.replicas.remove(id).is_some()
     }
 
-    /// Whether there are too many to look at all of them for each text.
+    /// Whether there are too many replicas to consider all of them for each text.
     pub fn is_large(&self) -> bool {
-        self.replicas.len() > MANY
+        self.replicas.len() > LARGE_FLEET_REPLICAS
     }
 
-    /// The ids on the table.
+    /// Returns the ids of all replicas.
     pub fn ids(&self) -> Vec<Name> {
         self.replicas.keys().cloned().collect()
     }
 
-    /// The replica, if it is on the table.
+    /// Returns a replica by its id.
     pub fn get(&self, id: &str) -> Option<&ListedReplica> {
         self.replicas.get(id).map(|r| &r.listed)
     }
 
-    /// Whether new work may still go there: it is listed and not leaving.
+    /// Whether a replica may get new work: it is listed and not draining.
     pub fn accepts_work(&self, id: &str) -> bool {
         self.replicas.get(id).is_some_and(|r| !r.listed.draining)
     }
 
-    /// All that serve a model and do not leave, with the version that each was last seen at.
+    /// Returns the replicas that serve a model and are not draining, with the version that each
+    /// was last seen at.
     pub fn serving(&self, model: &str) -> Vec<(Target, u64)> {
         let open = self.replicas.values().filter(|r| !r.listed.draining);
         open.filter_map(|r| Some((r.listed.target.clone(), *r.versions.get(model)?))).collect()
     }
 
-    /// The replicas of a service that do not leave, by availability zone: those that may be
-    /// taken back at short notice, or the others.
+    /// Returns the number of replicas of a service that are not draining, by availability zone:
+    /// only spot replicas, or only the others.
     pub fn count_by_zone(&self, service: &str, spot: bool) -> BTreeMap<Name, u32> {
         let mut zones = BTreeMap::new();
         for replica in self.of(service).filter(|r| !r.listed.draining && r.listed.spot == spot) {
@@ -146,19 +155,21 @@
         zones
     }
 
-    /// The places of one replica of a service; none where there is no replica.
+    /// Returns the number of slots of one replica of a service; none if there is no replica.
     pub fn slots_per_replica(&self, service: &str) -> Option<u32> {
         self.of(service).next().map(|r| r.listed.slots)
     }
 
-    /// Places at replicas that serve a model from this version on.
-    pub fn slots_at_version(&self, model: &str, least: u64) -> usize {
+    /// Returns the number of slots at replicas that serve a model at this version or a later
+    /// one and are not draining.
+    pub fn slots_at_version(&self, model: &str, min_version: u64) -> usize {
         let open = self.replicas.values().filter(|r| !r.listed.draining);
-        let able = open.filter(|r| r.versions.get(model).is_some_and(|v| *v >= least));
+        let able = open.filter(|r| r.versions.get(model).is_some_and(|v| *v >= min_version));
         able.map(|r| r.listed.slots as usize).sum()
     }
 
-    /// An incarnation of a replica was seen to run a model at a version.
+    /// Records that an incarnation of a replica runs a model at a version; the known version is
+    /// never lowered.
     pub fn raise_version(&mut self, target: &Target, model: &str, version: u64) {
         let Some(replica) = self.incarnation(target) else { return };
         if let Some(known) = replica.versions.get_mut(model) {
@@ -166,42 +177,49 @@
         }
     }
 
-    /// An incarnation made an event under a version that is older than was believed.
+    /// Records the version of an event from an incarnation of a replica, which is older than the
+    /// known version.
     pub fn set_version(&mut self, target: &Target, model: &str, version: u64) {
         let Some(replica) = self.incarnation(target) else { return };
         replica.versions.insert(model.into(), version);
     }
 
-    /// What a replica said of its load.
+    /// Records the load that a replica reported.
     pub fn report_load(&mut self, id: &str, load: Load, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         let others = (load.running + load.waiting).saturating_sub(replica.running);
         replica.others = Others::new(others, now);
-        replica.told = Told::At(now);
+        replica.load_report = LoadReporting::At(now);
     }
 
-    /// A replica answered and said nothing of its load.
+    /// Records an answer of a replica without a load report.
     pub fn report_no_load(&mut self, id: &str) {
         if let Some(replica) = self.replicas.get_mut(id) {
-            replica.silent();
+            replica.answer_ended();
         }
     }
 
-    /// The replica for an attempt. Without `over`, only one with a free place.
-    pub fn choose(&self, wish: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
-        let heed = self.heeds(wish.service, now);
-        let blind = wish.allow_full || wish.weights.is_none();
+    /// Chooses the replica for an attempt; unless the request allows full replicas, only one with
+    /// a free slot. Returns none if no replica fits, and also if a clearly better one than
+    /// those of known load is about to report its load.
+    pub fn choose(&self, request: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
+        let exclude = self.applies_exclusions(request.service, now);
+        let ignore_load = request.allow_full || request.weights.is_none();
         let many = self.is_large();
         let mut best: Option<Rated<'_>> = None;
         let mut chosen: Option<Rated<'_>> = None;
-        for replica in self.after_last(wish.service).filter(|r| fits(r, wish, now, heed)) {
-            let (known, usual) = self.usual(replica, wish);
-            let heard = blind || replica.heard(now);
-            let rated = self.rate(replica, wish, known.faded(usual, now), now);
-            if many && heard && rated.time <= expected(0.0, usual, 1, false) && !rated.last.0 {
+        for replica in self.after_last(request.service).filter(|r| fits(r, request, now, exclude)) {
+            let (known, typical) = self.pace_and_typical(replica, request);
+            let load_known = ignore_load || replica.load_is_known(now);
+            let rated = self.rate(replica, request, known.faded(typical, now), now);
+            if many
+                && load_known
+                && rated.latency <= expected(0.0, typical, 1, false)
+                && !rated.penalties.0
+            {
                 return Some(replica.listed.target.clone());
             }
-            if heard && chosen.as_ref().is_none_or(|c| rated.order(c).is_lt()) {
+            if load_known && chosen.as_ref().is_none_or(|c| rated.order(c).is_lt()) {
                 chosen = Some(rated);
             }
             if best.as_ref().is_none_or(|b| rated.order(b).is_lt()) {
@@ -209,49 +227,59 @@
             }
         }
         let (best, chosen) = (best?, chosen?);
-        // The word of a better one comes within milliseconds.
-        let worse = chosen.last > best.last || chosen.time > SLOW * best.time;
+        // A better replica of unknown load reports it within milliseconds.
+        let worse =
+            chosen.penalties > best.penalties || chosen.latency > SLOW_FACTOR * best.latency;
         (!worse).then(|| chosen.replica.listed.target.clone())
     }
 
-    /// The replica itself, if an attempt may go there now: for those who wait, after word from
-    /// it alone. One that is slow is left to [`Fleet::choose`], which knows the others.
-    pub fn offer(&self, id: &str, wish: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
-        let replica = self.replicas.get(id).filter(|r| fits(r, wish, now, true))?;
-        let (known, usual) = self.usual(replica, wish);
-        let slow = known.faded(usual, now) > SLOW * usual;
-        let open = replica.heard(now) && !slow && !wish.avoid.contains(&replica.listed.target.id);
+    /// Returns the replica itself if an attempt may go there now. Waiting attempts use this after
+    /// a report of this replica alone. A slow replica is never returned: [`Fleet::choose`]
+    /// compares it with the others.
+    pub fn choose_at(&self, id: &str, request: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
+        let replica = self.replicas.get(id).filter(|r| fits(r, request, now, true))?;
+        let (known, typical) = self.pace_and_typical(replica, request);
+        let slow = known.faded(typical, now) > SLOW_FACTOR * typical;
+        let open = replica.load_is_known(now)
+            && !slow
+            && !request.avoid.contains(&replica.listed.target.id);
         open.then(|| replica.listed.target.clone())
     }
 
-    /// The pace that an attempt goes by at a replica, and what is usual of it.
-    fn usual<'a>(&self, replica: &'a Replica, wish: &AttemptRequest<'_>) -> (&'a Pace, f64) {
-        match (wish.weights, self.beats.get(wish.service)) {
-            (Some(_), Some(beat)) => (&replica.beat, *beat),
+    /// Returns the measure of a replica's speed that applies to an attempt, and the usual value
+    /// of that measure in the service.
+    fn pace_and_typical<'a>(
+        &self,
+        replica: &'a Replica,
+        request: &AttemptRequest<'_>,
+    ) -> (&'a Pace, f64) {
+        match (request.weights, self.typical_intervals.get(request.service)) {
+            (Some(_), Some(interval)) => (&replica.event_interval, *interval),
             _ => {
-                let typical = self.typical.get(wish.service).and_then(Pace::mean);
+                let typical = self.typical_pace.get(request.service).and_then(Pace::mean);
                 (&replica.pace, typical.unwrap_or(0.001))
             }
         }
     }
 
-    /// Whether replicas that are left out are: not where that would be too many.
-    fn heeds(&self, service: &str, now: Moment) -> bool {
-        if self.latest <= now {
+    /// Whether excluded replicas of a service are left out of the choice: not if there are too
+    /// many of them.
+    fn applies_exclusions(&self, service: &str, now: Moment) -> bool {
+        if self.last_exclusion <= now {
             return true;
         }
-        let out = self.of(service).filter(|r| r.out > now).count();
-        out <= most_out(self.of(service).count())
+        let excluded = self.of(service).filter(|r| r.excluded_until > now).count();
+        excluded <= most_out(self.of(service).count())
     }
 
-    /// The replicas of a service, from the one after the last that got an attempt on.
+    /// Returns the replicas of a service, starting after the one that got the last attempt.
     ///
-    /// Load pattern: a step of thousands of texts before thousands of replicas. The first that
-    /// is idle, near and as fast as usual can't be bettered; looked for from the same end, each
-    /// text would pass by all that the ones before it have taken.
+    /// Load pattern: a step of thousands of texts and thousands of replicas. No replica is better
+    /// than the first that is idle, near and as fast as usual; if each search began at the same
+    /// end, each text would pass all replicas that the texts before it have taken.
     fn after_last<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
-        let after = self.replicas.range::<str, _>((Excluded(&*self.last), Unbounded));
-        let before = self.replicas.range::<str, _>((Unbounded, Included(&*self.last)));
+        let after = self.replicas.range::<str, _>((Excluded(&*self.last_chosen), Unbounded));
+        let before = self.replicas.range::<str, _>((Unbounded, Included(&*self.last_chosen)));
         let all = after.chain(before).map(|(_, replica)| replica);
         all.filter(move |r| &*r.listed.service == service)
     }
@@ -259,7 +287,7 @@
     fn rate<'a>(
         &self,
         replica: &'a Replica,
-        wish: &AttemptRequest<'_>,
+        request: &AttemptRequest<'_>,
         pace: f64,
         now: Moment,
     ) -> Rated<'a> {
@@ -267,35 +295,39 @@
         let far = self.zone.as_ref().is_some_and(|zone| *zone != listed.zone);
         let load = f64::from(replica.running) + replica.others.faded(now);
         let full = load >= f64::from(listed.slots);
-        let avoided = wish.avoid.contains(&listed.target.id);
-        Rated { last: (avoided, full), time: expected(load, pace, 1, far), replica }
+        let avoided = request.avoid.contains(&listed.target.id);
+        Rated { penalties: (avoided, full), latency: expected(load, pace, 1, far), replica }
     }
 
-    /// An event of a replica's streams took so many seconds.
+    /// Records the time between two events of a replica's streams, in seconds.
     ///
-    /// Load pattern: a third of the replicas slow down to a quarter. Measured against the mean
-    /// of all runs, their own among them, none of these would count as slow; so what is usual
-    /// is what a quarter of the replicas keep up with, two of three being slow now and then,
-    /// and the time between events, without waits and prompts.
+    /// Load pattern: a third of the replicas slow down to a quarter of their speed. Compared with
+    /// the mean of all runs, including their own, none of these would count as slow. So the
+    /// usual value is the one that a quarter of the replicas reach, as two of three are slow
+    /// now and then, and it measures the time between events, without waits and prompts.
     pub fn record_event_interval(&mut self, id: &str, seconds: f64, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
-        replica.beat.record(1, Duration::from_secs_f64(seconds.max(0.0)), now);
+        replica.event_interval.record(1, Duration::from_secs_f64(seconds.max(0.0)), now);
         let service = replica.listed.service.clone();
-        let fresh = self.judged.get(&service).is_some_and(|at| now.saturating_sub(*at) < JUDGE);
+        let fresh = self
+            .interval_updates
+            .get(&service)
+            .is_some_and(|at| now.saturating_sub(*at) < TYPICAL_INTERVAL_REFRESH);
         if fresh && self.is_large() {
             return;
         }
-        self.judged.insert(service.clone(), now);
-        let mut known: Vec<f64> = self.of(&service).filter_map(|r| r.beat.mean()).collect();
+        self.interval_updates.insert(service.clone(), now);
+        let mut known: Vec<f64> =
+            self.of(&service).filter_map(|r| r.event_interval.mean()).collect();
         known.sort_unstable_by(f64::total_cmp);
         if let Some(usual) = known.get(known.len().saturating_sub(1) / 4) {
-            self.beats.insert(service, *usual);
+            self.typical_intervals.insert(service, *usual);
         }
     }
 
-    /// Whether a run that goes at `pace`, in seconds a unit, is better cut and taken up at
-    /// another replica with a free place. Reading the prompt and what is there already costs
-    /// about as much as one event.
+    /// Whether a run at `pace`, in seconds per unit of cost or per event, is better stopped and
+    /// resumed at another replica with a free slot. Reading the prompt and the existing text
+    /// there costs about as much as one event.
     pub fn has_faster_replica(
         &self,
         id: &str,
@@ -305,33 +337,33 @@
     ) -> bool {
         let Some(here) = self.replicas.get(id) else { return false };
         let service = &here.listed.service;
-        let beat = self.beats.get(service).copied();
-        let Some(typical) = beat.or_else(|| self.typical.get(service)?.mean()) else {
+        let interval = self.typical_intervals.get(service).copied();
+        let Some(typical) = interval.or_else(|| self.typical_pace.get(service)?.mean()) else {
             return false;
         };
-        if pace < SLOW * typical {
+        if pace < SLOW_FACTOR * typical {
             return false;
         }
-        let wish = AttemptRequest { service, weights, avoid: &[], allow_full: false };
+        let request = AttemptRequest { service, weights, avoid: &[], allow_full: false };
         let others = self.of(service).filter(|r| r.listed.target.id != here.listed.target.id);
         others
-            .filter(|r| fits(r, &wish, now, true))
-            .map(|r| if beat.is_some() { r.beat } else { r.pace })
-            .any(|known| SLOW * known.faded(typical, now) < pace)
+            .filter(|r| fits(r, &request, now, true))
+            .map(|r| if interval.is_some() { r.event_interval } else { r.pace })
+            .any(|known| SLOW_FACTOR * known.faded(typical, now) < pace)
     }
 
-    /// An attempt begins.
+    /// Records that an attempt begins at a replica.
     pub fn start_attempt(&mut self, id: &str, now: Moment) {
         if let Some(replica) = self.replicas.get_mut(id) {
             replica.running += 1;
             replica.began = now;
             if self.is_large() {
-                self.last = id.into();
+                self.last_chosen = id.into();
             }
         }
     }
 
-    /// An attempt ended.
+    /// Records that an attempt at a replica ended.
     pub fn end_attempt(
         &mut self,
         id: &str,
@@ -342,50 +374,53 @@
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.running = replica.running.saturating_sub(1);
         match ended {
-            ReplicaOutcome::Answered { duration: took, cost } => {
-                replica.pace.record(cost, took, now);
+            ReplicaOutcome::Answered { duration, cost } => {
+                replica.pace.record(cost, duration, now);
                 replica.failures.answered();
-                replica.silent();
-                self.typical
+                replica.answer_ended();
+                self.typical_pace
                     .entry(replica.listed.service.clone())
                     .or_default()
-                    .record(cost, took, now);
+                    .record(cost, duration, now);
+            }
+            ReplicaOutcome::Full => {
+                replica.excluded_until = replica.excluded_until.max(now + FULL_EXCLUSION)
             }
-            ReplicaOutcome::Full => replica.out = replica.out.max(now + FULL),
             ReplicaOutcome::Loading => {
                 if let Some(model) = model {
-                    replica.loading.insert(model.into(), now + LOADING);
+                    replica.loading.insert(model.into(), now + LOADING_EXCLUSION);
                 }
             }
             ReplicaOutcome::Unreachable => {
                 replica.failures.unreachable();
-                replica.out = replica.failures.eject(now);
+                replica.excluded_until = replica.failures.eject(now);
             }
             ReplicaOutcome::Failed => {
                 replica.failures.failed();
                 if replica.failures.over() {
-                    replica.out = replica.failures.eject(now);
+                    replica.excluded_until = replica.failures.eject(now);
                 }
             }
             ReplicaOutcome::Abandoned => {}
         }
         if let Some(replica) = self.replicas.get(id) {
-            self.latest = self.latest.max(replica.out);
+            self.last_exclusion = self.last_exclusion.max(replica.excluded_until);
         }
     }
 
-    /// Places of a service that are free, as far as this node knows.
+    /// Returns the number of free slots of a service, as far as this node knows.
     pub fn free_slots(&self, service: &str, now: Moment) -> u32 {
-        let open = self.of(service).filter(|r| !r.listed.draining && r.out <= now);
+        let open = self.of(service).filter(|r| !r.listed.draining && r.excluded_until <= now);
         open.map(|r| r.listed.slots.saturating_sub(r.running + r.others.faded(now) as u32)).sum()
     }
 
-    /// The replica, if this is still its incarnation.
+    /// Returns the replica if this is still its incarnation.
     fn incarnation(&mut self, target: &Target) -> Option<&mut Replica> {
         let replica = self.replicas.get_mut(&target.id)?;
         (replica.listed.target.born == target.born).then_some(replica)
     }
 
+    /// Returns the replicas of a service.
     fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
         self.replicas.values().filter(move |r| &*r.listed.service == service)
     }
--- a/src/decide/fleet/listed_replica.rs
+++ b/src/decide/fleet/listed_replica.rs
@@ -1,4 +1,4 @@
-//! A replica as it is listed.
+//! The platform's description of a replica.
 
 use crate::Name;
 use crate::edge::replica::Target;
@@ -12,12 +12,12 @@
     pub service: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs at the same time.
     pub slots: u32,
     /// Whether it is leaving.
     pub draining: bool,
-    /// Whether it may be taken back at short notice.
+    /// Whether it is a spot replica, which may be taken back at short notice.
     pub spot: bool,
-    /// Model and version of its weights.
+    /// Its weights: each model with its version.
     pub versions: Vec<(Name, u64)>,
 }
--- a/src/decide/fleet/mod.rs
+++ b/src/decide/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! The replicas of all services, and which of them gets an attempt.
+//! Tracks the replicas of all services and chooses the replica of each attempt.
 
 mod attempt_request;
 mod fleet;
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -1,4 +1,4 @@
-//! What a node knows of one replica.
+//! The state that a node keeps of one replica.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,31 +7,37 @@
 use crate::decide::{Failures, Others, Pace};
 use crate::{Moment, Name};
 
-/// How long a replica's word of its load counts: a text takes about as long, so that others'
-/// texts may have come or gone by then.
-const WORD: Duration = Duration::from_millis(500);
+/// How long a replica's report of its load counts: a text takes about as long, so after this
+/// time texts of other nodes may have begun or ended.
+const LOAD_REPORT_LIFETIME: Duration = Duration::from_millis(500);
 
-/// A replica as far as this node knows it.
+/// A replica as this node knows it.
 #[derive(Debug)]
 pub(super) struct Replica {
     pub listed: ListedReplica,
+    /// Number of this node's attempts that run there.
     pub running: u32,
+    /// Requests of other nodes there, by its last report.
     pub others: Others,
+    /// Time per cost of the attempts there.
     pub pace: Pace,
     /// Time between the events of its streams.
-    pub beat: Pace,
+    pub event_interval: Pace,
     pub failures: Failures,
-    pub out: Moment,
+    /// Until when it is excluded from the choice.
+    pub excluded_until: Moment,
+    /// Version of each model that it was last seen at.
     pub versions: HashMap<Name, u64>,
-    /// When the last attempt began, and when it last told its load.
+    /// When the last attempt began there.
     pub began: Moment,
-    pub told: Told,
-    /// Until when it takes no sample of a model.
+    /// Whether and when it reported its load.
+    pub load_report: LoadReporting,
+    /// Until when it gets no sample of a model, by model.
     pub loading: HashMap<Name, Moment>,
 }
 
 impl Replica {
-    /// A replica of which nothing is known but its entry.
+    /// A replica of which only the platform's entry is known.
     pub(super) fn new(listed: ListedReplica) -> Self {
         Self {
             versions: listed.versions.iter().cloned().collect(),
@@ -39,69 +45,77 @@
             running: 0,
             others: Others::default(),
             pace: Pace::default(),
-            beat: Pace::default(),
+            event_interval: Pace::default(),
             failures: Failures::default(),
-            out: Moment::ZERO,
+            excluded_until: Moment::ZERO,
             began: Moment::ZERO,
-            told: Told::Unknown,
+            load_report: LoadReporting::Unknown,
             loading: HashMap::new(),
         }
     }
 
-    /// Whether its load is known well enough for one more text.
+    /// Whether its load is known well enough for it to get one more text.
     ///
-    /// Load pattern: the steps of several trainers begin at once at as many homes, and each
-    /// takes every place to be free. With six homes at ten replicas of six places, 188 texts
-    /// of 400 were turned away in the first two seconds, and 230 more waited at a replica for
-    /// longer than an answer may take and were begun again elsewhere. A replica gets one text at
-    /// a time, and the next once that has brought word of its load, within milliseconds; only
-    /// one that just said that nobody else uses it is filled at once.
-    pub(super) fn heard(&self, now: Moment) -> bool {
-        let lost = now.saturating_sub(self.began) > WORD;
-        match self.told {
-            Told::Never => true,
-            Told::Unknown => self.running == 0 || lost,
-            Told::At(at) => {
-                let alone = self.others.faded(now) < 1.0 && now.saturating_sub(at) <= WORD;
+    /// Load pattern: the steps of several trainers begin at once, each at a different node, and
+    /// each node assumes that every slot is free. With six nodes at ten replicas of six slots,
+    /// 188 texts of 400 were refused in the first two seconds, and 230 more waited at a replica
+    /// for longer than an answer may take and were begun again elsewhere. So a replica gets one
+    /// text at a time, and the next one once the answer to it has reported the load, within
+    /// milliseconds; only a replica that just reported that no other node uses it is filled at
+    /// once.
+    pub(super) fn load_is_known(&self, now: Moment) -> bool {
+        let lost = now.saturating_sub(self.began) > LOAD_REPORT_LIFETIME;
+        match self.load_report {
+            LoadReporting::Never => true,
+            LoadReporting::Unknown => self.running == 0 || lost,
+            LoadReporting::At(at) => {
+                let alone =
+                    self.others.faded(now) < 1.0 && now.saturating_sub(at) <= LOAD_REPORT_LIFETIME;
                 alone || at > self.began || lost
             }
         }
     }
 
-    /// It answered: one that has not told its load by then never does.
-    pub(super) fn silent(&mut self) {
-        if self.told == Told::Unknown {
-            self.told = Told::Never;
+    /// Handles the end of an answer: a replica that has not reported its load by then never does.
+    pub(super) fn answer_ended(&mut self) {
+        if self.load_report == LoadReporting::Unknown {
+            self.load_report = LoadReporting::Never;
         }
     }
 
-    /// It started again under its id: nothing that was known holds. Attempts at the former
-    /// incarnation are still counted until they end.
-    pub(super) fn begin_anew(&mut self, listed: ListedReplica) {
+    /// Resets the state after a restart under the same id, as nothing known of the former
+    /// incarnation holds. Attempts at the former incarnation still count until they end.
+    pub(super) fn reset(&mut self, listed: ListedReplica) {
         *self = Self { running: self.running, ..Self::new(listed) };
     }
 }
 
-/// What a replica tells of its load.
+/// Whether a replica reports its load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Told {
-    /// Nothing has come from it yet.
+pub(super) enum LoadReporting {
+    /// Nothing has been received from it yet.
     Unknown,
-    /// It answers without its load.
+    /// It answers without reporting its load.
     Never,
+    /// It last reported its load at this time.
     At(Moment),
 }
 
-/// Whether a replica may get an attempt; one that is left out only where that is heeded.
-pub(super) fn fits(replica: &Replica, wish: &AttemptRequest<'_>, now: Moment, heed: bool) -> bool {
-    if replica.listed.draining || (heed && replica.out > now) {
+/// Whether a replica may get an attempt. Exclusion counts only if `exclude` is set.
+pub(super) fn fits(
+    replica: &Replica,
+    request: &AttemptRequest<'_>,
+    now: Moment,
+    exclude: bool,
+) -> bool {
+    if replica.listed.draining || (exclude && replica.excluded_until > now) {
         return false;
     }
     let load = f64::from(replica.running) + replica.others.faded(now);
-    if !wish.allow_full && load >= f64::from(replica.listed.slots) {
+    if !request.allow_full && load >= f64::from(replica.listed.slots) {
         return false;
     }
-    let Some((model, least)) = wish.weights else { return true };
+    let Some((model, min_version)) = request.weights else { return true };
     let loading = replica.loading.get(model).is_some_and(|until| *until > now);
-    !loading && replica.versions.get(model).is_some_and(|v| *v >= least)
+    !loading && replica.versions.get(model).is_some_and(|v| *v >= min_version)
 }
--- a/src/decide/fleet/replica_outcome.rs
+++ b/src/decide/fleet/replica_outcome.rs
@@ -1,25 +1,26 @@
-//! The end of an attempt.
+//! How an attempt at a replica ended.
 
 use std::time::Duration;
 
-/// How an attempt ended, for the choice of the next ones.
+/// How an attempt at a replica ended, which affects the choice of replicas for the next
+/// attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaOutcome {
-    /// With a whole answer.
+    /// The replica gave a complete answer.
     Answered {
-        /// How long it took.
+        /// Time from the start of the attempt to its end.
         duration: Duration,
-        /// What it came to, in units that can be compared within a service.
+        /// The cost of the answer, in units that are comparable within a service.
         cost: u32,
     },
     /// The replica was full.
     Full,
     /// The replica is loading weights of the model.
     Loading,
-    /// No connection.
+    /// No connection to the replica could be made.
     Unreachable,
-    /// It broke off or fell silent.
+    /// The answer broke off or the replica stopped sending.
     Failed,
-    /// It was given up for a reason that says nothing of the replica.
+    /// The attempt was given up for a reason unrelated to the replica.
     Abandoned,
 }
--- a/src/decide/fleet/slot_queue.rs
+++ b/src/decide/fleet/slot_queue.rs
@@ -1,11 +1,11 @@
-//! Who waits for a place at a replica, and who gets the next one.
+//! The samples that wait for a slot at a replica, and the order in which they get one.
 //!
-//! Load pattern: the texts of a step wait before replicas that get one text at a time until they
-//! have told their load, so that each answer's head opens a place at its replica. Going through
-//! all who wait at each head costs heads times texts, thousands of each; looking only now and
-//! then leaves every place empty for half of the time between two looks. So texts wait in a
-//! queue for each kind of place, and a head offers its own replica to the first of the queues
-//! that it serves: that costs as much before thousands of replicas as before ten.
+//! Load pattern: the texts of a step wait for replicas that get one text at a time until they
+//! have reported their load, so that each response head frees a slot at its replica. Checking
+//! all waiting texts at each head costs heads times texts, thousands of each; checking only
+//! periodically leaves every slot empty for half of the period. So texts wait in a queue for
+//! each kind of slot, and a response head offers its own replica to the first texts of the
+//! queues that the replica serves: that costs as much with thousands of replicas as with ten.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +13,22 @@
 use crate::edge::replica::Target;
 use crate::{Moment, Name};
 
-/// The order in which samples get places: rank of the route, age of the job, index.
+/// The order in which samples get slots: priority of the route, age of the job, index.
 pub type WaitPosition = (u8, u64, u64);
 
-/// A service, and the model that is asked for there.
+/// A kind of slot: a service, and the model that is requested there.
 type Kind = (Name, Option<Name>);
 
-/// What a waiting sample asks for.
+/// The requirements of a waiting sample.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
     /// The service.
     pub service: Name,
-    /// The model; none where any replica will do.
+    /// The model; none if any replica of the service will do.
     pub model: Option<Name>,
-    /// The oldest version of the model that will do.
+    /// Minimum version of the model.
     pub min_version: u64,
-    /// Replicas that failed it.
+    /// Replicas at which earlier attempts failed.
     pub avoid: Vec<Name>,
 }
 
@@ -37,7 +37,7 @@
         (self.service.clone(), self.model.clone())
     }
 
-    fn wish(&self) -> AttemptRequest<'_> {
+    fn attempt_request(&self) -> AttemptRequest<'_> {
         AttemptRequest {
             service: &self.service,
             weights: self.model.as_deref().map(|model| (model, self.min_version)),
@@ -49,11 +49,12 @@
 
 #[derive(Debug)]
 struct Waiter<G> {
-    want: SlotRequest,
+    request: SlotRequest,
+    /// Returned to the caller together with the slot.
     grant: G,
 }
 
-/// Those who wait, each with what it is told by.
+/// The waiting samples, each with a value `G` by which it is notified of its slot.
 #[derive(Debug)]
 pub struct SlotQueue<G> {
     kinds: BTreeMap<Kind, BTreeMap<WaitPosition, Waiter<G>>>,
@@ -66,72 +67,81 @@
 }
 
 impl<G> SlotQueue<G> {
-    /// Whether nobody waits.
+    /// Whether no sample waits.
     pub fn is_empty(&self) -> bool {
         self.kinds.is_empty()
     }
 
-    /// Somebody begins to wait.
-    pub fn add(&mut self, turn: WaitPosition, want: SlotRequest, grant: G) {
-        self.kinds.entry(want.kind()).or_default().insert(turn, Waiter { want, grant });
+    /// Adds a sample that begins to wait.
+    pub fn add(&mut self, position: WaitPosition, request: SlotRequest, grant: G) {
+        let queue = self.kinds.entry(request.kind()).or_default();
+        queue.insert(position, Waiter { request, grant });
     }
 
-    /// Somebody waits no more.
-    pub fn remove(&mut self, turn: WaitPosition, service: &Name, model: &Option<Name>) {
-        drop(self.take(turn, &(service.clone(), model.clone())));
+    /// Removes a sample that no longer waits.
+    pub fn remove(&mut self, position: WaitPosition, service: &Name, model: &Option<Name>) {
+        drop(self.take(position, &(service.clone(), model.clone())));
     }
 
-    /// Gives all free places, in turn. Each was begun by [`Fleet::start`].
+    /// Assigns all free slots, in order of the waiting positions. [`Fleet::start_attempt`] has
+    /// been called for each returned sample.
     pub fn assign_all(&mut self, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
-        self.give(fleet, now, |_| true, |fleet, want| fleet.choose(&want.wish(), now))
+        self.assign(
+            fleet,
+            now,
+            |_| true,
+            |fleet, request| fleet.choose(&request.attempt_request(), now),
+        )
     }
 
-    /// Gives the places of one replica that are free, in turn. Each was begun by
-    /// [`Fleet::start`].
+    /// Assigns the free slots of one replica, in order of the waiting positions.
+    /// [`Fleet::start_attempt`] has been called for each returned sample.
     pub fn assign_at(&mut self, id: &str, fleet: &mut Fleet, now: Moment) -> Vec<(G, Target)> {
         let Some(service) = fleet.get(id).map(|listed| listed.service.clone()) else {
             return Vec::new();
         };
         let served = |kind: &Kind| kind.0 == service;
-        self.give(fleet, now, served, |fleet, want| fleet.offer(id, &want.wish(), now))
+        self.assign(fleet, now, served, |fleet, request| {
+            fleet.choose_at(id, &request.attempt_request(), now)
+        })
     }
 
-    /// Gives places to the first of each queue until there is none for it.
-    fn give(
+    /// Assigns slots to the first sample of each queue until there is none for it.
+    fn assign(
         &mut self,
         fleet: &mut Fleet,
         now: Moment,
         served: impl Fn(&Kind) -> bool,
         choose: impl Fn(&Fleet, &SlotRequest) -> Option<Target>,
     ) -> Vec<(G, Target)> {
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         let mut open: Vec<Kind> = self.kinds.keys().filter(|kind| served(kind)).cloned().collect();
-        while let Some((turn, place)) = self.first(&open) {
-            let kind = &open[place];
-            let chosen = self.kinds[kind].get(&turn).and_then(|w| choose(fleet, &w.want));
-            match chosen.and_then(|target| Some((self.take(turn, kind)?, target))) {
+        while let Some((position, index)) = self.first(&open) {
+            let kind = &open[index];
+            let chosen = self.kinds[kind].get(&position).and_then(|w| choose(fleet, &w.request));
+            match chosen.and_then(|target| Some((self.take(position, kind)?, target))) {
                 Some((waiter, target)) => {
                     fleet.start_attempt(&target.id, now);
-                    given.push((waiter.grant, target));
+                    assigned.push((waiter.grant, target));
                 }
-                None => drop(open.swap_remove(place)),
+                None => drop(open.swap_remove(index)),
             }
         }
-        given
+        assigned
     }
 
-    /// The first turn of some queues, and which queue it is in.
+    /// Returns the first position in these queues, and the index of its queue in `open`.
     fn first(&self, open: &[Kind]) -> Option<(WaitPosition, usize)> {
-        let firsts = open.iter().enumerate().filter_map(|(place, kind)| {
-            let (turn, _) = self.kinds.get(kind)?.first_key_value()?;
-            Some((*turn, place))
+        let firsts = open.iter().enumerate().filter_map(|(index, kind)| {
+            let (position, _) = self.kinds.get(kind)?.first_key_value()?;
+            Some((*position, index))
         });
         firsts.min()
     }
 
-    fn take(&mut self, turn: WaitPosition, kind: &Kind) -> Option<Waiter<G>> {
+    fn take(&mut self, position: WaitPosition, kind: &Kind) -> Option<Waiter<G>> {
         let queue = self.kinds.get_mut(kind)?;
-        let waiter = queue.remove(&turn);
+        let waiter = queue.remove(&position);
         if queue.is_empty() {
             self.kinds.remove(kind);
         }
--- a/src/decide/job/job.rs
+++ b/src/decide/job/job.rs
@@ -1,7 +1,7 @@
-//! The state of a batch job at its home.
+//! The state of a batch job at the node that owns it.
 //!
-//! A result has a position only once it is written where it lasts: what a trainer has read
-//! stands there for good, whichever node is home.
+//! A result has a position only once it is written durably: a result that a trainer has read
+//! keeps its position, whichever node owns the job later.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -11,59 +11,60 @@
 use super::{ItemSpec, Score};
 use crate::Name;
 
-/// Bytes that a result takes up beside its parts.
-const FRAME: usize = 64;
+/// Bytes that a result takes up in addition to its parts.
+const RESULT_OVERHEAD_BYTES: usize = 64;
 
-/// One in so many of the wanted groups may still be missing as results become urgent: groups
-/// that came along from an earlier step are waited for beside the number that is wanted.
-const NEAR: usize = 10;
+/// Results become urgent while one in this many of the wanted groups, and one more, is still
+/// missing: the trainer also waits for groups left over from an earlier step, in addition to
+/// the number that is wanted.
+const URGENT_MISSING_DIVISOR: usize = 10;
 
-/// Up to so many turns of the places a step takes little longer than its longest samples, which
-/// are five times as long as usual.
-const TURNS: usize = 3;
+/// A step whose samples fill the slots at most this many times in succession takes little longer
+/// than its longest samples, which are five times as long as usual.
+const MAX_ROUNDS_BY_LENGTH: usize = 3;
 
-/// Fields that were added to a submission since its first format.
-const LATER_FIELDS: usize = 2;
-/// How an optional field without a value is encoded.
-const ABSENT: u8 = 0;
+/// Number of optional fields that were added at the end of a submission since its first format.
+const ADDED_FIELDS: usize = 2;
+/// The encoding of an optional field without a value.
+const ENCODED_NONE: u8 = 0;
 
 /// A batch job as it was submitted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id.
+    /// Id of the job.
     pub id: Name,
-    /// The host and path that it came to.
+    /// The host that it was submitted to.
     pub host: Name,
-    /// The path.
+    /// The path that it was submitted to.
     pub path: Name,
-    /// The model that makes its texts; none where the route names no model.
+    /// The model that generates its texts; none if the route names no model.
     pub model: Option<Name>,
-    /// The oldest version that may make them.
+    /// The oldest version of the model that may generate them.
     pub min_version: u64,
     /// The samples, in order.
     pub items: Vec<Arc<ItemSpec>>,
-    /// The number of whole groups that its trainer waits for; none if it did not say.
+    /// The number of complete groups that its trainer waits for; none if not given.
     pub wanted_groups: Option<usize>,
-    /// Whose it is; none where it came without a key.
+    /// The organisation that submitted it; none if it came without a key.
     pub organisation: Option<Name>,
 }
 
 impl JobSpec {
-    /// Decodes a submission as it lies in the store. An earlier format ends before the last
-    /// one or two fields, which are none then.
+    /// Decodes a stored submission. An earlier format ends before the last one or two fields,
+    /// which are none then.
     pub fn decode(mut bytes: Vec<u8>) -> Result<Self, bincode::error::DecodeError> {
         let config = bincode::config::standard();
-        for _ in 0..LATER_FIELDS {
+        for _ in 0..ADDED_FIELDS {
             match bincode::serde::decode_from_slice(&bytes, config) {
-                Err(bincode::error::DecodeError::UnexpectedEnd { .. }) => bytes.push(ABSENT),
+                Err(bincode::error::DecodeError::UnexpectedEnd { .. }) => bytes.push(ENCODED_NONE),
                 decoded => return decoded.map(|(spec, _)| spec),
             }
         }
         bincode::serde::decode_from_slice(&bytes, config).map(|(spec, _)| spec)
     }
 
-    /// What all its samples come to, by their senders' estimates; one without counts as the
-    /// mean.
+    /// Returns the work of all samples by the senders' estimates; a sample without an estimate
+    /// counts as the mean.
     pub fn estimated_work(&self) -> u64 {
         let known: Vec<u64> = self.items.iter().filter_map(|item| item.length_hint).collect();
         let sum: u64 = known.iter().sum();
@@ -72,39 +73,39 @@
         sum + mean * (self.items.len() - known.len()) as u64
     }
 
-    /// About how many bytes it takes up.
+    /// Returns its approximate size in bytes.
     pub fn approx_bytes(&self) -> usize {
-        self.items.iter().map(|item| item.body.len() + 2 * FRAME).sum()
+        self.items.iter().map(|item| item.body.len() + 2 * RESULT_OVERHEAD_BYTES).sum()
     }
 }
 
 /// How a sample ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ItemState {
-    /// With a text, the versions that made it, and its score.
+    /// A text was generated, and scored if there is a scorer.
     Completed {
         /// The text.
         output: String,
-        /// The versions, oldest first.
+        /// The versions that generated it, oldest first.
         versions: Vec<u64>,
-        /// The score, where there is a scorer.
+        /// The score, if there is a scorer.
         score: Option<Score>,
     },
-    /// It was given up.
+    /// The sample was given up.
     Dead,
 }
 
-/// A result at its position.
+/// The result of a sample.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemResult {
-    /// The sample's id.
+    /// Id of the sample.
     pub id: Name,
-    /// How it ended.
+    /// How the sample ended.
     pub state: ItemState,
 }
 
 impl ItemResult {
-    /// About how many bytes it takes up.
+    /// Returns its approximate size in bytes.
     pub fn approx_bytes(&self) -> usize {
         let state = match &self.state {
             ItemState::Completed { output, versions, score } => {
@@ -113,158 +114,170 @@
             }
             ItemState::Dead => 0,
         };
-        self.id.len() + state + FRAME
+        self.id.len() + state + RESULT_OVERHEAD_BYTES
     }
 }
 
-/// What the end of a sample comes to.
+/// The effect of a sample's end on its group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinishEffect {
-    /// Others of its group are still to come: nobody waits for it alone.
+    /// Other samples of its group are unfinished, so nothing waits for this result alone.
     Sample,
-    /// Its group is whole.
+    /// Its group is complete.
     Group,
-    /// It had ended before, or nobody wants it any more.
+    /// The sample had ended before, or the job has been ended.
     Unwanted,
 }
 
-/// The job at its home.
+/// A batch job at the node that owns it.
 #[derive(Debug)]
 pub struct Job {
-    /// What was submitted.
+    /// The submission.
     pub spec: Arc<JobSpec>,
-    /// Results that last, by position.
-    listed: Vec<Arc<ItemResult>>,
-    /// Results that are not written yet, in the order in which they came.
-    fresh: Vec<Arc<ItemResult>>,
-    /// Index of each sample that has no result yet.
-    open: HashMap<Name, usize>,
-    /// How many of these each group has that is not whole.
-    groups: HashMap<Name, usize>,
-    /// The number of groups.
-    total: usize,
+    /// Durably written results, by position.
+    written: Vec<Arc<ItemResult>>,
+    /// Results that are not written yet, in the order of their arrival.
+    unwritten: Vec<Arc<ItemResult>>,
+    /// Index of each sample that has no result yet, by its id.
+    open_samples: HashMap<Name, usize>,
+    /// Number of samples without a result of each incomplete group.
+    open_groups: HashMap<Name, usize>,
+    /// Total number of groups.
+    group_count: usize,
+    /// Whether the trainer has ended the job.
     ended: bool,
 }
 
 impl Job {
-    /// A job with the results that last already.
-    pub fn new(spec: Arc<JobSpec>, listed: Vec<Arc<ItemResult>>) -> Self {
-        let mut open: HashMap<Name, usize> =
+    /// A job with the results that are already written durably.
+    pub fn new(spec: Arc<JobSpec>, written: Vec<Arc<ItemResult>>) -> Self {
+        let mut open_samples: HashMap<Name, usize> =
             spec.items.iter().enumerate().map(|(i, item)| (item.id.clone(), i)).collect();
-        for listing in &listed {
-            open.remove(&listing.id);
+        for result in &written {
+            open_samples.remove(&result.id);
         }
-        let mut groups: HashMap<Name, usize> = HashMap::new();
-        for index in open.values() {
-            *groups.entry(spec.items[*index].group.clone()).or_default() += 1;
+        let mut open_groups: HashMap<Name, usize> = HashMap::new();
+        for index in open_samples.values() {
+            *open_groups.entry(spec.items[*index].group.clone()).or_default() += 1;
+        }
+        let group_count = spec.items.iter().map(|item| &item.group).collect::<HashSet<_>>().len();
+        Self {
+            spec,
+            written,
+            unwritten: Vec::new(),
+            open_samples,
+            open_groups,
+            group_count,
+            ended: false,
         }
-        let total = spec.items.iter().map(|item| &item.group).collect::<HashSet<_>>().len();
-        Self { spec, listed, fresh: Vec::new(), open, groups, total, ended: false }
     }
 
-    /// The samples that are to be made, where so many can run at once: the longest first, or
-    /// group by group.
+    /// Returns the samples without a result in the order in which they are to begin, given the
+    /// number of slots at which they can run: the longest first, or group by group.
     ///
     /// Load pattern: a few samples of a step are five times as long as the rest, and the step
-    /// waits for them. Begun last, they would end a whole turn of the places later. Where the
-    /// places are taken in many turns the step may not be whole in time; begun by length all
-    /// its groups would be nearly whole then, and none of use to its trainer.
-    pub fn pending_items(&self, places: usize) -> Vec<Arc<ItemSpec>> {
+    /// waits for them. If they began last, they would end a whole round of the slots later. A
+    /// step that needs many rounds may not be complete in time; if its samples began by length,
+    /// all its groups would be nearly complete then, and none of use to its trainer.
+    pub fn pending_items(&self, slots: usize) -> Vec<Arc<ItemSpec>> {
         if self.ended {
             return Vec::new();
         }
-        let mut left: Vec<usize> = self.open.values().copied().collect();
+        let mut left: Vec<usize> = self.open_samples.values().copied().collect();
         left.sort_unstable_by_key(|i| (std::cmp::Reverse(self.spec.items[*i].length_hint), *i));
-        if left.len() > TURNS * places {
+        if left.len() > MAX_ROUNDS_BY_LENGTH * slots {
             let mut first: HashMap<&Name, usize> = HashMap::new();
-            for (place, item) in self.spec.items.iter().enumerate() {
-                first.entry(&item.group).or_insert(place);
+            for (index, item) in self.spec.items.iter().enumerate() {
+                first.entry(&item.group).or_insert(index);
             }
             left.sort_by_key(|i| first[&self.spec.items[*i].group]);
         }
         left.into_iter().map(|i| self.spec.items[i].clone()).collect()
     }
 
-    /// A sample ended.
+    /// Records the end of a sample.
     pub fn finish(&mut self, id: &str, state: ItemState) -> FinishEffect {
         if self.ended {
             return FinishEffect::Unwanted;
         }
-        let Some((id, index)) = self.open.remove_entry(id) else { return FinishEffect::Unwanted };
-        self.fresh.push(Arc::new(ItemResult { id, state }));
+        let Some((id, index)) = self.open_samples.remove_entry(id) else {
+            return FinishEffect::Unwanted;
+        };
+        self.unwritten.push(Arc::new(ItemResult { id, state }));
         let group = &self.spec.items[index].group;
-        let Some(left) = self.groups.get_mut(group) else { return FinishEffect::Group };
-        *left -= 1;
-        if *left > 0 {
+        let Some(open) = self.open_groups.get_mut(group) else { return FinishEffect::Group };
+        *open -= 1;
+        if *open > 0 {
             return FinishEffect::Sample;
         }
-        self.groups.remove(group);
+        self.open_groups.remove(group);
         FinishEffect::Group
     }
 
-    /// Whether its trainer may be waiting for the next results to go on: the groups that it
-    /// wants are whole, or all but one in ten and one. Until then results are of no use to it.
+    /// Whether its trainer may be waiting for the next results in order to continue: the groups
+    /// that it wants are complete, or all but one in ten and one more. Until then results are of
+    /// no use to it.
     pub fn is_urgent(&self) -> bool {
-        let wanted = self.spec.wanted_groups.unwrap_or_default().min(self.total);
-        let whole = self.total - self.groups.len();
-        whole + wanted.div_ceil(NEAR) + 1 >= wanted || self.all_finished()
+        let wanted = self.spec.wanted_groups.unwrap_or_default().min(self.group_count);
+        let complete = self.group_count - self.open_groups.len();
+        complete + wanted.div_ceil(URGENT_MISSING_DIVISOR) + 1 >= wanted || self.all_finished()
     }
 
-    /// The position of the next result that is written.
+    /// Returns the position of the next result to be written.
     pub fn next_position(&self) -> usize {
-        self.listed.len()
+        self.written.len()
     }
 
-    /// The results to write next, after the position of the first: those that come to `most`
-    /// bytes, at least one if there is one.
+    /// Returns the results to write next and the position of the first of them: as many as fit
+    /// into `max_bytes`, but at least one if there is one.
     ///
-    /// Load pattern: everything that was made in an outage is written in one go after it. A
-    /// step of 128 samples comes to more than the megabyte that a value may have.
-    pub fn next_batch(&self, most: usize) -> (usize, Vec<Arc<ItemResult>>) {
+    /// Load pattern: all results of an outage are written at once after it. Those of a step of
+    /// 128 samples exceed the maximum size of a value, one megabyte.
+    pub fn next_batch(&self, max_bytes: usize) -> (usize, Vec<Arc<ItemResult>>) {
         let mut size = 0;
         let mut batch = Vec::new();
-        for listing in &self.fresh {
-            size += listing.approx_bytes();
-            if size > most && !batch.is_empty() {
+        for result in &self.unwritten {
+            size += result.approx_bytes();
+            if size > max_bytes && !batch.is_empty() {
                 break;
             }
-            batch.push(listing.clone());
+            batch.push(result.clone());
         }
-        (self.listed.len(), batch)
+        (self.written.len(), batch)
     }
 
-    /// Whether results wait to be written.
+    /// Whether some results are not written yet.
     pub fn has_unwritten(&self) -> bool {
-        !self.fresh.is_empty()
+        !self.unwritten.is_empty()
     }
 
-    /// The first `count` fresh results last now.
+    /// Records that the first `count` unwritten results are written durably.
     pub fn mark_written(&mut self, count: usize) {
-        self.listed.extend(self.fresh.drain(..count));
+        self.written.extend(self.unwritten.drain(..count));
     }
 
-    /// The results that last, by position.
+    /// Returns the durably written results, by position.
     pub fn written_results(&self) -> &[Arc<ItemResult>] {
-        &self.listed
+        &self.written
     }
 
-    /// The trainer wants no more of it.
+    /// Ends the job at the request of its trainer, which wants no more results.
     pub fn end(&mut self) {
         self.ended = true;
     }
 
-    /// Whether the trainer wants no more of it.
+    /// Whether the trainer has ended the job.
     pub fn ended(&self) -> bool {
         self.ended
     }
 
-    /// Whether every sample has a result that lasts.
+    /// Whether every sample has a durably written result.
     pub fn all_written(&self) -> bool {
-        self.listed.len() == self.spec.items.len()
+        self.written.len() == self.spec.items.len()
     }
 
     /// Whether every sample has a result, written or not.
     pub fn all_finished(&self) -> bool {
-        self.open.is_empty()
+        self.open_samples.is_empty()
     }
 }
--- a/src/decide/job/mod.rs
+++ b/src/decide/job/mod.rs
@@ -1,4 +1,5 @@
-//! A batch job: many samples that are submitted at once, run, scored and listed.
+//! A batch job: many samples that are submitted at once, run and scored, and whose results are
+//! listed.
 
 mod job;
 mod order;
--- a/src/decide/job/order.rs
+++ b/src/decide/job/order.rs
@@ -1,45 +1,47 @@
-//! The order of the jobs of several organisations at their home.
+//! The order in which a node runs the jobs of several organisations.
 //!
 //! Load pattern: one organisation submits many jobs, or much larger ones, at once. In the order
-//! in which they came, the samples of all others would wait behind them. So each job gets a turn
-//! on a scale of samples: where its organisation's last job ends, or where the home stands, if
-//! that is later. This is start-time fair queueing (Goyal and others, 1996) with jobs as packets:
-//! the jobs of one organisation keep their order, and a newcomer waits for one job of each other
-//! organisation at most.
+//! of arrival, the samples of all other organisations would wait behind them. So each job gets a
+//! start tag in virtual time, measured in samples: where its organisation's last job ends, or
+//! the present virtual time, if that is later. This is start-time fair queueing (Goyal and
+//! others, 1996) with jobs as packets: the jobs of one organisation keep their order, and the
+//! first job of another one waits for at most one job of each other organisation.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::Name;
 
-/// Whose a job is; none for those that came without an organisation, together.
+/// The organisation of a job; all jobs without an organisation share one order.
 type Owner = Option<Name>;
 
-/// The turns of the jobs at one home.
+/// The start tags of the open jobs at one node.
 #[derive(Debug, Default)]
 pub struct JobOrder {
+    /// The organisation of each open job, by start tag.
     open: BTreeMap<u64, Owner>,
-    /// Where the last job of each organisation ends.
+    /// Virtual time at which the last job of each organisation ends.
     ends: HashMap<Owner, u64>,
-    /// Where the home stood when it last had no job.
+    /// Virtual time when there was last no open job.
     idle: u64,
 }
 
 impl JobOrder {
-    /// The turn of a job with so many samples. No other open job has the same.
+    /// Adds a job with this number of samples and returns its start tag, which no other open job
+    /// has.
     pub fn begin(&mut self, owner: Owner, samples: usize) -> u64 {
         let own = self.ends.get(&owner).copied().unwrap_or(0);
-        let mut turn = self.present().max(own);
-        while self.open.contains_key(&turn) {
-            turn += 1;
+        let mut tag = self.present().max(own);
+        while self.open.contains_key(&tag) {
+            tag += 1;
         }
-        self.open.insert(turn, owner.clone());
-        self.ends.insert(owner, turn + samples as u64);
-        turn
+        self.open.insert(tag, owner.clone());
+        self.ends.insert(owner, tag + samples as u64);
+        tag
     }
 
-    /// A job is over.
-    pub fn end(&mut self, turn: u64) {
-        self.open.remove(&turn);
+    /// Removes a job.
+    pub fn end(&mut self, tag: u64) {
+        self.open.remove(&tag);
         if self.open.is_empty() {
             self.idle = self.ends.values().copied().max().unwrap_or(self.idle);
             self.ends.clear();
@@ -49,7 +51,7 @@
         self.ends.retain(|_, end| *end > present);
     }
 
-    /// Where the home stands: at the first open job.
+    /// Returns the present virtual time: the start tag of the first open job.
     fn present(&self) -> u64 {
         self.open.keys().next().copied().unwrap_or(self.idle)
     }
--- a/src/decide/job/sample.rs
+++ b/src/decide/job/sample.rs
@@ -8,34 +8,34 @@
 /// The request that scores a finished text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scorer {
-    /// Its request id.
+    /// Id of the scoring request.
     pub id: Name,
-    /// Its host.
+    /// Host that it is sent to.
     pub host: Name,
-    /// Its path.
+    /// Path that it is sent to.
     pub path: Name,
-    /// Its body.
+    /// Body of the request.
     pub body: Bytes,
 }
 
-/// The score of a text: the signature under the scorer's answer.
+/// The score of a text: the signature in the scorer's answer.
 pub type Score = Name;
 
-/// A sample to be made.
+/// A sample to be generated.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemSpec {
-    /// Its id, also that of its requests.
+    /// Id of the sample, also used for its requests.
     pub id: Name,
-    /// The path that is asked.
+    /// Path of the requests to replicas.
     pub path: Name,
-    /// The headers that go with it.
+    /// Headers of the requests to replicas.
     pub headers: Vec<(Name, Name)>,
-    /// The body.
+    /// Body of the requests to replicas.
     pub body: Bytes,
-    /// Samples of one group share their prompt.
+    /// Name of its group. Samples of one group share their prompt.
     pub group: Name,
-    /// The sender's estimate of the tokens that it comes to, often far off.
+    /// The sender's estimate of its length in tokens, often far off.
     pub length_hint: Option<u64>,
-    /// Who scores it; none for a sample without a score.
+    /// The request that scores its text; none for a sample without a score.
     pub scorer: Option<Scorer>,
 }
