--- a/src/entry/entry.rs
+++ b/src/entry/entry_node.rs
@@ -8,7 +8,7 @@
 use super::follow::{Topic, follow};
 use super::peer::Peers;
 use super::ports::Ports;
-use super::usage::send_notes;
+use super::usage::share_counts;
 use super::{member, mover, takeover};
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
@@ -23,11 +23,11 @@
 
 /// The handle.
 #[derive(Debug)]
-pub struct Entry {
+pub struct EntryNode {
     app: Arc<App>,
 }
 
-impl Entry {
+impl EntryNode {
     /// Begins to follow the store, and to serve once its view is whole.
     pub fn spawn(
         settings: EntrySettings,
@@ -35,19 +35,19 @@
         peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
     ) -> Self {
         let app = App::new(settings, ports, peers);
-        tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.life);
-        if app.settings.keeps {
+        tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.incarnation);
+        if app.settings.has_disk {
             app.spawn(follow(app.clone(), Topic::Retirements));
         }
-        if app.settings.callers.is_some() {
+        if app.settings.client_address.is_some() {
             app.spawn(follow(app.clone(), Topic::Routes));
             app.spawn(follow(app.clone(), Topic::Replicas));
-            app.spawn(follow(app.clone(), Topic::Live));
+            app.spawn(follow(app.clone(), Topic::Nodes));
             app.spawn(member::keep(app.clone()));
             app.spawn(takeover::follow(app.clone()));
             app.spawn(mover::give(app.clone()));
             if let Some(usage) = app.usage.clone() {
-                app.spawn(send_notes(app.clone(), usage));
+                app.spawn(share_counts(app.clone(), usage));
             }
             let looking = app.clone();
             app.spawn(async move { looking.look().await });
@@ -62,15 +62,15 @@
 
     /// Leaves: jobs are handed over, clients sent elsewhere. Returns once no client should
     /// come any more; the listeners serve until then.
-    pub async fn leave(&self) {
+    pub async fn drain(&self) {
         self.app.draining.store(true, Ordering::Relaxed);
         tracing::info!(event = "process_leaves", node = %self.app.settings.name);
         self.app.stop.cancel();
-        if self.app.settings.callers.is_none() {
+        if self.app.settings.client_address.is_none() {
             return;
         }
         let begun = self.app.now();
-        let grace = self.app.settings.grace;
+        let grace = self.app.settings.stop_grace;
         // In an outage others take the jobs, and clients go elsewhere, once the lease ends.
         let told = async {
             self.app.hand_over().await;
@@ -79,14 +79,14 @@
         if tokio::time::timeout(grace / TELLING, told).await.is_err() {
             tracing::warn!(event = "leaving_not_told", node = %self.app.settings.name);
         }
-        let kept = Duration::from_secs(self.app.settings.ttl) * KEPT + MARGIN;
+        let kept = Duration::from_secs(self.app.settings.address_ttl) * KEPT + MARGIN;
         let left = (grace / 2 + MARGIN).saturating_sub(self.app.now() - begun);
         tokio::time::sleep(kept.min(left)).await;
     }
 }
 
-impl Drop for Entry {
+impl Drop for EntryNode {
     fn drop(&mut self) {
-        self.app.gone.cancel();
+        self.app.abort.cancel();
     }
 }
--- a/src/entry/listing.rs
+++ b/src/entry/listing.rs
@@ -82,7 +82,7 @@
 
 /// Writes what is fresh and fits a value.
 async fn write(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
-    let (position, batch) = home.job.lock().next_batch(app.settings.value - SPARE);
+    let (position, batch) = home.job.lock().next_batch(app.settings.max_value - SPARE);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
@@ -110,7 +110,7 @@
         if last {
             txn = txn.put(key.clone(), serde_json::to_vec(&value).unwrap_or_default());
         }
-        let Unsaved { growths, after } = home.growths(app.settings.value / 2);
+        let Unsaved { growths, after } = home.growths(app.settings.max_value / 2);
         if !growths.is_empty() && !last {
             let index = *home.saves.lock();
             let encoded = bincode::serde::encode_to_vec(&growths, bincode::config::standard());
@@ -150,7 +150,7 @@
                 if home.stop.is_cancelled() {
                     return false;
                 }
-                app.detour.rest(PAUSE).await;
+                app.fallback_store.wait_for_recovery(PAUSE).await;
             }
         }
     }
@@ -196,7 +196,7 @@
     if item.revision < key.revision {
         return true;
     }
-    if value.life != app.life {
+    if value.life != app.incarnation {
         return false;
     }
     let ended = value.ended;
@@ -204,7 +204,7 @@
     drop(key);
     if ended && !home.job.lock().ended() {
         app.halt(home);
-        app.keep_ended(home.clone());
+        app.retain_ended(home.clone());
     }
     true
 }
@@ -214,5 +214,5 @@
     app.tally.job(JobStep::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is home");
     home.stop.cancel();
-    app.homes.remove(id);
+    app.owned_jobs.remove(id);
 }
