--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -104,7 +104,7 @@
         let Some(wanted) = self.app.load.lock().wanted(&limits.service, now) else { return false };
         let (base, slots) = {
             let fleet = self.app.slots.fleet.lock();
-            (fleet.count(&limits.service, false), fleet.slots(&limits.service))
+            (fleet.count_by_zone(&limits.service, false), fleet.slots_per_replica(&limits.service))
         };
         let Some(slots) = slots else { return false };
         let planner = self.planners.entry(limits.service.clone());
@@ -130,7 +130,7 @@
     /// Sends the orders of a service that are new, were not answered or had no effect.
     async fn send(&mut self, limits: &Autoscale) {
         let Some(planner) = self.planners.get(&limits.service).cloned() else { return };
-        let running = self.app.slots.fleet.lock().count(&limits.service, limits.spot);
+        let running = self.app.slots.fleet.lock().count_by_zone(&limits.service, limits.spot);
         for (zone, extra) in planner.extra() {
             let there = running.get(zone).copied().unwrap_or(0);
             // Spot and on-demand replicas are counted separately, and the base is on demand.
