--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::decide::usage::WindowNote;
 use crate::edge::peer::Message;
 use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Own this job: accept it and run it.
-    Submit(Spec),
+    Submit(JobSpec),
     /// Ask whether the node owns a job, or has all results of it.
     OwnsJob(Name),
     /// Read the request body of a sample of a job that the node has.
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -12,7 +12,7 @@
 use super::messages::{FeedTopic, PeerReply, PeerRequest};
 use crate::Name;
 use crate::decide::affinity;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::edge::peer::PeerError;
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
@@ -53,7 +53,7 @@
 
 impl App {
     /// Forwards a job to the node that is preferred as its owner, if that is another one.
-    pub(in crate::entry) async fn forward_job(&self, spec: &Spec) -> ForwardOutcome {
+    pub(in crate::entry) async fn forward_job(&self, spec: &JobSpec) -> ForwardOutcome {
         let Some(to) = self.preferred_owner(spec) else { return ForwardOutcome::Not };
         let reply = self.request(to, PeerRequest::Submit(spec.clone()), SUBMIT_TIMEOUT).await;
         let passed = match &reply {
@@ -72,7 +72,7 @@
 
     /// Returns the address of the node that should own the jobs of a route. None if it is this node,
     /// is unknown or is unreachable.
-    fn preferred_owner(&self, spec: &Spec) -> Option<SocketAddr> {
+    fn preferred_owner(&self, spec: &JobSpec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.membership.lock().peers();
--- a/src/entry/remote_jobs.rs
+++ b/src/entry/remote_jobs.rs
@@ -7,7 +7,7 @@
 
 use super::app::ByName;
 use super::keys::results;
-use crate::decide::job::{Listing, Spec};
+use crate::decide::job::{ItemResult, JobSpec};
 use crate::edge::store::Item;
 use crate::{Moment, Name};
 
@@ -22,7 +22,7 @@
 pub(super) struct RemoteJob {
     pub state: Mutex<RemoteJobState>,
     /// The submission of the job, once it was read.
-    pub spec: Mutex<Option<Arc<Spec>>>,
+    pub spec: Mutex<Option<Arc<JobSpec>>>,
 }
 
 /// What is known about the progress of a job that another node owns.
@@ -31,7 +31,7 @@
     /// The number of its samples. None until it is known.
     pub sample_count: Option<usize>,
     /// The results that were read so far, by position.
-    pub results: Vec<Arc<Listing>>,
+    pub results: Vec<Arc<ItemResult>>,
     /// The revision from which a watch of the results resumes. None before the first read.
     pub revision: Option<u64>,
     /// The count of watch gaps of this node when all results were last read from the store.
@@ -90,7 +90,7 @@
             return;
         }
         let config = bincode::config::standard();
-        match bincode::serde::decode_from_slice::<Vec<Arc<Listing>>, _>(&item.value, config) {
+        match bincode::serde::decode_from_slice::<Vec<Arc<ItemResult>>, _>(&item.value, config) {
             Ok((batch, _)) => self.results.extend(batch),
             Err(e) => tracing::error!(event = "results_unreadable", job, error = %e),
         }
