--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -1,15 +1,16 @@
-//! Which nodes a client may connect to.
+//! The addresses of the nodes to which a client may connect.
 
 use std::net::SocketAddr;
 
 use super::app::App;
 use crate::decide::rank;
 
-/// The most addresses in an answer.
-const MOST: usize = 64;
+/// The most addresses that a client gets.
+const MAX_ADDRESSES: usize = 64;
 
 impl App {
-    /// The addresses for a client of an availability zone; none if none is known.
+    /// Returns the addresses for a client of an availability zone, at most [`MAX_ADDRESSES`]. Empty
+    /// if no node is known.
     pub fn client_addresses(&self, zone: &str) -> Vec<SocketAddr> {
         let mut nodes = self.membership.lock().callers(self.store_time());
         let own = self.settings.client_address.filter(|_| self.ready());
@@ -20,11 +21,11 @@
         {
             nodes.push((self.settings.name.clone(), own));
         }
-        if nodes.len() <= MOST {
+        if nodes.len() <= MAX_ADDRESSES {
             return nodes.into_iter().map(|(_, address)| address).collect();
         }
         let ranked = rank(zone, nodes.iter().map(|(name, _)| &**name));
-        let chosen = ranked.into_iter().take(MOST);
+        let chosen = ranked.into_iter().take(MAX_ADDRESSES);
         chosen
             .filter_map(|n| nodes.iter().find(|(name, _)| **name == *n).map(|(_, a)| *a))
             .collect()
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a process share.
+//! The state that all tasks of an entry node share.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -33,68 +33,89 @@
 use crate::settings::EntrySettings;
 use crate::{Moment, Name};
 
-/// The context of a process.
+/// The shared state of an entry node.
 #[derive(Debug)]
 pub struct App {
-    /// Its settings.
+    /// The settings of the node.
     pub settings: EntrySettings,
-    /// What it counts.
+    /// The counters and gauges of the node.
     pub tally: Arc<Tally>,
-    /// The store, if need be through another node.
+    /// The store, through another node if this node does not reach it. The same as
+    /// `fallback_store`.
     pub(super) store: Arc<dyn Store>,
-    /// The store as this node reaches it itself.
+    /// The store, reached only directly.
     pub(super) direct_store: Arc<dyn Store>,
+    /// Whether the store is reachable, and calls to it through other nodes.
     pub(super) fallback_store: FallbackStore,
+    /// Requests to other entry nodes.
     pub(super) peers: Arc<dyn Peers>,
-    /// Nodes that did not answer, and until when they are not asked.
+    /// Nodes that did not reply, and until when they get no requests.
     pub(super) unreachable_peers: Mutex<HashMap<SocketAddr, Moment>>,
+    /// Calls to the replicas.
     pub(super) replicas: Arc<dyn Replicas>,
-    pub(super) notices: Arc<dyn Notices>,
+    /// The layout of the keys and values that the platform and trainers write.
+    pub(super) schema: Arc<dyn Notices>,
+    /// Calls that only the leader makes to the platform.
     pub(super) duties: Arc<dyn Duties>,
-    /// Usage; none where nobody wants it reported.
+    /// The usage counts. None if the settings do not ask for usage reports.
     pub(super) usage: Option<Arc<Usage>>,
-    /// This incarnation of the process.
+    /// The unique name of this run of the process: the name of the node and a random number.
     pub(super) incarnation: Name,
+    /// The configuration in force. None before the first.
     pub(super) routes: Mutex<Option<Arc<Routes>>>,
+    /// The newest version of the weights that was announced for each model.
     pub(super) versions: Mutex<BTreeMap<Name, u64>>,
-    /// What steps bring, here and, at who gives orders, at other homes.
+    /// The work that training steps bring by model: of the jobs of this node, and on the leader also
+    /// of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
-    /// What the samples of all homes want, at the holder of duties.
-    pub(super) load: Mutex<Load>,
+    /// The slots that the samples of all nodes need, on the leader.
+    pub(super) slot_load: Mutex<Load>,
+    /// The replicas and the samples that wait for their slots.
     pub(super) slots: Slots,
+    /// The registered nodes and the leader.
     pub(super) membership: Mutex<Live>,
+    /// The jobs that this node owns.
     pub(super) owned_jobs: Homes,
+    /// Jobs that ran here and have ended.
     pub(super) ended_jobs: EndedJobs,
+    /// What other nodes may follow on this node.
     pub(super) feeds: Feeds,
+    /// Copies of jobs that other nodes own.
     pub(super) remote_jobs: RemoteJobs,
-    /// Counts changes of versions, replicas and nodes.
+    /// Counts changes of versions, replicas and nodes, to wake up waiting tasks.
     pub(super) view_changes: watch::Sender<u64>,
+    /// The lease of this node in the store.
     pub(super) lease: Mutex<Lease>,
-    /// When this node gave its last order, or did another duty.
+    /// When this node last sent an order or made another call as the leader.
     pub(super) last_duty: Mutex<Option<Moment>>,
+    /// Whether the process is stopping.
     pub(super) draining: AtomicBool,
+    /// Whether the node has its key in the store.
     pub(super) registered: AtomicBool,
-    /// Whether the routes are another node's, and the store has not been heard of since.
+    /// Whether the routes are from another node's old snapshot, and the store has not answered since.
     pub(super) stale_routes: AtomicBool,
-    pub(super) draws: AtomicU64,
-    /// Counts watches that were cut: the store's history may have gone with them.
+    /// The state of [`App::draw`].
+    pub(super) draw_counter: AtomicU64,
+    /// Counts watches that were cut. The store may have dropped its history with them, so that
+    /// changes may have been missed.
     pub(super) watch_gaps: AtomicU64,
-    /// Cancelled when the process is to stop its own work.
+    /// Cancelled when the process begins to drain: it stops work of its own.
     pub(super) stop: CancellationToken,
     tasks: TaskTracker,
-    /// Cancelled when the process is gone: every task ends where it is.
+    /// Cancelled when the process ends: every task is dropped wherever it is.
     pub(super) abort: CancellationToken,
-    begun: Instant,
+    /// When the process started.
+    started: Instant,
 }
 
-/// The node's lease in the store.
+/// The lease of the node in the store.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Lease {
-    /// Its number; 0 for none.
+    /// The id of the lease; 0 before the first.
     pub id: u64,
-    /// Until when it surely holds.
+    /// Until when the lease is certain not to have expired.
     pub valid_until: Moment,
-    /// The revision of the node's key under it.
+    /// The revision of the node's key, which is bound to the lease.
     pub key_revision: u64,
 }
 
@@ -104,11 +125,11 @@
         ports: Ports,
         peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
     ) -> Arc<Self> {
-        let Ports { store, replicas, notices, duties, clock } = ports;
-        let life = format!("{}.{:08x}", settings.name, rand::random::<u32>()).into();
+        let Ports { store, replicas, schema, duties, clock } = ports;
+        let incarnation = format!("{}.{:08x}", settings.name, rand::random::<u32>()).into();
         let tally = Arc::new(Tally::default());
         let peers = peers(tally.clone());
-        let direct = Arc::new(CountedStore::new(store, notices.clone(), tally.clone()));
+        let direct = Arc::new(CountedStore::new(store, schema.clone(), tally.clone()));
         let detour = FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
         let slots = Slots::new(settings.zone.clone());
         let usage = settings.usage_windows.map(|windows| Arc::new(Usage::new(windows, clock)));
@@ -121,14 +142,14 @@
             peers,
             unreachable_peers: Mutex::default(),
             replicas,
-            notices,
+            schema,
             duties,
             usage,
-            incarnation: life,
+            incarnation,
             routes: Mutex::default(),
             versions: Mutex::default(),
             demand: Mutex::default(),
-            load: Mutex::default(),
+            slot_load: Mutex::default(),
             slots,
             membership: Mutex::default(),
             owned_jobs: Homes::default(),
@@ -141,16 +162,16 @@
             draining: AtomicBool::new(false),
             registered: AtomicBool::new(false),
             stale_routes: AtomicBool::new(false),
-            draws: AtomicU64::new(u64::from(rand::random::<u32>())),
+            draw_counter: AtomicU64::new(u64::from(rand::random::<u32>())),
             watch_gaps: AtomicU64::new(0),
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
             abort: CancellationToken::new(),
-            begun: Instant::now(),
+            started: Instant::now(),
         })
     }
 
-    /// Runs a task for as long as the process lasts.
+    /// Runs a task until it returns or the process ends.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let gone = self.abort.clone();
         self.tasks.spawn(async move {
@@ -161,22 +182,23 @@
         });
     }
 
-    /// The present, as the time since the process began.
+    /// Returns the present as the time since the process started.
     pub(super) fn now(&self) -> Moment {
-        self.begun.elapsed()
+        self.started.elapsed()
     }
 
-    /// The present as missing nodes are judged by: it stands while the store is away.
+    /// Returns the present on a clock that stops while no node reaches the store, by which missing
+    /// nodes are judged.
     pub(super) fn store_time(&self) -> Moment {
         self.fallback_store.store_time()
     }
 
-    /// The configuration in force; none before the first.
+    /// Returns the configuration in force. None before the first.
     pub fn routes(&self) -> Option<Arc<Routes>> {
         self.routes.lock().clone()
     }
 
-    /// The text of all counters and gauges.
+    /// Returns all counters and gauges as text.
     pub fn metrics(&self) -> String {
         self.tally.open_jobs.set(self.owned_jobs.all().len() as i64);
         self.tally.routes.set(self.routes().map_or(0, |r| r.version as i64));
@@ -184,13 +206,13 @@
         self.tally.text()
     }
 
-    /// Whether a route that is not there may have come since: the store does not answer, and
-    /// the routes are those that another node had.
+    /// Whether a route that is not known here may have been added: the store does not answer, and
+    /// the routes are from an old snapshot of another node.
     pub fn routes_may_be_stale(&self) -> bool {
         self.stale_routes.load(Ordering::Relaxed)
     }
 
-    /// Whether clients may be sent here.
+    /// Whether clients may be directed to this node.
     pub fn ready(&self) -> bool {
         let known = self.routes.lock().is_some() && self.registered.load(Ordering::Relaxed);
         known && !self.draining()
@@ -201,51 +223,52 @@
         self.draining.load(Ordering::Relaxed)
     }
 
-    /// A number that differs from call to call, for weighted choices.
+    /// Returns a number that differs from call to call, for weighted choices.
     pub(super) fn draw(&self) -> u32 {
         // An odd step far from a multiple of usual sums of weights spreads draws evenly.
-        (self.draws.fetch_add(0x9E37_79B9, Ordering::Relaxed) >> 3) as u32
+        (self.draw_counter.fetch_add(0x9E37_79B9, Ordering::Relaxed) >> 3) as u32
     }
 
-    /// Tells all who wait for news.
+    /// Wakes up the tasks that wait for changes of versions, replicas and nodes.
     pub(super) fn notify_view_change(&self) {
         self.view_changes.send_modify(|n| *n += 1);
     }
 
-    /// Whether the store answers this node itself, as far as is known.
+    /// Whether this node is believed to reach the store directly.
     pub(super) fn reaches_store(&self) -> bool {
         self.fallback_store.is_direct()
     }
 
-    /// When a client that is refused now is to come back.
+    /// Returns how long a client that is refused now has to wait before it retries.
     pub fn retry_after(&self) -> Duration {
         come_back(self.fallback_store.outage_duration(), self.draw())
     }
 
-    /// Whether the node may give orders: it has renewed its lease within half of its time.
-    /// Whoever is holder after it counts on that, see [`App::turn`].
+    /// Whether the node may send orders: more than half of the lease time remains since the last
+    /// renewal. The next leader relies on that, see [`App::takeover_delay`].
     pub(super) fn may_order(&self) -> bool {
         let half = self.settings.lease_ttl / 2;
         self.lease.lock().valid_until > self.now() + half
     }
 
-    /// Whether a term surely lasts: the lease does, and no other holder was seen.
+    /// Whether the term of this node as leader is certain to last: [`App::may_order`] holds, and no
+    /// newer leader is known. `fence` is the revision of the leader key that began the term.
     pub(super) fn holds_term(&self, fence: u64) -> bool {
         let seen = self.membership.lock().holder().map(|seen| seen.revision);
         self.may_order() && seen.is_none_or(|revision| revision <= fence)
     }
 
-    /// How long a new holder waits before its first order. The one before gave its last
-    /// order half a lease before its key went, at the latest.
+    /// Returns how long a new leader waits before its first order. The previous leader sent its
+    /// last order at least half a lease time before its key expired.
     pub(super) fn takeover_delay(&self) -> Duration {
         self.settings.order_gap.saturating_sub(self.settings.lease_ttl / 2)
     }
 
-    /// Whether the node's lease surely holds now.
+    /// Whether the lease of this node is certain to be valid now.
     pub(super) fn has_lease(&self) -> bool {
         self.lease.lock().valid_until > self.now()
     }
 }
 
-/// Names by key, for lookups by text.
+/// A map by name, which can be searched by `&str`.
 pub(super) type ByName<T> = HashMap<Name, T>;
--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -1,4 +1,4 @@
-//! A store whose calls are counted by kind, end and purpose.
+//! A store that counts its calls in the metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,39 +10,42 @@
 use crate::edge::store::{Answer, Item, Page, Store, StoreError, Txn, TxnEnd, Watched};
 use crate::metrics::{StoreCall, StoreEnd, StoreUse, Tally};
 
-/// The store behind it, and where calls are counted.
+/// Passes calls on to a store and counts them by kind, outcome and purpose.
 #[derive(Debug)]
 pub(super) struct CountedStore {
     store: Arc<dyn Store>,
-    notices: Arc<dyn Notices>,
+    schema: Arc<dyn Notices>,
     tally: Arc<Tally>,
 }
 
 impl CountedStore {
-    /// Counts the calls to a store.
-    pub(super) fn new(store: Arc<dyn Store>, notices: Arc<dyn Notices>, tally: Arc<Tally>) -> Self {
-        Self { store, notices, tally }
+    /// Wraps a store to count its calls in `tally`.
+    pub(super) fn new(store: Arc<dyn Store>, schema: Arc<dyn Notices>, tally: Arc<Tally>) -> Self {
+        Self { store, schema, tally }
     }
 
+    /// Returns the purpose of a call by its key or prefix.
     fn purpose(&self, key: &str) -> StoreUse {
-        let notices = &self.notices;
+        let schema = &self.schema;
         match key {
             LIVE => StoreUse::Nodes,
-            key if key.starts_with(notices.replicas()) => StoreUse::Replicas,
-            key if key.starts_with(notices.versions()) => StoreUse::Versions,
-            key if key.starts_with(notices.retirements()) => StoreUse::Retirements,
-            key if key.starts_with(notices.routes()) => StoreUse::Routes,
+            key if key.starts_with(schema.replicas()) => StoreUse::Replicas,
+            key if key.starts_with(schema.versions()) => StoreUse::Versions,
+            key if key.starts_with(schema.retirements()) => StoreUse::Retirements,
+            key if key.starts_with(schema.routes()) => StoreUse::Routes,
             key => own_use(key),
         }
     }
 
-    /// A write is about what it changes first; a job's results go before its home's key.
-    fn written(&self, txn: &Txn) -> StoreUse {
+    /// Returns the purpose of a transaction, which is that of the first key it changes. The results
+    /// of a job are written before the record of its owner.
+    fn txn_purpose(&self, txn: &Txn) -> StoreUse {
         let put = txn.puts.iter().map(|put| &*put.key);
         let mut keys = put.chain(txn.removes.iter().map(|key| &**key));
         keys.next().map_or(StoreUse::Other, |key| self.purpose(key))
     }
 
+    /// Counts a call once it is answered, and measures its duration unless it is a watch or fails.
     fn count<T: Send + 'static>(
         &self,
         call: StoreCall,
@@ -51,7 +54,7 @@
     ) -> Answer<T> {
         let tally = self.tally.clone();
         Box::pin(async move {
-            let begun = Instant::now();
+            let started = Instant::now();
             let result = answer.await;
             let end = match &result {
                 Ok(_) => StoreEnd::Answered,
@@ -60,7 +63,7 @@
                 Err(StoreError::Compacted) => StoreEnd::Compacted,
             };
             let timed = result.is_ok() && call != StoreCall::Watch;
-            tally.store(call, end, purpose, timed.then(|| begun.elapsed()));
+            tally.store(call, end, purpose, timed.then(|| started.elapsed()));
             result
         })
     }
@@ -81,7 +84,7 @@
     }
 
     fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
-        self.count(StoreCall::Txn, self.written(&txn), self.store.txn(txn))
+        self.count(StoreCall::Txn, self.txn_purpose(&txn), self.store.txn(txn))
     }
 
     fn grant(&self, ttl: Duration) -> Answer<u64> {
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -1,4 +1,4 @@
-//! Ending a job, at any node.
+//! Ends a job, on whichever node the request arrives.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,15 +10,18 @@
 use crate::edge::store::{Txn, TxnEnd};
 use crate::metrics::JobStep;
 
-/// How long ending a job is tried while the store does not answer.
-const TRY: Duration = Duration::from_millis(1_500);
-/// The pause between tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// How long the write that ends a job is retried while the store does not answer.
+const WRITE_RETRY_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The delay between two attempts of that write.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl App {
-    /// Ends a job: nothing of it runs any more.
+    /// Ends a job, so that none of its samples runs any more. An ended job can be ended again.
+    ///
+    /// Returns that the job is unknown if the store has no record of it, and that the outcome is not
+    /// sure if the store does not answer.
     pub async fn end_job(self: &Arc<Self>, job: &str) -> Found<()> {
-        let begun = self.now();
+        let started = self.now();
         let here = self.owned_jobs.get(job);
         if let Some(home) = &here {
             self.halt(home);
@@ -60,11 +63,11 @@
                 }
                 Ok(TxnEnd::NoLease) => return Found::Unsure,
                 Err(e) => {
-                    tracing::warn!(event = "end_not_written", job, error = %e);
-                    if self.now().saturating_sub(begun) > TRY {
+                    tracing::warn!(event = "job_end_not_written", job, error = %e);
+                    if self.now().saturating_sub(started) > WRITE_RETRY_TIMEOUT {
                         return Found::Unsure;
                     }
-                    self.fallback_store.wait_for_recovery(PAUSE).await;
+                    self.fallback_store.wait_for_recovery(RETRY_DELAY).await;
                 }
             }
         }
--- a/src/entry/ended_jobs.rs
+++ b/src/entry/ended_jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs that ran here and that their trainers have ended: nothing comes to them any more.
+//! Jobs that ran on this node and that their trainers have ended, so that they get no more results.
 //!
-//! Load pattern: others read a job from any position and ask for bodies long after its trainer
-//! has ended it, each time at another node. Read from the store, every node paid two to four
-//! calls for every job.
+//! Load pattern: clients read a job from any position and request sample bodies long after its
+//! trainer has ended it, each time on another node. When these reads went to the store, every node
+//! made two to four calls for every job.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,18 +16,20 @@
 use crate::Name;
 use crate::decide::job::{ItemResult, JobSpec};
 
-/// Bytes of results and submissions that are kept: two minutes of steps of a small fleet, and
-/// half of what a node may use. What is older is read from the store.
-const MOST: usize = 16 << 20;
+/// How many bytes of results and submissions are retained: two minutes of training steps of a small
+/// fleet, and half of the memory that a node may use. Older jobs are read from the store.
+const MAX_RETAINED_BYTES: usize = 16 << 20;
 
-/// One of them.
+/// A job that ran on this node and has ended.
 #[derive(Debug)]
 pub(super) struct EndedJob {
+    /// The submission.
     pub spec: Arc<JobSpec>,
+    /// All results, by position.
     pub results: Vec<Arc<ItemResult>>,
 }
 
-/// All that are kept, the newest at the end.
+/// The ended jobs that are retained, up to [`MAX_RETAINED_BYTES`].
 #[derive(Debug, Default)]
 pub(super) struct EndedJobs {
     state: Mutex<State>,
@@ -35,17 +37,21 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// Each job with its size in bytes.
     jobs: ByName<(Arc<EndedJob>, usize)>,
+    /// The ids of the jobs, oldest first.
     order: VecDeque<Name>,
+    /// The size of all jobs in bytes.
     bytes: usize,
 }
 
 impl EndedJob {
-    /// Results from a position on.
+    /// Returns the results from a position on.
     pub(super) fn read(&self, after: usize) -> Read {
         Read::Page { total: self.spec.items.len(), results: page(&self.results, after) }
     }
 
+    /// Returns the size of the submission and the results in bytes.
     fn bytes(&self) -> usize {
         let listed: usize = self.results.iter().map(|listing| listing.approx_bytes()).sum();
         listed + self.spec.approx_bytes()
@@ -53,10 +59,12 @@
 }
 
 impl EndedJobs {
+    /// Returns an ended job if it is retained.
     pub(super) fn get(&self, job: &str) -> Option<Arc<EndedJob>> {
         self.state.lock().jobs.get(job).map(|(ended, _)| ended.clone())
     }
 
+    /// Adds a job and drops the oldest ones beyond [`MAX_RETAINED_BYTES`].
     pub(super) fn add(&self, ended: EndedJob) {
         let (id, bytes) = (ended.spec.id.clone(), ended.bytes());
         let mut state = self.state.lock();
@@ -65,7 +73,7 @@
         }
         state.order.push_back(id);
         state.bytes += bytes;
-        while state.bytes > MOST {
+        while state.bytes > MAX_RETAINED_BYTES {
             let Some(oldest) = state.order.pop_front() else { return };
             if let Some((_, bytes)) = state.jobs.remove(&oldest) {
                 state.bytes -= bytes;
@@ -73,6 +81,7 @@
         }
     }
 
+    /// Drops a job.
     pub(super) fn remove(&self, job: &str) {
         let mut state = self.state.lock();
         if let Some((_, bytes)) = state.jobs.remove(job) {
@@ -83,8 +92,8 @@
 }
 
 impl App {
-    /// The store has it that a job which ran here is ended. What this node has of it is all
-    /// there will ever be, unless a write of results was not answered.
+    /// Retains a job of this node that is recorded as ended in the store. This node then has all
+    /// results that the job will ever have, unless a write of results was not answered.
     pub(super) fn retain_ended(self: &Arc<Self>, home: Arc<Home>) {
         let app = self.clone();
         self.spawn(async move {
--- a/src/entry/entry_node.rs
+++ b/src/entry/entry_node.rs
@@ -1,4 +1,4 @@
-//! A running process.
+//! The lifecycle of an entry node: its background tasks, and draining when it stops.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,22 +13,24 @@
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
 
-/// How many times the life of an address answer some clients keep it.
-const KEPT: u32 = 3;
-/// The part of the grace that telling the store may take: a quarter, two calls that are not
-/// answered. Half of the grace is for clients that still come, the rest for what was read.
-const TELLING: u32 = 4;
-/// Time for a connection that was begun just before an answer ran out.
-const MARGIN: Duration = Duration::from_millis(200);
+/// How many times the time to live of an address list some clients cache it for.
+const CLIENT_CACHE_FACTOR: u32 = 3;
+/// The handover of jobs and the deregistration may take this part of the grace period: one
+/// quarter, which allows for two calls that are not answered. Half of the grace period is for
+/// clients that still connect, and the rest for requests that have been read.
+const HANDOVER_GRACE_DIVISOR: u32 = 4;
+/// Extra time for a connection that a client opens just before its address list expires.
+const CONNECT_MARGIN: Duration = Duration::from_millis(200);
 
-/// The handle.
+/// A running entry node. Its tasks end when it is dropped.
 #[derive(Debug)]
 pub struct EntryNode {
     app: Arc<App>,
 }
 
 impl EntryNode {
-    /// Begins to follow the store, and to serve once its view is whole.
+    /// Starts the background tasks that the settings call for. The node is ready to serve once it
+    /// has read the routes and has registered itself in the store.
     pub fn spawn(
         settings: EntrySettings,
         ports: Ports,
@@ -49,19 +51,19 @@
             if let Some(usage) = app.usage.clone() {
                 app.spawn(share_counts(app.clone(), usage));
             }
-            let looking = app.clone();
-            app.spawn(async move { looking.look().await });
+            let waiting = app.clone();
+            app.spawn(async move { waiting.look().await });
         }
         Self { app }
     }
 
-    /// What the listeners serve from.
+    /// Returns the shared state, from which the listeners serve.
     pub fn app(&self) -> &Arc<App> {
         &self.app
     }
 
-    /// Leaves: jobs are handed over, clients sent elsewhere. Returns once no client should
-    /// come any more; the listeners serve until then.
+    /// Drains the node: hands its jobs over and directs clients to other nodes. Returns once no
+    /// client should connect any more; the listeners have to serve until then.
     pub async fn drain(&self) {
         self.app.draining.store(true, Ordering::Relaxed);
         tracing::info!(event = "process_leaves", node = %self.app.settings.name);
@@ -69,19 +71,21 @@
         if self.app.settings.client_address.is_none() {
             return;
         }
-        let begun = self.app.now();
+        let started = self.app.now();
         let grace = self.app.settings.stop_grace;
-        // In an outage others take the jobs, and clients go elsewhere, once the lease ends.
-        let told = async {
+        // During an outage of the store, other nodes take over the jobs and clients leave once the
+        // lease ends.
+        let handover = async {
             self.app.hand_over().await;
             self.app.leave().await;
         };
-        if tokio::time::timeout(grace / TELLING, told).await.is_err() {
-            tracing::warn!(event = "leaving_not_told", node = %self.app.settings.name);
+        if tokio::time::timeout(grace / HANDOVER_GRACE_DIVISOR, handover).await.is_err() {
+            tracing::warn!(event = "handover_timed_out", node = %self.app.settings.name);
         }
-        let kept = Duration::from_secs(self.app.settings.address_ttl) * KEPT + MARGIN;
-        let left = (grace / 2 + MARGIN).saturating_sub(self.app.now() - begun);
-        tokio::time::sleep(kept.min(left)).await;
+        let cached = Duration::from_secs(self.app.settings.address_ttl) * CLIENT_CACHE_FACTOR
+            + CONNECT_MARGIN;
+        let left = (grace / 2 + CONNECT_MARGIN).saturating_sub(self.app.now() - started);
+        tokio::time::sleep(cached.min(left)).await;
     }
 }
 
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -47,7 +47,7 @@
         match (topic, change) {
             (Topic::Replicas, Change::Put(item)) => self.add_replica(item),
             (Topic::Replicas, Change::Removed { key, .. }) => {
-                self.remove_replica(&self.notices.replica_id(key));
+                self.remove_replica(&self.schema.replica_id(key));
             }
             (Topic::Nodes, change) => {
                 self.membership.lock().change(change, self.store_time());
@@ -70,7 +70,7 @@
     }
 
     fn apply_notice(&self, item: &Item) {
-        match self.notices.notice(&item.key, &item.value) {
+        match self.schema.notice(&item.key, &item.value) {
             Ok(None) => {}
             Ok(Some(Notice::Routes(routes))) => {
                 let mut current = self.routes.lock();
@@ -93,7 +93,7 @@
     }
 
     fn add_replica(&self, item: &Item) {
-        match self.notices.replica(&item.key, &item.value) {
+        match self.schema.replica(&item.key, &item.value) {
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
                 if self.slots.fleet.lock().upsert(listed) {
@@ -103,7 +103,7 @@
             Err(reason) => {
                 // An entry that cannot be read names no replica that may be used.
                 tracing::error!(event = "replica_unreadable", key = %item.key, %reason);
-                self.remove_replica(&self.notices.replica_id(&item.key));
+                self.remove_replica(&self.schema.replica_id(&item.key));
             }
         }
     }
@@ -123,7 +123,7 @@
         let mut missing = self.slots.fleet.lock().ids();
         for item in &page.items {
             self.add_replica(item);
-            let id = self.notices.replica_id(&item.key);
+            let id = self.schema.replica_id(&item.key);
             missing.retain(|m| *m != id);
         }
         let since = self.fallback_store.time_since_recovery().unwrap_or(REPLICA_RETURN_TIMEOUT);
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -38,10 +38,10 @@
     /// Returns the prefix of its keys in the store.
     pub(super) fn prefix(self, app: &App) -> String {
         match self {
-            Self::Routes => app.notices.routes().to_owned(),
-            Self::Versions => app.notices.versions().to_owned(),
-            Self::Retirements => app.notices.retirements().to_owned(),
-            Self::Replicas => app.notices.replicas().to_owned(),
+            Self::Routes => app.schema.routes().to_owned(),
+            Self::Versions => app.schema.versions().to_owned(),
+            Self::Retirements => app.schema.retirements().to_owned(),
+            Self::Replicas => app.schema.replicas().to_owned(),
             Self::Nodes => LIVE.to_owned(),
         }
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,8 +1,10 @@
-//! A process before replicas, where a key-value store holds all that lasts.
+//! The entry node: a stateless process in front of the replicas, which keeps all durable data in a
+//! key-value store.
 //!
-//! Every process is the same and keeps nothing of its own: a batch job lies in the store
-//! before it is accepted, its results before they are shown. One node is home to a job and
-//! runs it; when that node goes, another takes the job over. One node gives orders.
+//! All entry nodes are equal. A batch job is written to the store before it is accepted, and its
+//! results before they are returned. One node owns a job and runs it; when that node goes away,
+//! another one takes the job over. One node at a time is the leader, which sends orders to the
+//! replicas and to the platform.
 
 mod addresses;
 mod app;
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -180,7 +180,7 @@
             });
             let replies = futures_util::future::join_all(requests).await;
             let now = self.now();
-            let (mut demand, mut load) = (self.demand.lock(), self.load.lock());
+            let (mut demand, mut load) = (self.demand.lock(), self.slot_load.lock());
             let mut record_load = |incarnation: &Name, wanted: Vec<(Name, u64)>| {
                 wanted
                     .iter()
--- a/src/entry/ports.rs
+++ b/src/entry/ports.rs
@@ -1,4 +1,4 @@
-//! What a process reaches the outside by.
+//! The ports through which an entry node reaches the outside.
 
 use std::sync::Arc;
 
@@ -8,17 +8,17 @@
 use crate::edge::replica::Replicas;
 use crate::edge::store::Store;
 
-/// The ports of a process, the one to other nodes aside.
+/// The ports of an entry node, except the one to other entry nodes.
 #[derive(Debug, Clone)]
 pub struct Ports {
-    /// The store.
+    /// The key-value store that holds all durable data.
     pub store: Arc<dyn Store>,
-    /// The replicas.
+    /// Calls to the replicas.
     pub replicas: Arc<dyn Replicas>,
-    /// What others write into the store.
-    pub notices: Arc<dyn Notices>,
-    /// What one node at a time does for the platform.
+    /// The layout of the keys and values that the platform and trainers write into the store.
+    pub schema: Arc<dyn Notices>,
+    /// Calls that only the leader makes to the platform.
     pub duties: Arc<dyn Duties>,
-    /// The time of day.
+    /// The clocks of the VM.
     pub clock: Arc<dyn Clock>,
 }
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -101,7 +101,9 @@
     /// Updates the plan of one service. True if it has changed.
     fn plan(&mut self, limits: &Autoscale) -> bool {
         let now = self.app.now();
-        let Some(wanted) = self.app.load.lock().wanted(&limits.service, now) else { return false };
+        let Some(wanted) = self.app.slot_load.lock().wanted(&limits.service, now) else {
+            return false;
+        };
         let (base, slots) = {
             let fleet = self.app.slots.fleet.lock();
             (fleet.count_by_zone(&limits.service, false), fleet.slots_per_replica(&limits.service))
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -205,7 +205,7 @@
         let ports = Ports {
             store: Arc::new(line.clone()),
             replicas: Arc::new(self.replicas.clone()),
-            notices: Arc::new(self.words.clone()),
+            schema: Arc::new(self.words.clone()),
             duties: Arc::new(self.duties.clone()),
             clock: Arc::new(self.clock.clone()),
         };
