--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct State {
     /// Decides by which path calls are made.
-    way: detour::Detour,
+    fallback: detour::Detour,
     /// The nodes that can be asked, starting with the one that answered last.
     nodes: Vec<SocketAddr>,
     /// The largest number of nodes that were known. Probes are paced by it, because an outage ends
@@ -96,10 +96,10 @@
         peers: Arc<dyn Peers>,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        let mut way = detour::Detour::default();
-        way.set_pace(detour::pace(seeds.len() + 1, rand::random()), rand::random());
+        let mut fallback = detour::Detour::default();
+        fallback.set_pace(detour::pace(seeds.len() + 1, rand::random()), rand::random());
         let state = State {
-            way,
+            fallback,
             max_nodes: seeds.len(),
             nodes: seeds,
             last_reply: Moment::ZERO,
@@ -118,26 +118,26 @@
 
     /// Whether this node is believed to reach the store directly.
     pub(in crate::entry) fn is_direct(&self) -> bool {
-        self.state.lock().way.open()
+        self.state.lock().fallback.open()
     }
 
     /// Whether the store is believed to be unreachable from every node.
     pub(in crate::entry) fn is_down(&self) -> bool {
-        self.state.lock().way.nobody()
+        self.state.lock().fallback.nobody()
     }
 
     /// Returns for how long no node has reached the store. None if one does.
     pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
-        let away = self.started.elapsed().saturating_sub(state.last_reply);
-        state.way.nobody().then_some(away)
+        let elapsed = self.started.elapsed().saturating_sub(state.last_reply);
+        state.fallback.nobody().then_some(elapsed)
     }
 
     /// Returns the present on a clock that stops while no node reaches the store. Nodes cannot
     /// renew their registration in that time, so it does not count towards their absence.
     pub(in crate::entry) fn store_time(&self) -> Moment {
         let state = self.state.lock();
-        let now = if state.way.nobody() { state.last_reply } else { self.started.elapsed() };
+        let now = if state.fallback.nobody() { state.last_reply } else { self.started.elapsed() };
         now.saturating_sub(state.total_outage)
     }
 
@@ -157,7 +157,7 @@
         if nodes.len() > state.max_nodes {
             state.max_nodes = nodes.len();
             let pace = detour::pace(nodes.len() + 1, rand::random());
-            state.way.set_pace(pace, rand::random());
+            state.fallback.set_pace(pace, rand::random());
         }
         state.nodes = nodes;
         if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
@@ -179,20 +179,20 @@
         repeatable: bool,
         extract: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
-        let mut way = self.way(repeatable);
-        if way == Way::Peer {
+        let mut path = self.choose_path(repeatable);
+        if path == Way::Peer {
             match self.clone().call_peers(request.clone(), repeatable, None, extract).await {
                 Err(e) if repeatable || matches!(e, StoreError::Refused(_)) => {
                     // No node can help, but the direct path may have recovered meanwhile.
-                    way = self.way(repeatable);
-                    if way != Way::Alone {
+                    path = self.choose_path(repeatable);
+                    if path != Way::Alone {
                         return Err(e);
                     }
                 }
                 answer => return answer,
             }
         }
-        let result = match way {
+        let result = match path {
             Way::Peer | Way::Not => {
                 return Err(StoreError::Refused(
                     "the store is unreachable from every node".to_owned(),
@@ -218,7 +218,7 @@
                     return Err(e);
                 }
                 self.record_failure(&e);
-                if way == Way::Alone || (!repeatable && matches!(e, StoreError::Unknown(_))) {
+                if path == Way::Alone || (!repeatable && matches!(e, StoreError::Unknown(_))) {
                     return Err(e);
                 }
                 e
@@ -243,8 +243,8 @@
     }
 
     /// Chooses the path of a call.
-    fn way(&self, repeatable: bool) -> Way {
-        self.state.lock().way.way(repeatable, self.started.elapsed())
+    fn choose_path(&self, repeatable: bool) -> Way {
+        self.state.lock().fallback.way(repeatable, self.started.elapsed())
     }
 
     /// Makes a call through other nodes. `failed` is the error of the direct call before it.
@@ -264,8 +264,8 @@
             match self.call_peer(node, request.clone(), extract).await {
                 PeerCall::Answered(answer) => {
                     let mut state = self.state.lock();
-                    let was_down = state.way.nobody();
-                    let recovered = state.way.helped();
+                    let was_down = state.fallback.nobody();
+                    let recovered = state.fallback.helped();
                     state.record_reply(recovered, was_down, self.started.elapsed());
                     return answer;
                 }
@@ -275,7 +275,7 @@
             // The next call asks another node first.
             self.state.lock().nodes.rotate_left(1);
         }
-        self.state.lock().way.alone(self.started.elapsed());
+        self.state.lock().fallback.alone(self.started.elapsed());
         Err(last)
     }
 
@@ -345,8 +345,8 @@
     fn record_success(&self) {
         let (was_down, recovered) = {
             let mut state = self.state.lock();
-            let was_down = state.way.nobody();
-            let recovered = state.way.answered();
+            let was_down = state.fallback.nobody();
+            let recovered = state.fallback.answered();
             state.record_reply(recovered, was_down, self.started.elapsed());
             (was_down, recovered)
         };
@@ -375,10 +375,10 @@
     pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
-            if !state.way.nobody() {
+            if !state.fallback.nobody() {
                 return;
             }
-            state.way.told();
+            state.fallback.told();
             state.record_reply(true, true, self.started.elapsed());
         }
         self.recoveries.send_modify(|n| *n += 1);
@@ -393,7 +393,7 @@
 
     /// Records that a direct call failed.
     fn record_failure(&self, e: &StoreError) {
-        if self.state.lock().way.failed(self.started.elapsed()) {
+        if self.state.lock().fallback.failed(self.started.elapsed()) {
             self.disconnects.send_modify(|n| *n += 1);
             tracing::info!(event = "store_not_reached", way = "direct", error = %e);
         }
