--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -65,8 +65,8 @@
     pub(super) routes: Mutex<Option<Arc<Routes>>>,
     /// The newest version of the weights that was announced for each model.
     pub(super) versions: Mutex<BTreeMap<Name, u64>>,
-    /// The work that training steps bring by model: of the jobs of this node, and on the leader also
-    /// of the jobs of other nodes.
+    /// The work that training steps bring by model: of the jobs of this node, and on the leader
+    /// also of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
     /// The slots that the samples of all nodes need, on the leader.
     pub(super) slot_load: Mutex<Load>,
@@ -92,7 +92,8 @@
     pub(super) draining: AtomicBool,
     /// Whether the node has its key in the store.
     pub(super) registered: AtomicBool,
-    /// Whether the routes are from another node's old snapshot, and the store has not answered since.
+    /// Whether the routes are from another node's old snapshot, and the store has not answered
+    /// since.
     pub(super) stale_routes: AtomicBool,
     /// The state of [`App::draw`].
     pub(super) draw_counter: AtomicU64,
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -18,15 +18,15 @@
 impl App {
     /// Ends a job, so that none of its samples runs any more. An ended job can be ended again.
     ///
-    /// Returns that the job is unknown if the store has no record of it, and that the outcome is not
-    /// sure if the store does not answer.
+    /// Returns that the job is unknown if the store has no record of it, and that the outcome is
+    /// not sure if the store does not answer.
     pub async fn end_job(self: &Arc<Self>, job: &str) -> Found<()> {
         let started = self.now();
-        let here = self.owned_jobs.get(job);
-        if let Some(home) = &here {
+        let owned = self.owned_jobs.get(job);
+        if let Some(home) = &owned {
             self.halt(home);
         }
-        let known = match here {
+        let known = match owned {
             Some(ref home) => Ok(Some(home.key.lock().clone())),
             None => self.home_of(job).await,
         };
@@ -47,7 +47,7 @@
                 Ok(TxnEnd::Done(_)) => {
                     self.tally.job(JobStep::Ended);
                     tracing::info!(event = "job_ended", job);
-                    if let Some(home) = here {
+                    if let Some(home) = owned {
                         self.retain_ended(home);
                     }
                     return Found::There(());
--- a/src/entry/entry_node.rs
+++ b/src/entry/entry_node.rs
@@ -37,7 +37,8 @@
         peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
     ) -> Self {
         let app = App::new(settings, ports, peers);
-        tracing::info!(event = "process_begins", node = %app.settings.name, life = %app.incarnation);
+        let (node, life) = (&app.settings.name, &app.incarnation);
+        tracing::info!(event = "process_begins", %node, %life);
         if app.settings.has_disk {
             app.spawn(follow(app.clone(), Topic::Retirements));
         }
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -313,8 +313,8 @@
         }
     }
 
-    /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
-    /// so it is given up [`RECOVERY_GRACE`] after that.
+    /// Awaits a direct call. A call that began during an outage gets no answer after its end
+    /// either, so it is given up [`RECOVERY_GRACE`] after that.
     async fn until_recovery<T>(&self, call: Answer<T>) -> Result<T, StoreError> {
         let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
@@ -322,7 +322,7 @@
             () = async {
                 let _ = recoveries.changed().await;
                 tokio::time::sleep(RECOVERY_GRACE).await;
-            } => Err(StoreError::Unknown("no answer to a call that began before the store came back".to_owned())),
+            } => Err(StoreError::Unknown("no answer to a call from before an outage".to_owned())),
         }
     }
 
@@ -334,7 +334,7 @@
             tokio::select! {
                 watched = watched => watched,
                 _ = disconnects.changed() => {
-                    Err(StoreError::Unknown("the store became unreachable during the watch".to_owned()))
+                    Err(StoreError::Unknown("the store became unreachable".to_owned()))
                 }
             }
         })
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -109,7 +109,8 @@
     End(u64),
 }
 
-/// The reply of a node to a [`PeerRequest`].
+/// The reply of a node to a [`PeerRequest`]. The names of its variants and fields appear in log
+/// lines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// What became of a submission.
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -70,8 +70,8 @@
         passed
     }
 
-    /// Returns the address of the node that should own the jobs of a route. None if it is this node,
-    /// is unknown or is unreachable.
+    /// Returns the address of the node that should own the jobs of a route. None if it is this
+    /// node, is unknown or is unreachable.
     fn preferred_owner(&self, spec: &JobSpec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
@@ -152,8 +152,8 @@
         None
     }
 
-    /// Returns `known` if that incarnation is running, and otherwise the nodes that are preferred as
-    /// owners of jobs.
+    /// Returns `known` if that incarnation is running, and otherwise the nodes that are preferred
+    /// as owners of jobs.
     fn likely_owners(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
         let live = self.membership.lock();
         if let Some(incarnation) = known
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -78,8 +78,8 @@
                 Submitted::Refused("no_lease".into())
             }),
             PeerRequest::OwnsJob(job) => {
-                let home = app.owned_jobs.get(&job).is_some() && app.has_lease();
-                PeerReply::Found(home || app.ended_jobs.get(&job).is_some())
+                let owned = app.owned_jobs.get(&job).is_some() && app.has_lease();
+                PeerReply::Found(owned || app.ended_jobs.get(&job).is_some())
             }
             PeerRequest::Body { job, item } => PeerReply::Body(app.own_body(&job, &item)),
             PeerRequest::Read { job, after, wait } => {
@@ -89,7 +89,7 @@
                 // Without a lease another node may own the job by now and have returned more
                 // results.
                 let read = match app.owned_jobs.get(&job).filter(|_| app.has_lease()) {
-                    Some(home) => app.read_home(&home, after, app.now() + wait).await,
+                    Some(owned) => app.read_home(&owned, after, app.now() + wait).await,
                     None => None,
                 };
                 PeerReply::Read(read.filter(|_| app.has_lease()))
@@ -99,12 +99,12 @@
             }
             PeerRequest::Follow { topic, after, wait } => {
                 let feed = app.feeds.get(topic);
-                let news = if app.reaches_store() {
+                let update = if app.reaches_store() {
                     feed.wait_for_update(after, wait).await
                 } else {
                     None
                 };
-                PeerReply::Followed(news.filter(|_| app.reaches_store()))
+                PeerReply::Followed(update.filter(|_| app.reaches_store()))
             }
             PeerRequest::Demand => {
                 let demand = app.demand.lock().by_model(app.now());
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -118,8 +118,8 @@
         let latest = windows.end(window) + windows.late / 10 * CLOSE_DEADLINE_TENTHS;
         loop {
             let now = self.usage.time();
-            let lives = self.app.membership.lock().able();
-            let total = self.usage.ledger.lock().total(window, &lives);
+            let incarnations = self.app.membership.lock().able();
+            let total = self.usage.ledger.lock().total(window, &incarnations);
             if now > latest || (now > windows.end(window) && total.missing.is_empty()) {
                 return Some(total);
             }
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -85,7 +85,8 @@
         let present = usage.current_window();
         let rejected = usage.ledger.lock().note(incarnation, notes, present);
         if !rejected.is_empty() {
-            tracing::warn!(event = "usage_of_other_times", life = %incarnation, windows = ?rejected, present);
+            let life = incarnation;
+            tracing::warn!(event = "usage_of_other_times", %life, windows = ?rejected, present);
         }
     }
 
@@ -95,10 +96,10 @@
     fn collectors(&self) -> Vec<SocketAddr> {
         let live = self.membership.lock();
         let Some(seen) = live.holder() else { return Vec::new() };
-        let (able, holder) = (live.able(), &seen.value.life);
-        let ranked = rank(HOLDER, able.iter().map(|l| &**l));
-        let successors = ranked.into_iter().filter(|l| **holder != **l);
-        let lives = std::iter::once(&**holder).chain(successors).take(MAX_COLLECTORS);
-        lives.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
+        let (candidates, leader) = (live.able(), &seen.value.life);
+        let ranked = rank(HOLDER, candidates.iter().map(|l| &**l));
+        let successors = ranked.into_iter().filter(|l| **leader != **l);
+        let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
+        collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
     }
 }
--- a/tests/entry/bulk.rs
+++ b/tests/entry/bulk.rs
@@ -1,4 +1,4 @@
-//! What is large on its way to many nodes over narrow links.
+//! Tests of large transfers to many nodes over links of low bandwidth.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,14 +9,14 @@
 
 use crate::world::{MODEL, Node, World, pass, until};
 
-/// As many entry VMs as the fleet in the story had.
-const FLEET: u16 = 71;
-/// The way out of the smallest entry VMs, in bytes a second: 60 Mbit/s.
-const NARROW: u64 = 7_500_000;
-/// The shortest time in which any deployment wants a change in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// The number of entry VMs of the fleet in which the fault was seen.
+const FLEET_SIZE: u16 = 71;
+/// The uplink of the smallest entry VMs: 60 Mbit/s.
+const UPLINK_BYTES_PER_SECOND: u64 = 7_500_000;
+/// The shortest time within which any deployment requires a change to be in force on all nodes.
+const CHANGE_DEADLINE: Duration = Duration::from_secs(2);
 
-/// The text of so many routes, as operators write them.
+/// Returns the text of `count` routes, as operators write them.
 fn routes(count: u32) -> String {
     let mut random = SmallRng::seed_from_u64(7_027);
     let mut text = String::new();
@@ -33,10 +33,10 @@
 }
 
 async fn fleet(world: &World) -> Vec<Node> {
-    let nodes = world.crowd(FLEET);
+    let nodes = world.crowd(FLEET_SIZE);
     until(|| nodes.iter().all(|n| n.app().ready())).await;
     pass(5_000).await;
-    world.links.limit(NARROW);
+    world.links.limit_rate(UPLINK_BYTES_PER_SECOND);
     nodes
 }
 
@@ -44,48 +44,50 @@
     app.routes().map_or(0, |routes| routes.version)
 }
 
-/// Callers got 404 on a new route from two of 66 entry VMs, 3.2 s and 3.4 s after the change was
-/// confirmed. It had 4,200 routes, 0.8 MB. Five nodes watch the store for the others; thirteen
-/// or more ask each of them at once, over a link of 60 Mbit/s. A reply had 1.4 s for all of it:
-/// those that asked gave up shortly before its end and asked the next node for the whole, so the
-/// links stayed full. Evidence: of 252 replies that were given up on such a day, 239 had come in
-/// part, 123 MB, beside 111 MB that were needed; processors idle, watchers with the change at
-/// 0.3 s, the last node 4.7 s later.
+/// Guards against a change of the configuration reaching some nodes late. Callers got 404 on a new
+/// route from two of 66 entry VMs, 3.2 s and 3.4 s after the change was confirmed.
+///
+/// The configuration had 4,200 routes, 0.8 MB. Five nodes watch the store for the others, and 13 or
+/// more ask each of them at once, over a link of 60 Mbit/s. A reply had 1.4 s in total: nodes gave
+/// up shortly before its end and asked the next watcher for the whole reply, so the links stayed
+/// full. On such a day 252 replies were given up, 239 of them partly received with 123 MB, beside
+/// 111 MB that were needed. Processors were idle, watchers had the change after 0.3 s, and the last
+/// node had it 4.7 s later.
 #[tokio::test(start_paused = true)]
 async fn a_change_of_thousands_of_routes_is_in_force_in_time() {
     let world = World::new();
     let nodes = fleet(&world).await;
     world.configure_beside(2, &routes(4_200));
-    tokio::time::sleep(IN_FORCE).await;
-    check(&world, &nodes);
+    tokio::time::sleep(CHANGE_DEADLINE).await;
+    check_change_in_force(&world, &nodes);
 }
 
-/// The same where the text can't be packed: only that no reply is given up on its way helps.
-/// As unevenly as nodes choose one of five, twenty may ask the same.
+/// The same for text that does not compress, where it only helps that no reply is given up in
+/// transit. Nodes choose one of five watchers so unevenly that 20 may ask the same one.
 #[tokio::test(start_paused = true)]
-async fn a_change_that_does_not_pack_is_given_up_by_nobody_on_its_way() {
+async fn a_change_that_does_not_compress_is_not_given_up_in_transit() {
     let world = World::new();
     let nodes = fleet(&world).await;
     let mut random = SmallRng::seed_from_u64(7_027);
     let text: String = (0..400_000).map(|_| random.random_range(' '..'\u{7ff}')).collect();
     world.configure_beside(2, &text);
-    tokio::time::sleep(IN_FORCE * 3 / 2).await;
-    check(&world, &nodes);
+    tokio::time::sleep(CHANGE_DEADLINE * 3 / 2).await;
+    check_change_in_force(&world, &nodes);
     assert_eq!(world.links.given_up(), Vec::<u64>::new());
 }
 
-/// No node lacks the change.
-fn check(world: &World, nodes: &[Node]) {
+/// Asserts that every node has the change.
+fn check_change_in_force(world: &World, nodes: &[Node]) {
     let late = nodes.iter().filter(|n| version(n.app()) < 2).count();
     let given_up = world.links.given_up();
     let (count, lost) = (given_up.len(), given_up.iter().sum::<u64>());
-    assert_eq!(late, 0, "nodes without the change; {count} replies given up, {lost} bytes");
+    assert_eq!(late, 0, "nodes without the change; {count} replies given up, {lost} bytes lost");
 }
 
-/// More texts than there are places, before more replicas than are looked at for each text: a
-/// place that a text gives back is taken by the next one at once.
+/// With more texts than slots, and more replicas than are examined for each text, a slot that a
+/// text frees is taken by the next text at once.
 #[tokio::test(start_paused = true)]
-async fn a_place_that_is_given_back_before_many_replicas_is_taken_at_once() {
+async fn a_slot_that_is_freed_among_many_replicas_is_taken_at_once() {
     let world = World::new();
     for i in 0..80 {
         world.replicas.add("engines", &format!("m{i:02}"), &[MODEL]);
@@ -93,11 +95,11 @@
     let a = world.node("a").await;
     let ids: Vec<String> = (0..1_600).map(|i| format!("i{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     a.submit("j", &ids).await;
     a.whole("j", ids.len()).await;
-    // Three turns of 664 places; a text takes 175 ms, its score 25 ms.
-    let turns = 3 * 175 + 25;
-    let took = begun.elapsed();
-    assert!(took < Duration::from_millis(2 * turns), "{took:?}");
+    // Three rounds of 664 slots; a text takes 175 ms, its score 25 ms.
+    let expected_ms = 3 * 175 + 25;
+    let took = started.elapsed();
+    assert!(took < Duration::from_millis(2 * expected_ms), "{took:?}");
 }
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -1,4 +1,4 @@
-//! Nodes that hear of changes from others.
+//! Tests of nodes that get changes of the store from other nodes.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 use crate::links::Link;
 use crate::world::{Node, World, calls, pass, refusals, used};
 
-/// More nodes than watch for themselves.
-const MANY: u8 = 20;
+/// More nodes than may all watch the store themselves.
+const NODE_COUNT: u8 = 20;
 
-async fn many(world: &World) -> Vec<Node> {
+/// Starts the nodes and waits until they know each other.
+async fn start_nodes(world: &World) -> Vec<Node> {
     let mut nodes = Vec::new();
-    for letter in b'a'..b'a' + MANY {
+    for letter in b'a'..b'a' + NODE_COUNT {
         nodes.push(world.linked_that_drains(&char::from(letter).to_string(), drain()).await);
     }
     pass(5_000).await;
@@ -23,35 +24,37 @@
     Duration::from_secs(3)
 }
 
-fn watches(nodes: &[Node]) -> Vec<u64> {
+/// Returns how many watches each node has made.
+fn watch_calls(nodes: &[Node]) -> Vec<u64> {
     nodes.iter().map(|node| calls(node, "Watch")).collect()
 }
 
-/// Those that watch for others: they have watched most.
-async fn watchers(world: &World, nodes: &[Node]) -> Vec<usize> {
-    let before = watches(nodes);
+/// Returns the indexes of the nodes that watch the store for others: they make the most watches.
+async fn find_watchers(world: &World, nodes: &[Node]) -> Vec<usize> {
+    let before = watch_calls(nodes);
     for turn in 0..40 {
         world.replicas.list("plain", "p2", turn % 2 == 0);
         pass(250).await;
     }
     world.replicas.list("plain", "p2", false);
     pass(2_000).await;
-    let after = watches(nodes);
+    let after = watch_calls(nodes);
     (0..nodes.len()).filter(|i| after[*i] - before[*i] > 5).collect()
 }
 
-/// Guards: every node watched for itself, 2,771 of 6,700 calls in a quiet day with 63 nodes.
+/// Guards against every node watching the store itself, which made 2,771 of the 6,700 calls of a
+/// quiet day with 63 nodes.
 #[tokio::test(start_paused = true)]
-async fn three_nodes_of_twenty_watch_the_list_of_replicas() {
+async fn three_of_twenty_nodes_watch_the_list_of_replicas() {
     let world = World::new();
-    let nodes = many(&world).await;
-    assert_eq!(watchers(&world, &nodes).await.len(), 3);
+    let nodes = start_nodes(&world).await;
+    assert_eq!(find_watchers(&world, &nodes).await.len(), 3);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_leaves_is_known_to_all_in_time() {
+async fn all_nodes_learn_of_a_draining_replica_in_time() {
     let world = World::new();
-    let nodes = many(&world).await;
+    let nodes = start_nodes(&world).await;
     world.replicas.list("plain", "p2", false);
     pass(50).await;
     world.replicas.list("plain", "p1", true);
@@ -62,23 +65,23 @@
     }
 }
 
-/// Whatever becomes of the nodes that watch, the others know of a change before the time to
-/// drain is over.
+/// In whichever way the watchers fail, the other nodes learn of a change before the time to drain
+/// is over.
 #[tokio::test(start_paused = true)]
-async fn changes_are_known_in_time_though_the_watchers_are_gone() {
-    for fate in ["cut", "silent", "turned away", "killed"] {
+async fn changes_arrive_in_time_after_the_watchers_fail() {
+    for fate in ["refusing", "silent", "disconnected", "killed"] {
         let world = World::new();
-        let mut nodes = many(&world).await;
-        let watchers = watchers(&world, &nodes).await;
+        let mut nodes = start_nodes(&world).await;
+        let watchers = find_watchers(&world, &nodes).await;
         for i in &watchers {
             match fate {
-                "cut" => nodes[*i].link(Link::Cut),
+                "refusing" => nodes[*i].link(Link::Refusing),
                 "silent" => nodes[*i].link(Link::Silent),
-                "turned away" => {
+                "disconnected" => {
                     nodes[*i].isolate();
                     nodes[*i].line.fail(Faults { away: Some(Away::Hanging), ..Faults::default() });
                 }
-                _ => nodes[*i].link(Link::Cut),
+                _ => nodes[*i].link(Link::Refusing),
             }
         }
         if fate == "killed" {
@@ -89,7 +92,7 @@
         world.replicas.list("plain", "p1", true);
         pass(2_800).await;
         for (i, node) in nodes.iter().enumerate() {
-            if fate == "turned away" && watchers.contains(&i) {
+            if fate == "disconnected" && watchers.contains(&i) {
                 continue;
             }
             let used = used(&world, node, "t").await;
@@ -98,11 +101,12 @@
     }
 }
 
-/// A node that watches for others reads the whole again after a cut; the others go on.
+/// A node that watches for others reads a snapshot again after its watch was cut; the nodes that
+/// rely on it miss nothing.
 #[tokio::test(start_paused = true)]
-async fn a_dropped_history_is_no_gap_for_those_who_follow() {
+async fn followers_miss_no_change_when_the_store_drops_its_history() {
     let world = World::new();
-    let nodes = many(&world).await;
+    let nodes = start_nodes(&world).await;
     world.replicas.list("plain", "p1", true);
     world.kv.compact();
     pass(2_500).await;
@@ -112,12 +116,12 @@
     }
 }
 
-/// Guards: a dropped history, and each outage, brought three whole readings of every node:
-/// 3,475 of 14,100 calls of a day with 73 nodes.
+/// Guards against every node reading three snapshots from the store after a dropped history and
+/// after each outage, which made 3,475 of the 14,100 calls of a day with 73 nodes.
 #[tokio::test(start_paused = true)]
-async fn what_was_missed_is_heard_from_the_watchers() {
+async fn missed_changes_are_fetched_from_the_watchers() {
     let world = World::new();
-    let nodes = many(&world).await;
+    let nodes = start_nodes(&world).await;
     let ranges = |nodes: &[Node]| nodes.iter().map(|n| calls(n, "Range")).sum::<u64>();
     let before = ranges(&nodes);
     for version in 2..6 {
@@ -129,13 +133,13 @@
         assert_eq!(node.app().routes().unwrap().version, 5);
     }
     let read = ranges(&nodes) - before;
-    assert!(read <= 4 * 3 * 3 + 10, "{read} whole readings");
+    assert!(read <= 4 * 3 * 3 + 10, "{read} snapshots read from the store");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_configuration_is_known_to_all_in_time() {
+async fn all_nodes_get_a_new_configuration_in_time() {
     let world = World::new();
-    let nodes = many(&world).await;
+    let nodes = start_nodes(&world).await;
     world.configure(7);
     pass(500).await;
     for node in &nodes {
@@ -143,44 +147,47 @@
     }
 }
 
-/// Guards: a node that started while the store was away refused every request until it
-/// answered, though the nodes around it knew the routes and the replicas.
+/// Guards against a node that starts during an outage of the store refusing every request until the
+/// outage ends, although other nodes know the routes and the replicas.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_starts_while_the_store_is_away_serves_from_what_others_know() {
+async fn a_node_that_starts_in_an_outage_serves_from_the_snapshot_of_another() {
     let world = World::new();
     let seed = world.linked("a").await;
     pass(1_000).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
     seed.line.fail(away);
     pass(4_000).await;
-    let begun = world.begin_linked("b", &seed, away);
+    let started = world.begin_linked("b", &seed, away);
     pass(1_000).await;
-    assert!(begun.app().routes_may_be_stale(), "a route that is not there may be new");
-    assert!(!begun.app().ready(), "no client is sent here before the store has listed it");
-    assert_eq!(used(&world, &begun, "t").await.len(), 6);
+    assert!(
+        started.app().routes_may_be_stale(),
+        "a route that is not known here may have been added"
+    );
+    assert!(!started.app().ready(), "no client is directed to a node that is not registered");
+    assert_eq!(used(&world, &started, "t").await.len(), 6);
     seed.line.fail(Faults::default());
-    begun.line.fail(Faults::default());
+    started.line.fail(Faults::default());
     world.configure(9);
     pass(2_000).await;
-    assert!(!begun.app().routes_may_be_stale());
-    assert!(begun.app().ready());
-    assert_eq!(begun.app().routes().unwrap().version, 9);
+    assert!(!started.app().routes_may_be_stale());
+    assert!(started.app().ready());
+    assert_eq!(started.app().routes().unwrap().version, 9);
 }
 
-/// Guards: nodes found the store back by themselves, up to 0.6 s apart, or made a call each
-/// 0.1 s in the outage.
+/// Guards against each node finding out by itself that the store is back, which left nodes up to
+/// 0.6 s apart or took a call every 0.1 s during the outage.
 #[tokio::test(start_paused = true)]
-async fn whoever_finds_the_store_back_tells_the_others() {
+async fn the_node_that_finds_the_store_back_notifies_the_others() {
     let world = World::new();
-    let nodes = many(&world).await;
+    let nodes = start_nodes(&world).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
     let refused = |nodes: &[Node]| nodes.iter().map(refusals).sum::<u64>();
     nodes.iter().for_each(|n| n.line.fail(away));
     pass(2_000).await;
     let before = refused(&nodes);
     pass(4_000).await;
-    let looks = refused(&nodes) - before;
-    assert!(looks <= 100, "{looks} calls in four seconds of an outage");
+    let probes = refused(&nodes) - before;
+    assert!(probes <= 100, "{probes} calls in four seconds of an outage");
     nodes.iter().for_each(|n| n.line.fail(Faults::default()));
     world.configure(9);
     pass(600).await;
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -1,4 +1,5 @@
-//! Links between the nodes of a test, which can be cut and counted.
+//! Simulated connections between the nodes of a test. They can fail, are limited in bandwidth and
+//! record the requests.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,102 +14,109 @@
 use tokio::time::Instant;
 use tokio::time::error::Elapsed;
 
-/// Bytes of one reply that a link carries before the next one has its turn.
-const PIECE: usize = 64 << 10;
-/// How long an answer takes.
-const ANSWER: Duration = Duration::from_millis(3);
+/// How many bytes of one reply are sent before another reply of the same node may go on.
+const PIECE_BYTES: usize = 64 << 10;
+/// The latency of a request.
+const REPLY_LATENCY: Duration = Duration::from_millis(3);
 
-/// What a node does with requests of others.
+/// How a node treats the requests of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Link {
+    /// Requests are answered.
     Open,
     /// Connections are refused.
-    Cut,
-    /// Nothing is answered.
+    Refusing,
+    /// Requests are neither carried out nor answered.
     Silent,
-    /// Requests are carried out and not answered.
-    Deaf,
+    /// Requests are carried out, but their replies are lost.
+    RepliesLost,
 }
 
+/// A node that can be reached, and how it treats requests.
 #[derive(Debug)]
-struct End {
+struct Endpoint {
     app: Arc<App>,
     link: Link,
 }
 
-/// All links. Cloning it shares them.
+/// The connections of all nodes. Clones share their state.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Links {
-    ends: Arc<Mutex<HashMap<SocketAddr, End>>>,
-    asked: Arc<Mutex<Vec<PeerRequest>>>,
-    /// The bytes a second of each node's way out, and whose turn it is there; none for no limit.
+    /// The nodes by address.
+    endpoints: Arc<Mutex<HashMap<SocketAddr, Endpoint>>>,
+    /// All requests that were sent.
+    requests: Arc<Mutex<Vec<PeerRequest>>>,
+    /// The bandwidth of each node's uplink in bytes per second. None for no limit.
     rate: Arc<Mutex<Option<u64>>>,
-    ways: Arc<Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<()>>>>>,
-    /// Replies that were given up, and the bytes of them that had come.
+    /// Held by the reply that is being sent over the uplink of a node.
+    uplinks: Arc<Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<()>>>>>,
+    /// For each reply that the requesting node gave up on, the bytes it had received.
     given_up: Arc<Mutex<Vec<u64>>>,
-    /// Nodes whose requests reach nobody.
-    alone: Arc<Mutex<HashSet<SocketAddr>>>,
-    /// Whose links these are.
+    /// Nodes whose requests reach no other node.
+    isolated: Arc<Mutex<HashSet<SocketAddr>>>,
+    /// The node that sends requests by this handle.
     from: Option<SocketAddr>,
 }
 
 impl Links {
-    /// The links of one node.
-    pub(crate) fn of(&self, from: Option<SocketAddr>) -> Self {
+    /// Returns the handle of one node.
+    pub(crate) fn of_node(&self, from: Option<SocketAddr>) -> Self {
         Self { from, ..self.clone() }
     }
 
-    /// From now on no request of a node reaches another.
+    /// From now on no request of a node reaches another node.
     pub(crate) fn isolate(&self, from: SocketAddr) {
-        self.alone.lock().insert(from);
+        self.isolated.lock().insert(from);
     }
 
-    pub(crate) fn open(&self, at: SocketAddr, app: Arc<App>) {
-        self.ends.lock().insert(at, End { app, link: Link::Open });
+    /// Makes a node reachable at an address.
+    pub(crate) fn add_node(&self, at: SocketAddr, app: Arc<App>) {
+        self.endpoints.lock().insert(at, Endpoint { app, link: Link::Open });
     }
 
+    /// Sets how the node at an address treats requests.
     pub(crate) fn set(&self, at: SocketAddr, link: Link) {
-        self.ends.lock().get_mut(&at).unwrap().link = link;
+        self.endpoints.lock().get_mut(&at).unwrap().link = link;
     }
 
-    /// From now on each node sends so many bytes a second.
-    pub(crate) fn limit(&self, rate: u64) {
+    /// Limits the uplink of each node to `rate` bytes per second.
+    pub(crate) fn limit_rate(&self, rate: u64) {
         *self.rate.lock() = Some(rate);
     }
 
-    /// The bytes that had come of each reply that was given up so far.
+    /// Returns how many bytes were received of each reply that was given up so far.
     pub(crate) fn given_up(&self) -> Vec<u64> {
         self.given_up.lock().clone()
     }
 
-    /// Carries a reply over the way out of a node, beside its other replies, for as long as it
-    /// is waited for.
-    async fn carry(
+    /// Sends a reply over the uplink of a node, which it shares with other replies, until it is
+    /// complete or the requesting node gives up.
+    async fn transmit(
         &self,
         from: SocketAddr,
         reply: &PeerReply,
         transfer: &mut Transfer,
-        begun: Instant,
+        started: Instant,
     ) -> Result<(), Elapsed> {
         let Some(rate) = *self.rate.lock() else { return Ok(()) };
-        let way = self.ways.lock().entry(from).or_default().clone();
+        let uplink = self.uplinks.lock().entry(from).or_default().clone();
         let mut left = pack(reply).unwrap().len();
         while left > 0 {
-            let piece = left.min(PIECE);
+            let piece = left.min(PIECE_BYTES);
             let sent = async {
-                let _turn = way.lock().await;
+                let _turn = uplink.lock().await;
                 tokio::time::sleep(Duration::from_micros(piece as u64 * 1_000_000 / rate)).await;
             };
-            tokio::time::timeout_at(begun + transfer.due(), sent).await?;
-            transfer.come(piece, begun.elapsed());
+            tokio::time::timeout_at(started + transfer.due(), sent).await?;
+            transfer.come(piece, started.elapsed());
             left -= piece;
         }
         Ok(())
     }
 
-    /// Every request so far.
-    pub(crate) fn asked(&self) -> Vec<PeerRequest> {
-        self.asked.lock().clone()
+    /// Returns all requests so far.
+    pub(crate) fn requests(&self) -> Vec<PeerRequest> {
+        self.requests.lock().clone()
     }
 }
 
@@ -116,37 +124,41 @@
     fn request(
         &self,
         to: SocketAddr,
-        ask: PeerRequest,
-        limit: Duration,
+        request: PeerRequest,
+        timeout: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>> {
-        self.asked.lock().push(ask.clone());
-        let alone = self.from.is_some_and(|from| self.alone.lock().contains(&from));
-        let found = self.ends.lock().get(&to).map(|end| (end.app.clone(), end.link));
-        let found = found.filter(|_| !alone);
+        self.requests.lock().push(request.clone());
+        let isolated = self.from.is_some_and(|from| self.isolated.lock().contains(&from));
+        let found =
+            self.endpoints.lock().get(&to).map(|endpoint| (endpoint.app.clone(), endpoint.link));
+        let found = found.filter(|_| !isolated);
         let links = self.clone();
         Box::pin(async move {
-            tokio::time::sleep(ANSWER).await;
-            let late = PeerError::Late { to, limit, came: 0 };
+            tokio::time::sleep(REPLY_LATENCY).await;
+            let late = PeerError::Late { to, limit: timeout, came: 0 };
             match found {
-                None | Some((_, Link::Cut)) => {
+                None | Some((_, Link::Refusing)) => {
                     Err(PeerError::Connect { to, reason: "refused".to_owned() })
                 }
                 Some((_, Link::Silent)) => {
-                    tokio::time::sleep(limit).await;
+                    tokio::time::sleep(timeout).await;
                     Err(late)
                 }
-                Some((app, Link::Deaf)) => {
-                    tokio::spawn(async move { PeerResponder::new(app).answer(ask).await });
-                    tokio::time::sleep(limit).await;
+                Some((app, Link::RepliesLost)) => {
+                    tokio::spawn(async move { PeerResponder::new(app).answer(request).await });
+                    tokio::time::sleep(timeout).await;
                     Err(late)
                 }
                 Some((app, Link::Open)) => {
-                    let begun = Instant::now();
-                    let mut transfer = Transfer::new(limit, pack(&ask).unwrap().len());
-                    let door = PeerResponder::new(app);
-                    let answer = tokio::time::timeout_at(begun + transfer.due(), door.answer(ask));
+                    let started = Instant::now();
+                    let mut transfer = Transfer::new(timeout, pack(&request).unwrap().len());
+                    let responder = PeerResponder::new(app);
+                    let answer = tokio::time::timeout_at(
+                        started + transfer.due(),
+                        responder.answer(request),
+                    );
                     let Ok(reply) = answer.await else { return Err(late) };
-                    let carried = links.carry(to, &reply, &mut transfer, begun).await;
+                    let carried = links.transmit(to, &reply, &mut transfer, started).await;
                     carried.map(|()| reply).map_err(|_| {
                         links.given_up.lock().push(transfer.came());
                         late
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -1,5 +1,5 @@
-//! What nodes do for each other: homes that stay the same, reads at the home, and the store
-//! through another node.
+//! Tests of requests between entry nodes: a constant owner for the jobs of a route, reads from the
+//! owner, and calls to the store through another node.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,26 +11,26 @@
 use crate::links::Link;
 use crate::world::{Node, World, calls, pass, spec, until};
 
-/// The incarnations that the store has as homes.
-fn homes(world: &World) -> BTreeSet<String> {
+/// Returns the incarnations that own jobs according to the store.
+fn owners(world: &World) -> BTreeSet<String> {
     let items = world.kv.items("mulberry/home/");
-    let life = |value: &[u8]| {
+    let incarnation = |value: &[u8]| {
         let value: serde_json::Value = serde_json::from_slice(value).unwrap();
         value["life"].as_str().unwrap().to_owned()
     };
-    items.iter().map(|item| life(&item.value)).collect()
+    items.iter().map(|item| incarnation(&item.value)).collect()
 }
 
-/// Three linked nodes that know each other, the home of all jobs first.
-async fn three(world: &World) -> [Node; 3] {
+/// Starts three linked nodes that know each other. The first one is the owner of all jobs.
+async fn start_three(world: &World) -> [Node; 3] {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
         nodes.push(world.linked(name).await);
     }
     pass(1_000).await;
     assert_eq!(nodes[0].submit("first", &["f1"]).await, Submitted::Kept);
-    let home = homes(world).first().unwrap().split('.').next().unwrap().to_owned();
-    nodes.sort_by_key(|node| *node.app().settings.name != *home);
+    let owner = owners(world).first().unwrap().split('.').next().unwrap().to_owned();
+    nodes.sort_by_key(|node| *node.app().settings.name != *owner);
     let nodes: [Node; 3] = nodes.try_into().unwrap_or_else(|_| unreachable!());
     nodes[0].whole("first", 1).await;
     nodes
@@ -40,27 +40,28 @@
     Faults { away: Some(how), ..Faults::default() }
 }
 
-/// Guards: each step had another home, which knew nothing of the replicas or of the step
-/// before and opened all connections anew (3,300 of them in a quiet day, 2,200 after).
+/// Guards against each training step getting another owner, which knows nothing of the replicas or
+/// of the previous step and opens all connections again. That made 3,300 connections in a quiet
+/// day, against 2,200 with one owner.
 #[tokio::test(start_paused = true)]
-async fn the_jobs_of_a_route_have_one_home() {
+async fn the_jobs_of_a_route_have_one_owner() {
     let world = World::new();
-    let nodes = three(&world).await;
+    let nodes = start_three(&world).await;
     for (i, node) in nodes.iter().enumerate() {
         assert_eq!(node.submit(&format!("j{i}"), &[&format!("i{i}")]).await, Submitted::Kept);
     }
-    assert_eq!(homes(&world).len(), 1);
+    assert_eq!(owners(&world).len(), 1);
     for (i, node) in nodes.iter().enumerate() {
         node.whole(&format!("j{i}"), 1).await;
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_home_that_does_not_answer_costs_no_job() {
-    for link in [Link::Cut, Link::Silent, Link::Deaf] {
+async fn an_owner_that_does_not_answer_costs_no_job() {
+    for link in [Link::Refusing, Link::Silent, Link::RepliesLost] {
         let world = World::new();
-        let [home, other, _third] = three(&world).await;
-        home.link(link);
+        let [owner, other, _third] = start_three(&world).await;
+        owner.link(link);
         for (job, item) in [("j1", "i1"), ("j2", "i2")] {
             assert_eq!(other.submit(job, &[item]).await, Submitted::Kept, "{link:?}");
             other.whole(job, 1).await;
@@ -70,42 +71,42 @@
     }
 }
 
-/// A refusal says that no part of a job runs: it may not be said where the home may have
-/// taken the job and only its answer is missing.
+/// A refusal means that no part of a job runs, so a job must not be refused if its owner may have
+/// accepted it and only the reply is missing.
 #[tokio::test(start_paused = true)]
-async fn a_job_that_a_home_may_have_taken_is_not_refused() {
+async fn a_job_that_an_owner_may_have_accepted_is_not_refused() {
     let world = World::new();
-    let [home, other, third] = three(&world).await;
-    home.link(Link::Deaf);
-    third.link(Link::Cut);
+    let [owner, other, third] = start_three(&world).await;
+    owner.link(Link::RepliesLost);
+    third.link(Link::Refusing);
     other.line.fail(away(Away::Refusing));
     let cut = async {
         pass(100).await;
-        home.link(Link::Cut);
+        owner.link(Link::Refusing);
     };
     let (submitted, ()) = tokio::join!(other.submit("j", &["i1"]), cut);
     assert_eq!(submitted, Submitted::Unknown);
-    assert_eq!(home.whole("j", 1).await.len(), 1);
+    assert_eq!(owner.whole("j", 1).await.len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_home_that_leaves_takes_no_jobs() {
+async fn a_draining_owner_accepts_no_jobs() {
     let world = World::new();
-    let [home, other, _third] = three(&world).await;
-    let leaving = home.entry.drain();
+    let [owner, other, _third] = start_three(&world).await;
+    let draining = owner.entry.drain();
     let submitting = async {
         pass(1).await;
         assert_eq!(other.submit("j1", &["i1"]).await, Submitted::Kept);
         other.whole("j1", 1).await;
     };
-    tokio::join!(leaving, submitting);
+    tokio::join!(draining, submitting);
 }
 
-/// Guards: each read at another node took two or three calls to the store.
+/// Guards against reads on other nodes making two or three calls to the store each.
 #[tokio::test(start_paused = true)]
-async fn reads_at_other_nodes_take_no_call_to_the_store() {
+async fn reads_on_other_nodes_make_no_call_to_the_store() {
     let world = World::new();
-    let [_home, other, _third] = three(&world).await;
+    let [_owner, other, _third] = start_three(&world).await;
     let items = ["i1", "i2", "i3", "i4"];
     for (i, item) in items.iter().enumerate() {
         world.replicas.length(item, 20 * (i as u64 + 1));
@@ -118,14 +119,14 @@
     assert!(calls(&other, "Watch") - watches <= 1);
 }
 
-/// Guards: results and bodies of a job that its trainer had ended were read from the store at
-/// each node, two to four calls each: 1,800 of 6,000 calls of a day with 73 nodes.
+/// Guards against each node reading the results and bodies of an ended job from the store with two
+/// to four calls, which made 1,800 of the 6,000 calls of a day with 73 nodes.
 #[tokio::test(start_paused = true)]
-async fn an_ended_job_is_read_where_it_ran() {
+async fn an_ended_job_is_read_from_the_node_where_it_ran() {
     let world = World::new();
-    let [home, other, third] = three(&world).await;
+    let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 2_000);
-    home.submit("j", &["i1", "i2"]).await;
+    owner.submit("j", &["i1", "i2"]).await;
     other.whole("j", 1).await;
     assert_eq!(other.app().end_job("j").await, Found::There(()));
     pass(1_000).await;
@@ -140,32 +141,32 @@
     }
     let polled = count(&third) - before;
     assert!(polled <= 6, "{polled} calls, its own watches among them");
-    drop(home);
+    drop(owner);
     pass(5_000).await;
-    assert_eq!(third.page("j", 0).await.len(), 1, "the store has it as well");
+    assert_eq!(third.page("j", 0).await.len(), 1, "the store has the results as well");
 }
 
-/// What a reader has once seen of a job that is ended is all of it: nothing is listed later,
-/// though its home had more.
+/// The results that a reader sees of an ended job are final: none is added later, although the
+/// owner had more.
 #[tokio::test(start_paused = true)]
-async fn nothing_is_listed_after_the_end() {
+async fn no_results_are_added_after_the_end_of_a_job() {
     let world = World::new();
-    let [home, other, third] = three(&world).await;
+    let [owner, other, third] = start_three(&world).await;
     for (item, length) in [("i1", 20), ("i2", 60), ("i3", 61), ("i4", 62)] {
         world.replicas.length(item, length);
     }
-    home.submit("j", &["i1", "i2", "i3", "i4"]).await;
+    owner.submit("j", &["i1", "i2", "i3", "i4"]).await;
     other.whole("j", 1).await;
-    home.line.fail(away(Away::Refusing));
-    home.isolate();
-    home.link(Link::Cut);
+    owner.line.fail(away(Away::Refusing));
+    owner.isolate();
+    owner.link(Link::Refusing);
     pass(1_500).await;
     assert_eq!(other.app().end_job("j").await, Found::There(()));
     let seen = third.page("j", 0).await;
-    home.line.fail(Faults::default());
-    home.link(Link::Open);
+    owner.line.fail(Faults::default());
+    owner.link(Link::Open);
     pass(3_000).await;
-    for node in [&home, &other, &third] {
+    for node in [&owner, &other, &third] {
         assert_eq!(node.page("j", 0).await, seen);
     }
     let stored = world.kv.items("mulberry/job/j/results").len();
@@ -174,87 +175,92 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reader_follows_a_job_to_its_next_home() {
+async fn a_reader_follows_a_job_to_its_next_owner() {
     let world = World::new();
-    let [home, other, third] = three(&world).await;
+    let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 200);
     other.submit("j", &["i1", "i2"]).await;
     until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = other.page("j", 0).await;
     assert_eq!(shown.len(), 1);
-    home.link(Link::Cut);
-    drop(home);
+    owner.link(Link::Refusing);
+    drop(owner);
     let whole = other.whole("j", 2).await;
     assert_eq!(whole[..1], shown[..]);
     assert_eq!(third.whole("j", 2).await, whole);
 }
 
-/// Guards: a home whose lease has ended shows less than the next one has shown.
+/// Guards against an owner whose lease has ended returning fewer results than the next owner has
+/// already returned.
 #[tokio::test(start_paused = true)]
-async fn a_home_without_a_lease_answers_no_reads() {
+async fn an_owner_without_a_lease_answers_no_reads() {
     let world = World::new();
-    let [home, other, third] = three(&world).await;
+    let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 150);
     other.submit("j", &["i1", "i2"]).await;
     until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    // The home reaches neither the store nor the others, which reach it.
-    home.line.fail(away(Away::Silent));
+    // The owner reaches neither the store nor the other nodes, but they reach it.
+    owner.line.fail(away(Away::Silent));
     other.line.fail(away(Away::Refusing));
     third.line.fail(away(Away::Refusing));
     pass(400).await;
     other.line.fail(Faults::default());
     third.line.fail(Faults::default());
-    home.isolate();
+    owner.isolate();
     pass(4_000).await;
     let ask = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
-    assert_eq!(other.ask(&home, ask).await, Some(None));
+    assert_eq!(other.ask(&owner, ask).await, Some(None));
     assert_eq!(other.whole("j", 2).await.len(), 2);
 }
 
-/// Guards: results whose write was not answered show at nodes that read the store, not yet
-/// at the home that wrote them.
+/// Guards against results whose write was not answered being visible on nodes that read the store,
+/// but not on the owner that wrote them.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_is_unsure_of_a_write_answers_from_the_store() {
+async fn an_owner_that_is_unsure_of_a_write_answers_from_the_store() {
     let world = World::new();
-    let [home, other, _third] = three(&world).await;
+    let [owner, other, _third] = start_three(&world).await;
     world.replicas.length("i2", 500);
     other.submit("j", &["i1", "i2"]).await;
-    home.line.fail(Faults { lose: 3, ..Faults::default() });
+    owner.line.fail(Faults { lose: 3, ..Faults::default() });
     until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     pass(1_200).await;
-    assert_eq!(home.page("j", 0).await.len(), 1);
+    assert_eq!(owner.page("j", 0).await.len(), 1);
     assert_eq!(other.page("j", 0).await.len(), 1);
 }
 
-/// Guards: a node that the store turned away lost its lease, and its jobs stood still until
-/// others took them.
+/// Guards against a node that the store does not answer losing its lease, so that its jobs stand
+/// still until other nodes take them over.
 #[tokio::test(start_paused = true)]
-async fn a_home_that_is_turned_away_goes_on_through_others() {
+async fn a_disconnected_owner_goes_on_through_other_nodes() {
     for how in [Away::Refusing, Away::Silent] {
         let world = World::new();
-        let [home, other, _third] = three(&world).await;
+        let [owner, other, _third] = start_three(&world).await;
         world.replicas.length("i2", 300);
         other.submit("j", &["i1", "i2"]).await;
-        let before = homes(&world);
-        home.line.fail(away(how));
+        let before = owners(&world);
+        owner.line.fail(away(how));
         assert_eq!(other.whole("j", 2).await.len(), 2, "{how:?}");
-        assert_eq!(homes(&world), before, "{how:?}");
-        assert_eq!(home.submit("k", &["k1"]).await, Submitted::Kept, "{how:?}");
-        let asked = world.links.asked().len();
-        home.line.fail(Faults::default());
+        assert_eq!(owners(&world), before, "{how:?}");
+        assert_eq!(owner.submit("k", &["k1"]).await, Submitted::Kept, "{how:?}");
+        let asked = world.links.requests().len();
+        owner.line.fail(Faults::default());
         pass(3_000).await;
-        home.app().read("j", 0, Duration::ZERO).await;
+        owner.app().read("j", 0, Duration::ZERO).await;
         pass(5_000).await;
-        let after = world.links.asked();
-        let detours = after[asked..].iter().filter(|a| matches!(a, PeerRequest::Store(_))).count();
-        assert!(detours < 20, "{how:?}: {detours} calls through others with the own way open");
+        let after = world.links.requests();
+        let peer_calls =
+            after[asked..].iter().filter(|a| matches!(a, PeerRequest::Store(_))).count();
+        assert!(
+            peer_calls < 20,
+            "{how:?}: {peer_calls} calls through other nodes although the store is reachable"
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_configuration_reaches_a_node_that_is_turned_away() {
+async fn a_configuration_reaches_a_disconnected_node() {
     let world = World::new();
-    let [_home, other, _third] = three(&world).await;
+    let [_owner, other, _third] = start_three(&world).await;
     other.line.fail(away(Away::Refusing));
     pass(1_000).await;
     world.configure(7);
@@ -262,12 +268,13 @@
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
-/// Guards: a node whose calls were no longer answered went on waiting for its watches, 7 s on
-/// a day with 63 nodes, and gave no orders for the versions that were named meanwhile.
+/// Guards against a node whose calls are no longer answered going on to wait for its watches. It
+/// waited 7 s on a day with 63 nodes, and sent no orders for the versions that were announced
+/// meanwhile.
 #[tokio::test(start_paused = true)]
-async fn watches_that_hang_are_given_up_with_the_way_to_the_store() {
+async fn hanging_watches_are_given_up_once_the_store_is_unreachable() {
     let world = World::new();
-    let [_home, other, _third] = three(&world).await;
+    let [_owner, other, _third] = start_three(&world).await;
     other.line.fail(away(Away::Hanging));
     pass(1_000).await;
     world.configure(7);
@@ -275,52 +282,52 @@
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
-/// Guards: calls that had begun in an outage were waited for up to 2 s after it, and leases
-/// that could have been renewed ended.
+/// Guards against waiting for calls that began in an outage for up to 2 s after its end, by which
+/// leases ended that could have been renewed.
 #[tokio::test(start_paused = true)]
-async fn the_return_of_the_store_is_used_within_a_second() {
-    for quiet in [0, 100, 200, 300, 400] {
+async fn nodes_use_the_store_within_a_second_after_an_outage() {
+    for extra_ms in [0, 100, 200, 300, 400] {
         let world = World::new();
-        let nodes = three(&world).await;
+        let nodes = start_three(&world).await;
         world.replicas.length("i1", 10);
         nodes[1].submit("j", &["i1"]).await;
         nodes.iter().for_each(|node| node.line.fail(away(Away::Silent)));
-        pass(2_900 + quiet).await;
+        pass(2_900 + extra_ms).await;
         nodes.iter().for_each(|node| node.line.fail(Faults::default()));
         pass(1_000).await;
-        assert!(!world.kv.items("mulberry/job/j/results").is_empty(), "after {quiet} ms");
-        assert_eq!(world.kv.items("mulberry/live/node/").len(), 3, "after {quiet} ms");
+        assert!(!world.kv.items("mulberry/job/j/results").is_empty(), "after {extra_ms} ms");
+        assert_eq!(world.kv.items("mulberry/live/node/").len(), 3, "after {extra_ms} ms");
     }
 }
 
-/// A write that may have taken effect is the caller's to settle: made again, a removal or
-/// a second put could undo what came between.
+/// Only the caller can decide about a write that may have been done. If it were repeated, a removal
+/// or a second put could undo a change made in between.
 #[tokio::test(start_paused = true)]
-async fn a_write_without_an_answer_is_not_made_through_another() {
+async fn a_write_without_an_answer_is_not_repeated_through_another_node() {
     let world = World::new();
-    let [home, other, _third] = three(&world).await;
+    let [owner, other, _third] = start_three(&world).await;
     let writes = || {
-        let asked = world.links.asked();
+        let asked = world.links.requests();
         asked.iter().filter(|a| matches!(a, PeerRequest::Store(StoreRequest::Txn(_)))).count()
     };
-    home.line.fail(Faults { lose: 1, ..Faults::default() });
-    assert_eq!(home.submit("j", &["i1"]).await, Submitted::Kept);
-    assert!(writes() <= 1, "the try after it may go through another");
+    owner.line.fail(Faults { lose: 1, ..Faults::default() });
+    assert_eq!(owner.submit("j", &["i1"]).await, Submitted::Kept);
+    assert!(writes() <= 1, "only the retry may go through another node");
     other.whole("j", 1).await;
     let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(runs, 1);
 }
 
-/// Guards: an outage for everybody doubled every call.
+/// Guards against an outage for all nodes doubling every call.
 #[tokio::test(start_paused = true)]
-async fn an_outage_for_all_is_no_storm() {
+async fn an_outage_for_all_nodes_does_not_multiply_calls() {
     let world = World::new();
-    let nodes = three(&world).await;
+    let nodes = start_three(&world).await;
     nodes.iter().for_each(|node| node.line.fail(away(Away::Refusing)));
     pass(1_000).await;
-    let before = world.links.asked().len();
+    let before = world.links.requests().len();
     pass(10_000).await;
-    let asked = world.links.asked().len() - before;
+    let asked = world.links.requests().len() - before;
     assert!(asked <= 3 * 10 * 5, "{asked} requests in ten seconds of three nodes");
     nodes.iter().for_each(|node| node.line.fail(Faults::default()));
     pass(3_000).await;
@@ -328,36 +335,36 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_job_is_unknown_at_linked_nodes() {
+async fn an_unknown_job_is_unknown_on_linked_nodes() {
     let world = World::new();
-    let [_home, other, _third] = three(&world).await;
+    let [_owner, other, _third] = start_three(&world).await;
     assert_eq!(other.app().read("none", 0, Duration::ZERO).await, Read::Unknown);
 }
 
-/// The same over sockets.
+/// Requests between nodes work over sockets as well.
 #[tokio::test]
-async fn nodes_ask_each_other_over_sockets() {
+async fn nodes_send_requests_over_sockets() {
     use std::sync::Arc;
 
     use mulberrycourse::entry::{HttpPeers, PeerReply, PeerServer, Peers, StoreReply};
 
     let world = World::new();
     let node = world.node("a").await;
-    let door = PeerServer::bind(node.app().clone(), ([127, 0, 0, 1], 0).into()).await.unwrap();
-    let line = HttpPeers::new(Arc::default());
+    let server = PeerServer::bind(node.app().clone(), ([127, 0, 0, 1], 0).into()).await.unwrap();
+    let client = HttpPeers::new(Arc::default());
     let limit = Duration::from_secs(20);
     world.kv.put("some/key", "value");
     let get = PeerRequest::Store(StoreRequest::Get("some/key".into()));
     let item = node.line.get("some/key").await.unwrap();
-    let got = line.request(door.address(), get, limit).await.unwrap();
+    let got = client.request(server.address(), get, limit).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::Item(item))));
     let submitted =
-        line.request(door.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
+        client.request(server.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
     assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
     node.whole("j", 1).await;
     let read = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
     let PeerReply::Read(Some(Read::Page { total: 1, results })) =
-        line.request(door.address(), read, limit).await.unwrap()
+        client.request(server.address(), read, limit).await.unwrap()
     else {
         panic!("no page");
     };
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -1,4 +1,4 @@
-//! Usage is reported once a window, whichever node is lost meanwhile.
+//! Tests that usage is reported once per window, whichever node fails meanwhile.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use crate::links::Link;
 use crate::world::{Node, World, ask, pass, until};
 
-/// The window of the nodes' settings here.
+/// The length of a usage window in the settings of the nodes.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Sends a request of an organisation. True if it was served.
+/// Sends a request of an organisation. True if it succeeded.
 async fn call(node: &Node, organisation: &str, id: &str) -> bool {
     let routes = node.app().routes().unwrap();
     let route = routes.find("host.example", "/plain/x").unwrap();
@@ -23,7 +23,7 @@
     matches!(node.app().relay(route, ask).await, Given::Whole { status, .. } if status.is_success())
 }
 
-/// Reports that were taken, by window; a window that was reported with two counts fails.
+/// Returns the accepted reports by window. Fails if a window was reported with different counts.
 fn reports(world: &World) -> BTreeMap<u64, Counts> {
     let mut by_window: BTreeMap<u64, Counts> = BTreeMap::new();
     for Reported { report, taken, .. } in world.duties.reported() {
@@ -35,37 +35,38 @@
     by_window
 }
 
-fn sum(world: &World) -> u64 {
+/// Returns the number of requests in all accepted reports.
+fn total_reported(world: &World) -> u64 {
     reports(world).values().flat_map(|counts| counts.values()).sum()
 }
 
-/// Waits until every window up to the present one was reported.
-async fn settle(world: &World) {
+/// Waits until every window up to the present one is reported.
+async fn wait_until_reported(world: &World) {
     let window = (world.clock.truth().as_secs() / WINDOW.as_secs()) + 1;
     until(|| reports(world).contains_key(&window)).await;
 }
 
-/// The nodes a, b and c, and which of them has the duty.
-async fn three(world: &World) -> (Vec<Node>, usize) {
+/// Starts the nodes a, b and c, and returns them with the index of the leader.
+async fn start_three(world: &World) -> (Vec<Node>, usize) {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
         nodes.push(world.linked(name).await);
     }
     until(|| !world.duties.reported().is_empty()).await;
     let holder = world.duties.reported()[0].term.holder.clone();
-    let index = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
-    (nodes, index)
+    let leader = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
+    (nodes, leader)
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_request_that_ran_is_reported_once_by_one_holder() {
+async fn each_request_that_ran_is_reported_once_by_one_leader() {
     let world = World::new().with_usage(WINDOW);
-    let (nodes, _) = three(&world).await;
+    let (nodes, _) = start_three(&world).await;
     for i in 0..40 {
         assert!(call(&nodes[i % 3], ["x", "y"][i % 2], &format!("r{i}")).await);
         pass(211).await;
     }
-    settle(&world).await;
+    wait_until_reported(&world).await;
     let mut totals = Counts::new();
     for (name, count) in reports(&world).values().flatten() {
         *totals.entry(name.clone()).or_default() += count;
@@ -73,57 +74,58 @@
     assert_eq!(totals, Counts::from([("x".into(), 20), ("y".into(), 20)]));
     let reported = world.duties.reported();
     assert!(reported.iter().all(|r| r.term == reported[0].term));
-    // One after the other, none left out.
+    // The windows are reported in order, and none is left out.
     let windows: Vec<u64> = reported.iter().map(|r| r.report.window).collect();
     assert!(windows.windows(2).all(|w| w[1] == w[0] + 1), "{windows:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_was_refused_or_not_reached_is_not_reported() {
+async fn requests_that_did_not_run_are_not_reported() {
     let world = World::new().with_usage(WINDOW);
-    let (nodes, _) = three(&world).await;
+    let (nodes, _) = start_three(&world).await;
     for (mood, ran) in [(Mood::Full, 0), (Mood::Unreachable, 0), (Mood::Good, 1)] {
         for id in ["p1", "p2"] {
             world.replicas.mood(id, mood);
         }
-        let before = sum(&world);
+        let before = total_reported(&world);
         call(&nodes[0], "x", &format!("{mood:?}")).await;
-        settle(&world).await;
-        assert_eq!(sum(&world) - before, ran, "{mood:?}");
+        wait_until_reported(&world).await;
+        assert_eq!(total_reported(&world) - before, ran, "{mood:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_counts_of_a_node_that_is_killed_are_reported() {
+async fn the_counts_of_a_killed_node_are_reported() {
     let world = World::new().with_usage(WINDOW);
-    let (mut nodes, holder) = three(&world).await;
-    let other = (holder + 1) % 3;
+    let (mut nodes, leader) = start_three(&world).await;
+    let other = (leader + 1) % 3;
     for i in 0..5 {
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
-    // Its counts are told within some hundred milliseconds, not at the window's end.
+    // Its counts are shared within a few hundred milliseconds, not at the end of the window.
     pass(300).await;
     drop(nodes.remove(other));
-    settle(&world).await;
-    assert_eq!(sum(&world), 5);
+    wait_until_reported(&world).await;
+    assert_eq!(total_reported(&world), 5);
 }
 
-/// The holder goes at a moment of a window's report: before its end, as it is being fixed,
-/// before and after it is sent, with answers of the platform lost.
+/// The leader fails at some moment of the report of a window: before the window ends, as the report
+/// is written to the store, and before and after it is sent, with and without lost replies of the
+/// platform.
 #[tokio::test(start_paused = true)]
-async fn a_holder_that_is_killed_at_any_moment_leaves_no_window_wrong() {
+async fn a_leader_killed_at_any_moment_leaves_every_window_correct() {
     for cut in [0, 900, 2_000, 2_090, 2_105, 2_110, 2_114, 2_118, 2_125, 2_200, 4_000] {
         let world = World::new().with_usage(WINDOW);
-        let (mut nodes, holder) = three(&world).await;
+        let (mut nodes, leader) = start_three(&world).await;
         for i in 0..6 {
             call(&nodes[i % 3], "x", &format!("r{i}")).await;
         }
-        let into = world.clock.truth().as_millis() as u64 % 5_000;
-        pass(5_000 - into + 3_000 + cut).await;
+        let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+        pass(5_000 - elapsed_ms + 3_000 + cut).await;
         world.duties.lose(u32::from(cut % 2 == 0));
-        drop(nodes.remove(holder));
-        settle(&world).await;
-        assert_eq!(sum(&world), 6, "cut {cut}");
+        drop(nodes.remove(leader));
+        wait_until_reported(&world).await;
+        assert_eq!(total_reported(&world), 6, "cut {cut}");
         let taken = world.duties.reported();
         let fences: Vec<u64> = taken.iter().map(|r| r.term.fence).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
@@ -133,23 +135,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_report_that_gets_no_answer_or_is_refused_is_repeated_unchanged() {
+async fn an_unanswered_or_refused_report_is_repeated_unchanged() {
     let world = World::new().with_usage(WINDOW);
-    let (nodes, _) = three(&world).await;
+    let (nodes, _) = start_three(&world).await;
     for (lost, refused) in [(1, 0), (0, 2), (2, 1)] {
-        let before = sum(&world);
+        let before = total_reported(&world);
         call(&nodes[0], "x", &format!("r{lost}{refused}")).await;
         world.duties.lose(lost);
         world.duties.refuse(refused);
-        settle(&world).await;
-        assert_eq!(sum(&world) - before, 1);
+        wait_until_reported(&world).await;
+        assert_eq!(total_reported(&world) - before, 1);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn windows_are_reported_after_an_outage_of_the_store() {
     let world = World::new().with_usage(WINDOW);
-    let (nodes, _) = three(&world).await;
+    let (nodes, _) = start_three(&world).await;
     for i in 0..6 {
         call(&nodes[i % 3], "x", &format!("r{i}")).await;
     }
@@ -160,100 +162,101 @@
     for node in &nodes {
         node.line.fail(Faults::default());
     }
-    settle(&world).await;
-    assert_eq!(sum(&world), 6);
+    wait_until_reported(&world).await;
+    assert_eq!(total_reported(&world), 6);
 }
 
-/// A node that reaches nobody tells its counts late, but before they are due.
+/// A node that reaches no other node shares its counts late, but before the report is due.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_cut_off_is_waited_for() {
+async fn the_leader_waits_for_the_counts_of_a_disconnected_node() {
     let world = World::new().with_usage(WINDOW);
-    let (nodes, holder) = three(&world).await;
-    let (other, third) = ((holder + 1) % 3, (holder + 2) % 3);
-    for to in [holder, third] {
+    let (nodes, leader) = start_three(&world).await;
+    let (other, third) = ((leader + 1) % 3, (leader + 2) % 3);
+    for to in [leader, third] {
         nodes[to].link(Link::Silent);
     }
     for i in 0..6 {
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
-    let into = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - into + 3_000).await;
-    for to in [holder, third] {
+    let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+    pass(5_000 - elapsed_ms + 3_000).await;
+    for to in [leader, third] {
         nodes[to].link(Link::Open);
     }
-    settle(&world).await;
-    assert_eq!(sum(&world), 6);
+    wait_until_reported(&world).await;
+    assert_eq!(total_reported(&world), 6);
 }
 
-/// The time of day of one node jumps and jumps back: its requests stay in their windows.
+/// The clock of one node jumps forward and back again. Its requests stay in their windows.
 #[tokio::test(start_paused = true)]
 async fn requests_stay_in_their_windows_while_a_clock_is_wrong() {
     let mut world = World::new().with_usage(WINDOW);
     let true_clock = world.clock.clone();
-    let (mut nodes, _) = three(&world).await;
+    let (mut nodes, _) = start_three(&world).await;
     world.clock = true_clock.beside();
     let clock = world.clock.clone();
     nodes.push(world.linked("d").await);
     clock.step(Duration::from_secs(7));
     world.clock = true_clock;
-    let into = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - into + 100).await;
+    let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+    pass(5_000 - elapsed_ms + 100).await;
     let window = world.clock.truth().as_secs() / 5;
     for i in 0..4 {
         assert!(call(&nodes[3], "x", &format!("r{i}")).await);
     }
     clock.step(Duration::ZERO);
-    settle(&world).await;
+    wait_until_reported(&world).await;
     assert_eq!(reports(&world)[&window], Counts::from([("x".into(), 4)]));
 }
 
-/// A node that starts with a clock seven seconds ahead becomes holder. On a played day it fixed a
-/// window one second before its end, with what had been counted by then.
+/// Guards against incomplete reports when a node becomes leader whose clock is seven seconds ahead
+/// from its start. In a simulated day such a leader wrote the report of a window one second before
+/// its end, with only the requests that were counted by then.
 #[tokio::test(start_paused = true)]
-async fn a_holder_whose_clock_is_wrong_from_its_start_reports_whole_windows() {
+async fn a_leader_with_a_wrong_clock_from_its_start_reports_whole_windows() {
     let mut world = World::new().with_usage(WINDOW);
-    let (mut nodes, holder) = three(&world).await;
+    let (mut nodes, leader) = start_three(&world).await;
     let wrong = world.clock.beside();
     wrong.step(Duration::from_secs(7));
     let truth = std::mem::replace(&mut world.clock, wrong);
-    // Until one of those with the wrong clock is next in rank.
+    // With two of them, one that has the wrong clock ranks next as leader.
     for name in ["d", "e"] {
         nodes.push(world.linked(name).await);
     }
     world.clock = truth;
     pass(6_000).await;
-    drop(nodes.remove(holder));
+    drop(nodes.remove(leader));
     for i in 0..60 {
         call(&nodes[i % 4], "x", &format!("r{i}")).await;
         pass(211).await;
     }
-    settle(&world).await;
-    assert_eq!(sum(&world), 60);
+    wait_until_reported(&world).await;
+    assert_eq!(total_reported(&world), 60);
     let ends = |r: &Reported| (r.report.window + 1) * WINDOW.as_secs();
-    let began = world.clock.truth().as_millis() as u64;
+    let finished_ms = world.clock.truth().as_millis() as u64;
     let now = tokio::time::Instant::now();
     for report in world.duties.reported() {
-        let at = began - (now - report.at).as_millis() as u64;
+        let at = finished_ms - (now - report.at).as_millis() as u64;
         assert!(at >= ends(&report) * 1_000, "window {} at {at}", report.report.window);
     }
 }
 
-/// Nodes that have counted nothing say nothing. Played with 300 of them, their notes at each
-/// window's end and as all came back after a loss of power cost trainers two steps of five.
+/// Nodes that have counted nothing send nothing. In a simulation with 300 nodes, their messages at
+/// the end of each window and after a power loss cost trainers two of five steps.
 #[tokio::test(start_paused = true)]
-async fn nodes_without_counts_tell_nothing() {
+async fn nodes_without_counts_send_nothing() {
     let world = World::new().with_usage(WINDOW);
     let nodes = world.crowd(60);
     until(|| nodes.iter().all(|n| n.app().ready())).await;
-    let told = || {
-        let asked = world.links.asked();
+    let usage_messages = || {
+        let asked = world.links.requests();
         asked.iter().filter(|ask| matches!(ask, PeerRequest::Usage { .. })).count()
     };
     pass(20_000).await;
-    assert_eq!(told(), 0);
+    assert_eq!(usage_messages(), 0);
     call(&nodes[7], "x", "r").await;
-    settle(&world).await;
-    assert_eq!(sum(&world), 1);
-    // The count, and that its window is over, to two nodes.
-    assert!((2..=4).contains(&told()), "{}", told());
+    wait_until_reported(&world).await;
+    assert_eq!(total_reported(&world), 1);
+    // The count, and then the end of its window, each to up to two nodes.
+    assert!((2..=4).contains(&usage_messages()), "{}", usage_messages());
 }
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -1,4 +1,4 @@
-//! What nodes believe of the configuration, the replicas and each other.
+//! Tests of the view that nodes have of the configuration, the replicas and each other.
 
 use mulberrycourse::edge::notice::Notice;
 use standins::kv::{Away, Faults};
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_configuration_is_in_force_at_once_and_never_goes_back() {
+async fn a_configuration_is_in_force_at_once_and_is_never_replaced_by_an_older_one() {
     let world = World::new();
     let node = world.node("a").await;
     world.configure(9);
@@ -22,10 +22,10 @@
     assert_eq!(version(&node), 9);
 }
 
-/// Guards: a watch that was cut as the history was dropped went on from before and heard
-/// nothing for five seconds.
+/// Guards against a watch that is cut as the store drops its history resuming from a dropped
+/// revision, after which it got no changes for five seconds.
 #[tokio::test(start_paused = true)]
-async fn a_change_beside_a_dropped_history_is_seen() {
+async fn a_change_made_as_the_store_drops_its_history_is_seen() {
     let world = World::new();
     let node = world.node("a").await;
     world.configure(2);
@@ -39,9 +39,10 @@
     assert_eq!(version(&node), 3);
 }
 
-/// Guards: a watch that rested between two changes was not there to be cut.
+/// Guards against the drop of the history going unnoticed because no watch is open while changes
+/// are batched.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_leaves_beside_a_dropped_history_gets_no_new_work() {
+async fn a_replica_that_drains_as_the_store_drops_its_history_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
     pass(2_000).await;
@@ -54,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_turned_away_catches_up_within_a_second_of_its_return() {
+async fn a_disconnected_node_catches_up_once_the_store_answers_again() {
     let world = World::new();
     let node = world.node("a").await;
     node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
@@ -68,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_node_leaves_the_addresses_within_its_lease() {
+async fn a_dead_node_is_deregistered_within_its_lease() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
     let [a, b, c] = nodes;
@@ -81,7 +82,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nodes_whose_leases_end_together_stay_known_and_come_back() {
+async fn nodes_whose_leases_end_together_stay_known_and_register_again() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
     world.replicas.length("i1", 100);
@@ -94,11 +95,11 @@
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 3);
     nodes[1].whole("j", 1).await;
     let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
-    assert_eq!(texts, 1, "a job was taken from a home that was alive");
+    assert_eq!(texts, 1, "a job was taken over from an owner that was alive");
 }
 
 #[tokio::test(start_paused = true)]
-async fn entries_that_lapse_in_an_outage_are_kept_until_they_could_be_back() {
+async fn entries_that_expire_in_an_outage_are_kept_until_they_can_be_written_again() {
     let world = World::new();
     let node = world.node("a").await;
     node.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
@@ -122,22 +123,22 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leaving_node_is_not_ready_and_out_of_the_addresses() {
+async fn a_draining_node_is_not_ready_and_deregisters() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     until(|| b.app().client_addresses("z").len() == 2).await;
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     a.entry.drain().await;
     assert!(!a.app().ready());
     assert!(
-        begun.elapsed() >= Duration::from_secs(3),
-        "clients keep an answer three times as long"
+        started.elapsed() >= Duration::from_secs(3),
+        "some clients cache an address list for three times its time to live"
     );
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_without_a_disk_does_not_answer_for_one() {
+async fn a_machine_without_a_disk_ignores_retirement_requests() {
     let world = World::new();
     let _node = world.node("a").await;
     let notice = Notice::Retire { node: "a".into(), within: Duration::from_secs(9) };
@@ -146,45 +147,46 @@
     assert!(world.kv.items("retired/").is_empty());
 }
 
-/// Guards: every node was woken once a second by the loads of all replicas, while only the
-/// homes of jobs use what they say; gathered for as long at homes, steps waited for weights.
+/// Guards against every node being woken once a second by the weight loads of all replicas, which
+/// only the owners of jobs use. If owners batched changes for as long, training steps would wait
+/// for weights.
 #[tokio::test(start_paused = true)]
-async fn changes_of_replicas_are_gathered_longer_where_no_job_runs() {
+async fn changes_of_replicas_are_batched_longer_where_no_job_runs() {
     let world = World::new();
     let drain = Duration::from_secs(3);
-    let (idle, home) =
+    let (idle, owner) =
         (world.node_that_drains("a", drain).await, world.node_that_drains("b", drain).await);
     world.replicas.length("i1", 2_000);
-    home.submit("j", &["i1"]).await;
+    owner.submit("j", &["i1"]).await;
     pass(3_000).await;
-    let before = [calls(&idle, "Watch"), calls(&home, "Watch")];
+    let before = [calls(&idle, "Watch"), calls(&owner, "Watch")];
     for turn in 0..100 {
         world.replicas.list("plain", "p1", turn % 2 == 0);
         pass(100).await;
     }
-    let watches = [calls(&idle, "Watch") - before[0], calls(&home, "Watch") - before[1]];
+    let watches = [calls(&idle, "Watch") - before[0], calls(&owner, "Watch") - before[1]];
     assert!(watches[0] <= 7, "{watches:?}");
     assert!(watches[1] >= 9, "{watches:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_leaves_gets_no_work_after_the_time_to_drain() {
+async fn a_draining_replica_gets_no_work_after_the_time_to_drain() {
     let world = World::new();
     let drain = Duration::from_secs(3);
     let node = world.node_that_drains("a", drain).await;
     pass(3_000).await;
     world.replicas.list("plain", "p2", false);
     pass(50).await;
-    // The change before it has just come, so that this one is gathered for the longest time.
+    // The change before this one has just arrived, so this one is batched for the longest time.
     world.replicas.list("plain", "p1", true);
     pass(2_000).await;
     assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
 }
 
-/// Guards: a replica whose entry went as a watch was cut counted as one that had lapsed in an
-/// outage, and got work for two seconds more.
+/// Guards against a replica whose entry is removed as a watch is cut being taken for one that
+/// expired in an outage, so that it gets work for two seconds more.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_goes_beside_a_cut_watch_gets_no_new_work() {
+async fn a_replica_that_vanishes_as_a_watch_is_cut_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
     pass(2_000).await;
@@ -194,8 +196,8 @@
     assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
 }
 
-/// Guards: a watch that waited for longer than the store keeps its history came to nothing,
-/// and every view was read anew, at all nodes at the same time.
+/// Guards against watches that wait for longer than the store retains its history: they fail, and
+/// all nodes read every prefix again at the same time.
 #[tokio::test(start_paused = true)]
 async fn watches_are_shorter_than_the_history_of_the_store() {
     let world = World::new();
@@ -208,7 +210,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_to_the_store_are_counted_by_what_they_are_about() {
+async fn calls_to_the_store_are_counted_by_purpose() {
     let world = World::new();
     let node = world.node("a").await;
     node.submit("j", &["i1"]).await;
@@ -232,8 +234,8 @@
     }
 }
 
-/// An entry of another writer that can't be read names no replica; the others hold, and the
-/// replica is used again once its entry can be read.
+/// An entry of another writer that cannot be read names no replica. The other entries stay in use,
+/// and the replica is used again once its entry can be read.
 #[tokio::test(start_paused = true)]
 async fn a_replica_whose_entry_can_not_be_read_gets_no_work() {
     let world = World::new();
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -155,7 +155,7 @@
                 ..settings(name)
             })
             .await;
-        self.links.open(at, node.app().clone());
+        self.links.add_node(at, node.app().clone());
         node
     }
 
@@ -166,7 +166,7 @@
         let seeds = seed.app().settings.peer_address.into_iter().collect();
         let node =
             self.begin(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
-        self.links.open(at, node.app().clone());
+        self.links.add_node(at, node.app().clone());
         node
     }
 
@@ -183,7 +183,7 @@
             let settings =
                 EntrySettings { peer_address: peers, seeds, ..settings(&format!("n{i:03}")) };
             let node = self.begin(settings, Faults::default());
-            self.links.open(at(i), node.app().clone());
+            self.links.add_node(at(i), node.app().clone());
             node
         };
         (0..count).map(start).collect()
@@ -201,7 +201,7 @@
             EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
         let line = self.kv.line();
         line.fail(faults);
-        let links = Arc::new(self.links.of(settings.peer_address));
+        let links = Arc::new(self.links.of_node(settings.peer_address));
         let ports = Ports {
             store: Arc::new(line.clone()),
             replicas: Arc::new(self.replicas.clone()),
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -1,4 +1,4 @@
-//! The changes that one node keeps for others.
+//! Tests of the feeds that nodes keep for each other.
 
 use std::time::Duration;
 
@@ -20,9 +20,9 @@
     Page { items: Vec::new(), revision }
 }
 
-/// The changes that were heard; none where it was the whole, or nothing.
-fn changes(news: Option<FeedUpdate>) -> Option<Watched> {
-    match news? {
+/// Returns the changes of an update. None if it is a snapshot or there is no update.
+fn changes(update: Option<FeedUpdate>) -> Option<Watched> {
+    match update? {
         FeedUpdate::Changes(watched) => Some(watched),
         FeedUpdate::Snapshot { .. } => None,
     }
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_feed_that_is_closed_or_too_young_says_nothing() {
+async fn a_feed_without_a_watch_or_with_too_few_changes_returns_no_changes() {
     let feed = Feed::default();
     assert_eq!(feed.wait_for_update(0, NOW).await, None);
     feed.begin_watch(&page(5));
@@ -48,17 +48,17 @@
 async fn a_change_ends_the_wait() {
     let feed = Feed::default();
     feed.begin_watch(&page(5));
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         feed.apply(&watched(5, 6));
     });
     assert_eq!(changes(seen).map(|w| revisions(&w)), Some(vec![6]));
-    assert_eq!(begun.elapsed(), Duration::from_secs(1));
+    assert_eq!(started.elapsed(), Duration::from_secs(1));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_feed_that_closes_ends_the_wait() {
+async fn the_end_of_the_watch_ends_the_wait() {
     let feed = Feed::default();
     feed.begin_watch(&page(5));
     let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn old_changes_are_let_go_and_missed_by_nobody() {
+async fn old_changes_are_dropped_and_replaced_by_a_snapshot() {
     let feed = Feed::default();
     feed.begin_watch(&page(0));
     feed.apply(&watched(0, 2_000));
@@ -78,10 +78,10 @@
     assert_eq!(seen.map(|w| revisions(&w)), Some((1_991..=2_000).collect()));
 }
 
-/// A configuration of thousands of routes that changes four thousand times a day: five hundred
-/// kept changes of it would be half a gigabyte, where a node has 160 MB.
+/// Guards against retaining too much of a configuration of thousands of routes that changes 4,000
+/// times a day: 500 retained changes of it would be half a gigabyte, and a node has 160 MB.
 #[tokio::test(start_paused = true)]
-async fn large_changes_are_let_go_sooner() {
+async fn large_changes_are_dropped_sooner() {
     let feed = Feed::default();
     feed.begin_watch(&page(0));
     for revision in 1..=50 {
@@ -93,9 +93,9 @@
     assert_eq!(changes(feed.wait_for_update(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
 }
 
-/// A node that starts in an outage takes what there is, and learns how old it is.
+/// A node that starts in an outage takes the snapshot that there is, with its age.
 #[tokio::test(start_paused = true)]
-async fn the_whole_is_there_with_its_age_though_the_watch_has_ended() {
+async fn a_snapshot_has_its_age_after_the_watch_has_ended() {
     let feed = Feed::default();
     assert_eq!(feed.snapshot(), None);
     feed.begin_watch(&page(5));
@@ -108,19 +108,19 @@
 }
 
 proptest! {
-    /// Whoever follows sees every change once, in order, or the whole as it stands, or is told
-    /// that it can't.
+    /// A follower gets every change once and in order, or the present snapshot, or the answer that
+    /// there is no update.
     #[test]
     fn followers_miss_nothing(steps in proptest::collection::vec((0_u8..4, 1_u64..300), 1..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
         let Ok(runtime) = runtime else { return Ok(()) };
         let feed = Feed::default();
-        let (mut last, mut at, mut begun, mut open) = (0, 0, 0, false);
+        let (mut last, mut at, mut watch_start, mut open) = (0, 0, 0, false);
         for (step, count) in steps {
             match step {
                 0 => {
                     last += count;
-                    begun = last;
+                    watch_start = last;
                     feed.begin_watch(&page(last));
                     open = true;
                 }
@@ -140,13 +140,13 @@
                     Some(FeedUpdate::Snapshot { page, .. }) => {
                         prop_assert_eq!(page.revision, last);
                         let there: Vec<u64> = page.items.iter().map(|i| i.revision).collect();
-                        let newest = (begun + 1..=last).rev().take(3);
+                        let newest = (watch_start + 1..=last).rev().take(3);
                         let mut newest: Vec<u64> = newest.collect();
                         newest.sort_by_key(|revision| revision % 3);
                         prop_assert_eq!(there, newest);
                         at = last;
                     }
-                    // Read whole again.
+                    // The follower reads a snapshot from elsewhere.
                     None => at = last,
                 },
             }
