--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -12,7 +12,8 @@
 use mulberrycourse::Name;
 use mulberrycourse::decide::Listed;
 use mulberrycourse::edge::replica::{
-    Call, Failure, Load, Order, OrderEnd, Pieces, Replicas, Reply, Stance, Target,
+    BodyStream, CallError, OrderOutcome, ReplicaCall, ReplicaLoad, ReplicaStatus, Replicas, Reply,
+    Target, WeightOrder,
 };
 use parking_lot::Mutex;
 use tokio::time::Instant;
@@ -71,7 +72,11 @@
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
         let versions = self.state.lock().replicas[id].versions.clone();
         let listed = Listed {
-            target: Target { id: id.into(), born: self.state.lock().replicas[id].born, address },
+            target: Target {
+                id: id.into(),
+                started_ms: self.state.lock().replicas[id].born,
+                address,
+            },
             service: service.into(),
             zone: "z".into(),
             slots: 8,
@@ -133,33 +138,35 @@
     }
 
     /// Carries out an order. Accepted if nothing speaks against it at this moment.
-    fn accept(&self, to: &Name, order: &Order) -> OrderEnd {
+    fn accept(&self, to: &Name, order: &WeightOrder) -> OrderOutcome {
         let end = self.with(to, |r| {
-            if order.fence < r.fence {
-                return OrderEnd::Fenced;
+            if order.fencing_token < r.fence {
+                return OrderOutcome::Fenced;
             }
-            r.fence = order.fence;
-            if r.busy.is_some_and(|until| until > Instant::now()) || r.sequence != order.sequence {
-                return OrderEnd::Busy;
+            r.fence = order.fencing_token;
+            if r.busy.is_some_and(|until| until > Instant::now())
+                || r.sequence != order.accepted_orders
+            {
+                return OrderOutcome::Busy;
             }
             if r.versions.get(&order.model).is_some_and(|v| *v >= order.version) {
-                return OrderEnd::Holds;
+                return OrderOutcome::Holds;
             }
             r.sequence += 1;
             r.busy = Some(Instant::now() + LOAD);
-            OrderEnd::Accepted
+            OrderOutcome::Accepted
         });
-        let end = end.unwrap_or(OrderEnd::Refused);
+        let end = end.unwrap_or(OrderOutcome::Refused);
         self.state.lock().ordered.push(Ordered {
             replica: to.clone(),
             holder: order.holder.clone(),
-            fence: order.fence,
+            fence: order.fencing_token,
             model: order.model.clone(),
             version: order.version,
             at: Instant::now(),
-            accepted: end == OrderEnd::Accepted,
+            accepted: end == OrderOutcome::Accepted,
         });
-        if end == OrderEnd::Accepted {
+        if end == OrderOutcome::Accepted {
             let (fleet, to, order) = (self.clone(), to.clone(), order.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(LOAD).await;
@@ -169,14 +176,14 @@
         end
     }
 
-    fn begin(&self, to: &Target, call: &Call) -> usize {
+    fn begin(&self, to: &Target, call: &ReplicaCall) -> usize {
         let mut state = self.state.lock();
         state.ran.push(Ran {
             replica: to.id.clone(),
             id: call.id.clone(),
             organisation: call.organisation.clone(),
-            after: call.after,
-            limit: call.limit,
+            after: call.last_event,
+            limit: call.timeout,
             at: Instant::now(),
             cut: true,
         });
@@ -184,9 +191,9 @@
     }
 
     /// The events of a text after the last that the sender has.
-    fn events(&self, to: &Target, call: &Call, mood: Mood, run: usize) -> Pieces {
+    fn events(&self, to: &Target, call: &ReplicaCall, mood: Mood, run: usize) -> BodyStream {
         let total = self.state.lock().lengths.get(&call.id).copied().unwrap_or(EVENTS);
-        let from = call.after.unwrap_or(0);
+        let from = call.last_event.unwrap_or(0);
         let model = call.headers.get("model").and_then(|m| m.to_str().ok()).map(Name::from);
         let pace = match mood {
             Mood::Slow(times) => EVENT * times,
@@ -228,21 +235,21 @@
         "version"
     }
 
-    fn send(&self, to: &Target, call: Call) -> BoxFuture<'static, Result<Reply, Failure>> {
+    fn send(&self, to: &Target, call: ReplicaCall) -> BoxFuture<'static, Result<Reply, CallError>> {
         let (fleet, to) = (self.clone(), to.clone());
         Box::pin(async move {
             let Some(mood) = fleet.with(&to.id, |r| r.mood) else {
-                return Err(Failure::Stranger);
+                return Err(CallError::WrongInstance);
             };
             tokio::time::sleep(Duration::from_millis(1)).await;
             match mood {
-                Mood::Unreachable => return Err(Failure::Unsent("refused".to_owned())),
-                Mood::Full => return Err(Failure::NotRun(StatusCode::SERVICE_UNAVAILABLE)),
+                Mood::Unreachable => return Err(CallError::Unsent("refused".to_owned())),
+                Mood::Full => return Err(CallError::NotRun(StatusCode::SERVICE_UNAVAILABLE)),
                 _ => {}
             }
             let run = fleet.begin(&to, &call);
             let streams = call.path.starts_with("/text");
-            let (status, body): (_, Pieces) = match mood {
+            let (status, body): (_, BodyStream) = match mood {
                 Mood::Silent => std::future::pending().await,
                 Mood::Fails => {
                     (StatusCode::INTERNAL_SERVER_ERROR, futures_util::stream::empty().boxed())
@@ -268,27 +275,36 @@
                 headers: HeaderMap::new(),
                 signature: Some(format!("signed {}", call.id).into()),
                 version: version.flatten(),
-                load: Some(Load { running: 1, waiting: 0 }),
+                load: Some(ReplicaLoad { running: 1, waiting: 0 }),
                 body,
             })
         })
     }
 
-    fn stance(&self, to: &Target, _: Duration) -> BoxFuture<'static, Result<Stance, Failure>> {
+    fn status(
+        &self,
+        to: &Target,
+        _: Duration,
+    ) -> BoxFuture<'static, Result<ReplicaStatus, CallError>> {
         let (fleet, to) = (self.clone(), to.clone());
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            let stance = fleet.with(&to.id, |r| Stance {
-                born: r.born,
-                sequence: r.sequence,
+            let stance = fleet.with(&to.id, |r| ReplicaStatus {
+                started_ms: r.born,
+                accepted_orders: r.sequence,
                 busy: r.busy.is_some_and(|until| until > Instant::now()),
                 versions: r.versions.iter().map(|(m, v)| (m.clone(), *v)).collect(),
             });
-            stance.ok_or(Failure::Stranger)
+            stance.ok_or(CallError::WrongInstance)
         })
     }
 
-    fn order(&self, to: &Target, order: Order, limit: Duration) -> BoxFuture<'static, OrderEnd> {
+    fn order(
+        &self,
+        to: &Target,
+        order: WeightOrder,
+        limit: Duration,
+    ) -> BoxFuture<'static, OrderOutcome> {
         let (fleet, to) = (self.clone(), to.id.clone());
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -300,7 +316,7 @@
                 fleet.accept(&to, &order);
             });
             tokio::time::sleep(limit).await;
-            OrderEnd::Unknown
+            OrderOutcome::Unknown
         })
     }
 }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use hyper_util::server::conn::auto;
-use mulberrycourse::edge::http::{Body, full};
+use mulberrycourse::edge::http::{Body, full_body};
 use serde::Serialize;
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
@@ -87,12 +87,12 @@
 
 /// A JSON answer.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
-    Ok(mulberrycourse::edge::http::json(status, value))
+    Ok(mulberrycourse::edge::http::json_response(status, value))
 }
 
 /// An empty or textual answer.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Answer {
-    let mut response = Response::new(full(text));
+    let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     Ok(response)
 }
--- a/standins/src/slope/nodes.rs
+++ b/standins/src/slope/nodes.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mulberrycourse::edge::http::{Fetch, FetchError};
+use mulberrycourse::edge::http::{JsonClient, JsonClientError};
 use mulberrycourse::edge::peer::NodeInfo;
 use mulberrycourse::node::BundleState;
 use serde::de::DeserializeOwned;
@@ -60,7 +60,7 @@
 pub enum NodesError {
     /// A node does not answer.
     #[error(transparent)]
-    Fetch(#[from] FetchError),
+    Fetch(#[from] JsonClientError),
     /// A stand-in is missing.
     #[error(transparent)]
     Fleet(#[from] FleetError),
@@ -77,7 +77,7 @@
     size: u32,
     fleet: Fleet,
     daemons: Vec<Daemon>,
-    fetch: Fetch,
+    fetch: JsonClient,
     window: Duration,
 }
 
@@ -95,7 +95,7 @@
     let names = (0..size).map(|index| format!("node-{index}"));
     let daemons: Result<Vec<Daemon>, _> =
         names.map(|name| Daemon::spawn(exe, &name, &fleet, platform, folder.path())).collect();
-    let mut nodes = Nodes { size, fleet, daemons: daemons?, fetch: Fetch::default(), window };
+    let mut nodes = Nodes { size, fleet, daemons: daemons?, fetch: JsonClient::default(), window };
     let began = Instant::now();
     nodes.until("membership", Nodes::complete).await?;
     table.add("start", size, "seconds until all know all", began.elapsed().as_secs_f64());
@@ -131,7 +131,7 @@
     nodes.window(Phase::Zone, table).await
 }
 
-type Look<'a> = std::pin::Pin<Box<dyn Future<Output = Result<bool, FetchError>> + 'a>>;
+type Look<'a> = std::pin::Pin<Box<dyn Future<Output = Result<bool, JsonClientError>> + 'a>>;
 
 impl Nodes {
     /// Waits until a condition holds at every node.
@@ -151,7 +151,11 @@
         Ok(())
     }
 
-    async fn state<T: DeserializeOwned>(&self, at: &Daemon, what: &str) -> Result<T, FetchError> {
+    async fn state<T: DeserializeOwned>(
+        &self,
+        at: &Daemon,
+        what: &str,
+    ) -> Result<T, JsonClientError> {
         let path = format!("/v1/state/{what}");
         self.fetch.get(at.admin, &path, Duration::from_secs(5)).await
     }
@@ -164,7 +168,7 @@
         })
     }
 
-    async fn in_force(&self, at: &Daemon, number: u64) -> Result<bool, FetchError> {
+    async fn in_force(&self, at: &Daemon, number: u64) -> Result<bool, JsonClientError> {
         let state: BundleState = self.state(at, "bundle").await?;
         Ok(state.number >= number)
     }
@@ -208,7 +212,7 @@
         (sum(false), sum(true))
     }
 
-    async fn scrapes(&self) -> Result<Vec<Scrape>, FetchError> {
+    async fn scrapes(&self) -> Result<Vec<Scrape>, JsonClientError> {
         let mut all = Vec::new();
         for daemon in &self.daemons {
             all.push(Scrape::of(daemon.admin, &self.fetch).await?);
@@ -217,7 +221,7 @@
     }
 
     /// The size of an address answer and of `/metrics`.
-    async fn answers(&self, table: &mut Table) -> Result<(), FetchError> {
+    async fn answers(&self, table: &mut Table) -> Result<(), JsonClientError> {
         let Some(first) = self.daemons.first() else { return Ok(()) };
         let limit = Duration::from_secs(5);
         let answer: serde_json::Value =
--- a/standins/src/slope/scrape.rs
+++ b/standins/src/slope/scrape.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use http::Request;
-use mulberrycourse::edge::http::{Fetch, FetchError, empty, read};
+use mulberrycourse::edge::http::{JsonClient, JsonClientError, empty_body, read_body};
 
 /// The largest answer of `/metrics`, in bytes.
 const LIMIT: usize = 4 << 20;
@@ -20,12 +20,13 @@
 
 impl Scrape {
     /// Reads `/metrics` from an admin address.
-    pub async fn of(to: SocketAddr, fetch: &Fetch) -> Result<Self, FetchError> {
-        let mut request = Request::new(empty());
+    pub async fn of(to: SocketAddr, fetch: &JsonClient) -> Result<Self, JsonClientError> {
+        let mut request = Request::new(empty_body());
         *request.uri_mut() = format!("http://{to}/metrics").parse().unwrap_or_default();
         let response = fetch.send(to, request).await?;
-        let bytes = read(response.into_body(), LIMIT).await;
-        let bytes = bytes.map_err(|e| FetchError::Broken { to, reason: e.to_string() })?;
+        let bytes = read_body(response.into_body(), LIMIT).await;
+        let bytes =
+            bytes.map_err(|e| JsonClientError::Interrupted { to, reason: e.to_string() })?;
         let text = String::from_utf8_lossy(&bytes);
         let pair = |line: &str| {
             let (series, value) = line.rsplit_once(' ')?;
--- a/standins/src/slope/serving.rs
+++ b/standins/src/slope/serving.rs
@@ -5,7 +5,7 @@
 use futures_util::StreamExt;
 use mulberrycourse::client::{Caller, Trainer};
 use mulberrycourse::decide::Prompt;
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::edge::http::JsonClient;
 use tokio::time::Instant;
 
 use super::{NodesError, Scrape, Table};
@@ -30,7 +30,7 @@
 struct One {
     fleet: Fleet,
     daemon: Daemon,
-    fetch: Fetch,
+    fetch: JsonClient,
 }
 
 impl One {
@@ -39,7 +39,7 @@
         let fleet = Fleet::spawn(0, engines, each).await?;
         let platform = fleet.platform.address();
         let daemon = Daemon::spawn(exe, "node", &fleet, platform, folder.path())?;
-        let one = Self { fleet, daemon, fetch: Fetch::default() };
+        let one = Self { fleet, daemon, fetch: JsonClient::default() };
         let caller = one.caller();
         while caller.call("stock", "/", "", None, WAIT).await.is_err() {
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use mulberrycourse::client::Caller;
-use mulberrycourse::edge::upstream::{Completion, Prior};
+use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
 use standins::caller::{completion, expected};
 use standins::engine::{EngineSettings, Faults, token};
 use standins::fleet::Fleet;
 
 const WAIT: Duration = Duration::from_secs(30);
 
-async fn faulty(faults: &Faults, request: &Completion) -> String {
+async fn faulty(faults: &Faults, request: &CompletionRequest) -> String {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
     let shop = Caller::new("shop".into(), fleet.callers());
@@ -50,7 +50,8 @@
     let request = completion("side steal", 4, 60);
     let prior: String = (0..5).map(|i| token(&request.prompt, request.seed, i)).collect();
     let rest = expected(&request).strip_prefix(&prior).unwrap().to_owned();
-    let request = Completion { prior: Some(Prior { text: prior, tokens: 5 }), ..request };
+    let request =
+        CompletionRequest { prior: Some(PriorOutput { text: prior, tokens: 5 }), ..request };
     let faults = Faults { cut_after: 15, ..Faults::default() };
     assert_eq!(faulty(&faults, &request).await, rest);
 }
@@ -73,7 +74,8 @@
 async fn same_request_id_twice() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     let ask = |prompt, seed| {
-        let request = Completion { request_id: "one".into(), ..completion(prompt, seed, 60) };
+        let request =
+            CompletionRequest { request_id: "one".into(), ..completion(prompt, seed, 60) };
         let shop = Caller::new("shop".into(), fleet.callers());
         async move {
             let answer = shop.stream(&request, WAIT).await.unwrap();
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use mulberrycourse::client::Trainer;
 use mulberrycourse::decide::{Group, Prompt, Sample, Span, Spec};
-use mulberrycourse::edge::http::read;
+use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{Pull, Pulled};
 use serde_json::json;
 use standins::fleet::ANY;
@@ -30,7 +30,7 @@
             let addresses = self.address.get().into_iter().collect::<Vec<_>>();
             return answer(StatusCode::OK, &json!({ "addresses": addresses, "ttl_ms": 60_000 }));
         }
-        let body = read(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
         if !path.ends_with("/pull") {
             return answer(StatusCode::OK, &json!({}));
         }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -8,7 +8,7 @@
 use mulberrycourse::bundle::{Envelope, sign};
 use mulberrycourse::cli::Store;
 use mulberrycourse::client::Caller;
-use mulberrycourse::edge::platform::Platform;
+use mulberrycourse::edge::platform::PlatformClient;
 use mulberrycourse::error::{Kind, Problem};
 use mulberrycourse::metrics::{Metrics, PlatformUse};
 use mulberrycourse::node::{CURRENT, Node};
@@ -152,7 +152,7 @@
     for (version, body, status) in [
         (Some("0"), &b""[..], 426),
         (None, b"", 426),
-        (Some(mulberrycourse::edge::peer::VERSION), b"\xff\xff\xff", 400),
+        (Some(mulberrycourse::edge::peer::PROTOCOL_VERSION), b"\xff\xff\xff", 400),
     ] {
         let stream = TcpStream::connect(at).await.unwrap();
         let (mut sender, connection) = h2::client::handshake(stream).await.unwrap();
@@ -196,7 +196,8 @@
     for bad in [unsigned, twice, forged, stranger, other, unparsed, good(4)] {
         write(&store, &bad).await;
     }
-    let platform = Platform::new(fleet.platform.address(), WAIT, Arc::new(Metrics::default()));
+    let platform =
+        PlatformClient::new(fleet.platform.address(), WAIT, Arc::new(Metrics::default()));
     for garbage in ["", "{", "[1,2]", "\u{0}\u{1}", "{\"number\":20}"] {
         let put = platform.put(CURRENT, garbage.into(), None, PlatformUse::Bundle);
         put.await.unwrap();
@@ -215,7 +216,7 @@
     store.apply(envelope, revision).await.unwrap();
 }
 
-async fn write_over(platform: &Platform, envelope: &Envelope) {
+async fn write_over(platform: &PlatformClient, envelope: &Envelope) {
     let value = serde_json::to_vec(envelope).unwrap();
     platform.put(CURRENT, value, None, PlatformUse::Bundle).await.unwrap();
 }
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use http::StatusCode;
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::error::Run;
 use mulberrycourse::node::{Addresses, Node};
 use standins::caller::{Answered, send, send_within};
@@ -32,7 +32,7 @@
 }
 
 async fn serving(node: SocketAddr) -> usize {
-    let got = Fetch::default().get::<Addresses>(node, "/v1/addresses", WAIT).await;
+    let got = JsonClient::default().get::<Addresses>(node, "/v1/addresses", WAIT).await;
     got.unwrap().addresses.len()
 }
 
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,12 +1,12 @@
 //! Messages on their way between nodes.
 
 use mulberrycourse::edge::peer::{CodecError, pack, unpack};
-use mulberrycourse::edge::store::{Item, Page};
+use mulberrycourse::edge::store::{KeyValue, RangeResult};
 use proptest::prelude::*;
 
-fn page(value: Vec<u8>) -> Page {
-    let item = Item { key: "routes".into(), value: value.into(), revision: 7 };
-    Page { items: vec![item], revision: 9 }
+fn page(value: Vec<u8>) -> RangeResult {
+    let item = KeyValue { key: "routes".into(), value: value.into(), revision: 7 };
+    RangeResult { items: vec![item], revision: 9 }
 }
 
 /// A configuration goes to every node at the same moment, over narrow links.
@@ -21,7 +21,7 @@
     let page = page((0..4_200).flat_map(|n| route(n).into_bytes()).collect());
     let bytes = pack(&page).unwrap();
     assert!(bytes.len() * 4 < page.items[0].value.len(), "{}", bytes.len());
-    assert_eq!(unpack::<Page>(&bytes).unwrap(), page);
+    assert_eq!(unpack::<RangeResult>(&bytes).unwrap(), page);
 }
 
 /// A length that nothing lies behind would make a node allocate what it does not have.
@@ -29,16 +29,16 @@
 fn a_message_that_says_to_be_huge_is_refused() {
     let mut bytes = pack(&page(vec![0; 100_000])).unwrap();
     bytes[1..5].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(matches!(unpack::<Page>(&bytes), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Unpack(_))));
 }
 
 #[test]
 fn a_message_that_is_shorter_than_it_says_is_refused() {
     let mut bytes = pack(&page(vec![0; 100_000])).unwrap();
     bytes[1..5].copy_from_slice(&200_000_u32.to_le_bytes());
-    assert!(matches!(unpack::<Page>(&bytes), Err(CodecError::Unpack(_))));
-    assert!(matches!(unpack::<Page>(&[]), Err(CodecError::Unpack(_))));
-    assert!(matches!(unpack::<Page>(&[9, 1, 2]), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&[]), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&[9, 1, 2]), Err(CodecError::Unpack(_))));
 }
 
 proptest! {
@@ -46,7 +46,7 @@
     fn what_is_packed_unpacks(value in prop::collection::vec(any::<u8>(), 0..9_000)) {
         let page = page(value);
         let bytes = pack(&page).unwrap();
-        prop_assert_eq!(unpack::<Page>(&bytes).unwrap(), page);
+        prop_assert_eq!(unpack::<RangeResult>(&bytes).unwrap(), page);
     }
 
     /// Torn or foreign bytes are an error, whatever they are.
@@ -62,6 +62,6 @@
             }
         }
         bytes.truncate(cut.max(1));
-        let _ = unpack::<Page>(&bytes);
+        let _ = unpack::<RangeResult>(&bytes);
     }
 }
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -126,7 +126,7 @@
         let links = self.clone();
         Box::pin(async move {
             tokio::time::sleep(ANSWER).await;
-            let late = PeerError::Late { to, limit, came: 0 };
+            let late = PeerError::Timeout { to, timeout: limit, received: 0 };
             match found {
                 None | Some((_, Link::Cut)) => {
                     Err(PeerError::Connect { to, reason: "refused".to_owned() })
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -125,7 +125,7 @@
         settle(&world).await;
         assert_eq!(sum(&world), 6, "cut {cut}");
         let taken = world.duties.reported();
-        let fences: Vec<u64> = taken.iter().map(|r| r.term.fence).collect();
+        let fences: Vec<u64> = taken.iter().map(|r| r.term.fencing_token).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
         let change = taken.windows(2).find(|r| r[0].term.holder != r[1].term.holder).unwrap();
         assert!(change[1].at - change[0].at >= Duration::from_secs(3), "cut {cut}");
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -1,6 +1,6 @@
 //! What nodes believe of the configuration, the replicas and each other.
 
-use mulberrycourse::edge::notice::Notice;
+use mulberrycourse::edge::schema::Directive;
 use standins::kv::{Away, Faults};
 use std::time::Duration;
 
@@ -140,7 +140,7 @@
 async fn a_machine_without_a_disk_does_not_answer_for_one() {
     let world = World::new();
     let _node = world.node("a").await;
-    let notice = Notice::Retire { node: "a".into(), within: Duration::from_secs(9) };
+    let notice = Directive::Retire { node: "a".into(), within: Duration::from_secs(9) };
     world.words.write(&world.kv, "retire/a", notice);
     pass(1_000).await;
     assert!(world.kv.items("retired/").is_empty());
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -10,7 +10,7 @@
 use mulberrycourse::decide::scale::Autoscale;
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
-use mulberrycourse::edge::notice::Notice;
+use mulberrycourse::edge::schema::Directive;
 use mulberrycourse::entry::{App, Ask, Entry, PeerAsk, PeerReply, Peers, Ports, Read, Submitted};
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
@@ -103,12 +103,12 @@
                 spot: false,
                 prices: [("z".into(), 1.0)].into(),
             }]);
-        self.words.write_long(&self.kv, "config", Notice::Routes(routes), others);
+        self.words.write_long(&self.kv, "config", Directive::Routes(routes), others);
     }
 
     /// A trainer names a version.
     pub(crate) fn name(&self, version: u64) {
-        let notice = Notice::Version { model: MODEL.into(), version };
+        let notice = Directive::Version { model: MODEL.into(), version };
         self.words.write(&self.kv, "version", notice);
     }
 
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -2,33 +2,33 @@
 
 use std::time::Duration;
 
-use mulberrycourse::edge::store::{Change, Item, Page, Watched};
+use mulberrycourse::edge::store::{Change, KeyValue, RangeResult, WatchBatch};
 use mulberrycourse::entry::{Feed, News};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::ZERO;
 
 fn change(revision: u64) -> Change {
-    Change::Put(Item { key: format!("k{}", revision % 3).into(), value: "v".into(), revision })
+    Change::Put(KeyValue { key: format!("k{}", revision % 3).into(), value: "v".into(), revision })
 }
 
-fn watched(from: u64, to: u64) -> Watched {
-    Watched { changes: (from + 1..=to).map(change).collect(), revision: to }
+fn watched(from: u64, to: u64) -> WatchBatch {
+    WatchBatch { changes: (from + 1..=to).map(change).collect(), revision: to }
 }
 
-fn page(revision: u64) -> Page {
-    Page { items: Vec::new(), revision }
+fn page(revision: u64) -> RangeResult {
+    RangeResult { items: Vec::new(), revision }
 }
 
 /// The changes that were heard; none where it was the whole, or nothing.
-fn changes(news: Option<News>) -> Option<Watched> {
+fn changes(news: Option<News>) -> Option<WatchBatch> {
     match news? {
         News::Changes(watched) => Some(watched),
         News::Whole { .. } => None,
     }
 }
 
-fn revisions(watched: &Watched) -> Vec<u64> {
+fn revisions(watched: &WatchBatch) -> Vec<u64> {
     watched.changes.iter().map(Change::revision).collect()
 }
 
@@ -38,7 +38,7 @@
     assert_eq!(feed.after(0, NOW).await, None);
     feed.open(&page(5));
     assert_eq!(changes(feed.after(4, NOW).await), None);
-    let none = Watched { changes: Vec::new(), revision: 5 };
+    let none = WatchBatch { changes: Vec::new(), revision: 5 };
     assert_eq!(changes(feed.after(5, NOW).await), Some(none));
     feed.close();
     assert_eq!(feed.after(5, NOW).await, None);
@@ -86,8 +86,8 @@
     feed.open(&page(0));
     for revision in 1..=50 {
         let value = vec![b'v'; 1 << 20].into();
-        let changes = vec![Change::Put(Item { key: "routes".into(), value, revision })];
-        feed.add(&Watched { changes, revision });
+        let changes = vec![Change::Put(KeyValue { key: "routes".into(), value, revision })];
+        feed.add(&WatchBatch { changes, revision });
     }
     assert!(matches!(feed.after(40, NOW).await, Some(News::Whole { .. })));
     assert_eq!(changes(feed.after(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -7,14 +7,18 @@
 
 use mulberrycourse::Name;
 use mulberrycourse::decide::{Ended, Fleet, Listed, Wish};
-use mulberrycourse::edge::replica::{Load, Target};
+use mulberrycourse::edge::replica::{ReplicaLoad, Target};
 
 const S: &str = "engines";
 const NOW: Duration = Duration::from_secs(10);
 
 fn listed(id: &str, draining: bool, version: u64) -> Listed {
     Listed {
-        target: Target { id: id.into(), born: None, address: SocketAddr::from(([10, 0, 0, 1], 1)) },
+        target: Target {
+            id: id.into(),
+            started_ms: None,
+            address: SocketAddr::from(([10, 0, 0, 1], 1)),
+        },
         service: S.into(),
         zone: "z".into(),
         slots: 8,
@@ -134,7 +138,7 @@
 #[test]
 fn the_load_of_others_counts_and_fades() {
     let mut fleet = fleet(&["a", "b"]);
-    fleet.load("a", Load { running: 8, waiting: 4 }, NOW);
+    fleet.load("a", ReplicaLoad { running: 8, waiting: 4 }, NOW);
     assert_eq!(&*fleet.choose(&wish(false), NOW).unwrap().id, "b");
     assert_eq!(burst(&mut fleet, NOW).get("a"), None);
     let later = NOW + Duration::from_secs(5);
@@ -174,7 +178,7 @@
 fn a_replica_that_starts_again_under_its_id_is_another() {
     let at = |born, version| {
         let mut listed = listed("a", false, version);
-        listed.target.born = Some(born);
+        listed.target.started_ms = Some(born);
         listed
     };
     let weights = Wish { weights: Some(("m", 5)), ..wish(false) };
@@ -220,8 +224,10 @@
             }
         }
         for (home, id) in sent {
-            let load =
-                Load { running: arrived[&id].min(8), waiting: arrived[&id].saturating_sub(8) };
+            let load = ReplicaLoad {
+                running: arrived[&id].min(8),
+                waiting: arrived[&id].saturating_sub(8),
+            };
             homes[home].load(&id, load, now + Duration::from_millis(5));
         }
     }
--- a/tests/gather.rs
+++ b/tests/gather.rs
@@ -6,7 +6,7 @@
 use futures_util::StreamExt;
 use futures_util::stream::{self, BoxStream};
 use mulberrycourse::decide::{Patience, Transfer};
-use mulberrycourse::edge::http::{GatherError, gather_while};
+use mulberrycourse::edge::http::{CollectError, collect_while_received};
 use tokio::time::Instant;
 
 const PIECE: usize = 16 << 10;
@@ -27,7 +27,8 @@
     let begun = Instant::now();
     let transfer = Transfer::new(Patience::default().limit(), 0);
     tokio::time::sleep(Duration::from_millis(240)).await;
-    let read = gather_while(pieces(64, Duration::from_millis(3), true), transfer, begun).await;
+    let read =
+        collect_while_received(pieces(64, Duration::from_millis(3), true), transfer, begun).await;
     assert_eq!(read.map(|bytes| bytes.len()), Ok(64 * PIECE));
     assert!(begun.elapsed() > Patience::default().limit());
 }
@@ -37,7 +38,8 @@
 async fn an_answer_that_falls_silent_is_given_up() {
     let begun = Instant::now();
     let transfer = Transfer::new(Patience::default().limit(), 0);
-    let read = gather_while(pieces(40, Duration::from_millis(10), false), transfer, begun).await;
-    assert_eq!(read, Err(GatherError::Late(40 * PIECE as u64)));
+    let read =
+        collect_while_received(pieces(40, Duration::from_millis(10), false), transfer, begun).await;
+    assert_eq!(read, Err(CollectError::Timeout(40 * PIECE as u64)));
     assert!(begun.elapsed() < Duration::from_secs(1));
 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -6,7 +6,7 @@
 
 use mulberrycourse::client::{StepReport, Trainer};
 use mulberrycourse::decide::{Prompt, Spec};
-use mulberrycourse::edge::upstream::{EngineClient, Order};
+use mulberrycourse::edge::upstream::{EngineClient, EngineOrder};
 use standins::engine::{Engine, EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
 use standins::trainer::{flat, tokens, truth};
@@ -136,7 +136,7 @@
     crawl(&fleet, &Faults::default());
     let versions = disturbed(&fleet, async {
         streaming(&fleet).await;
-        let old = Order { generation: 0, version: 7 };
+        let old = EngineOrder { generation: 0, version: 7 };
         for engine in &fleet.engines {
             let told = EngineClient::default().order(engine.address(), old, GUARD).await;
             assert!(told.unwrap().taken);
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -6,7 +6,7 @@
 
 use mulberrycourse::client::Caller;
 use mulberrycourse::decide::{Departure, Leaving};
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::edge::platform::VmState;
 use mulberrycourse::node::{Node, UpstreamState};
 use proptest::prelude::*;
@@ -19,7 +19,8 @@
 
 async fn open(node: &Node, name: &str) -> bool {
     let path = "/v1/state/upstreams";
-    let all: Vec<UpstreamState> = Fetch::default().get(node.admin(), path, WAIT).await.unwrap();
+    let all: Vec<UpstreamState> =
+        JsonClient::default().get(node.admin(), path, WAIT).await.unwrap();
     all.iter().any(|u| &*u.name == name && u.open)
 }
 
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use mulberrycourse::client::Caller;
-use mulberrycourse::edge::http::{Fetch, empty, read};
+use mulberrycourse::edge::http::{JsonClient, empty_body, read_body};
 use mulberrycourse::error::Kind;
 use mulberrycourse::metrics::{Entry, Metrics, PlatformUse, Purpose, RetryReason, Task};
 use mulberrycourse::node::Node;
@@ -16,9 +16,9 @@
 const POLL: Duration = Duration::from_millis(5);
 
 async fn text(at: std::net::SocketAddr, path: &str) -> (StatusCode, Bytes) {
-    let request = Request::get(format!("http://{at}{path}")).body(empty()).unwrap();
-    let response = Fetch::default().send(at, request).await.unwrap();
-    (response.status(), read(response.into_body(), 1 << 20).await.unwrap())
+    let request = Request::get(format!("http://{at}{path}")).body(empty_body()).unwrap();
+    let response = JsonClient::default().send(at, request).await.unwrap();
+    (response.status(), read_body(response.into_body(), 1 << 20).await.unwrap())
 }
 
 /// The value of a series.
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::Stage;
-use mulberrycourse::edge::http::Fetch;
-use mulberrycourse::edge::upstream::{EngineClient, Order, OrderReply};
+use mulberrycourse::edge::http::JsonClient;
+use mulberrycourse::edge::upstream::{EngineClient, EngineOrder, EngineOrderReply};
 use mulberrycourse::node::EngineState;
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
@@ -28,7 +28,8 @@
     let mut states = Vec::new();
     for (index, node) in fleet.nodes.iter().enumerate() {
         let path = "/v1/state/rollout";
-        let told: Vec<EngineState> = Fetch::default().get(node.admin(), path, GUARD).await.unwrap();
+        let told: Vec<EngineState> =
+            JsonClient::default().get(node.admin(), path, GUARD).await.unwrap();
         states.extend(told.into_iter().filter(|s| *s.owner == format!("node-{index}")));
     }
     states.sort_by(|a, b| a.name.cmp(&b.name));
@@ -60,9 +61,9 @@
     count
 }
 
-async fn old_order(fleet: &Fleet, engine: usize) -> OrderReply {
+async fn old_order(fleet: &Fleet, engine: usize) -> EngineOrderReply {
     let address = fleet.engines[engine].address();
-    let old = Order { generation: 0, version: 7 };
+    let old = EngineOrder { generation: 0, version: 7 };
     EngineClient::default().order(address, old, GUARD).await.unwrap()
 }
 
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -5,7 +5,7 @@
 
 use mulberrycourse::client::{Caller, CallerError, Trainer};
 use mulberrycourse::decide::{Prompt, Spec};
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::error::Run;
 use mulberrycourse::node::Addresses;
 use standins::caller::{completion, expected};
@@ -77,7 +77,7 @@
 async fn dead_node_in_a_kept_answer() {
     let mut fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     let first = fleet.callers()[0];
-    let fetch = Fetch::default();
+    let fetch = JsonClient::default();
     while fetch.get::<Addresses>(first, "/v1/addresses", WAIT).await.unwrap().addresses.len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::Caller;
-use mulberrycourse::edge::upstream::Completion;
+use mulberrycourse::edge::upstream::CompletionRequest;
 use standins::caller::{Answered, complete, completion, expected};
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::Fleet;
@@ -39,7 +39,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn two_engines_and_no_more() {
     let fleet = fleet(3, 5).await;
-    let requests: Vec<Completion> =
+    let requests: Vec<CompletionRequest> =
         (0..20).map(|n| completion(&format!("force {n}"), n, 120)).collect();
     let mut innocent = Vec::new();
     for request in &requests {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -6,8 +6,8 @@
 use http::Method;
 use http::StatusCode;
 use mulberrycourse::client::Caller;
-use mulberrycourse::edge::http::{Fetch, full, read};
-use mulberrycourse::edge::upstream::{Completion, Prior};
+use mulberrycourse::edge::http::{JsonClient, full_body, read_body};
+use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
 use standins::caller::{completion, expected};
 use standins::engine::{Engine, EngineSettings, Faults, token};
 use standins::fleet::Fleet;
@@ -68,7 +68,8 @@
     let request = completion("long con", 3, 300);
     let response = opened(at, &request, None).await;
     assert_eq!(response.status(), StatusCode::OK);
-    let (finished, body) = tokio::join!(fleet.nodes[0].stop(), read(response.into_body(), 1 << 20));
+    let (finished, body) =
+        tokio::join!(fleet.nodes[0].stop(), read_body(response.into_body(), 1 << 20));
     assert!(finished);
     let body = String::from_utf8(body.unwrap().to_vec()).unwrap();
     assert!(body.ends_with("data: [DONE]\n\n"));
@@ -105,7 +106,7 @@
     let at = fleet.nodes[0].callers();
     let request = completion("pass", 1, 40);
     let text = token(&request.prompt, request.seed, 0);
-    let request = Completion { prior: Some(Prior { text, tokens: 1 }), ..request };
+    let request = CompletionRequest { prior: Some(PriorOutput { text, tokens: 1 }), ..request };
     for last in ["00000000000000aa/2", "nothing", "00000000000000aa/one", "x y/1"] {
         let response = opened(at, &request, Some(last)).await;
         assert_eq!(response.status(), StatusCode::BAD_REQUEST, "{last}");
@@ -116,17 +117,17 @@
 /// One request of a stream, as a caller without our client makes it.
 async fn opened(
     at: std::net::SocketAddr,
-    request: &Completion,
+    request: &CompletionRequest,
     last: Option<&str>,
 ) -> http::Response<hyper::body::Incoming> {
-    let mut sent = http::Request::new(full(serde_json::to_vec(request).unwrap()));
+    let mut sent = http::Request::new(full_body(serde_json::to_vec(request).unwrap()));
     *sent.method_mut() = Method::POST;
     *sent.uri_mut() = format!("http://{at}/v1/completions").parse().unwrap();
     sent.headers_mut().insert("content-type", "application/json".parse().unwrap());
     if let Some(last) = last {
         sent.headers_mut().insert("last-event-id", last.parse().unwrap());
     }
-    Fetch::default().send(at, sent).await.unwrap()
+    JsonClient::default().send(at, sent).await.unwrap()
 }
 
 /// A whole stream session, byte for byte but for the stream's id: a stream whose engine is cut,
@@ -156,13 +157,13 @@
     let id = last.split('/').next().unwrap().to_owned();
     log.push_str(&events.concat());
     let text = (0..4).map(|i| token(&request.prompt, request.seed, i)).collect();
-    let rest = Completion { prior: Some(Prior { text, tokens: 4 }), ..request };
+    let rest = CompletionRequest { prior: Some(PriorOutput { text, tokens: 4 }), ..request };
     log.push_str(&format!(
         "> last-event-id: {last}\n> {}\n",
         serde_json::to_string(&rest).unwrap()
     ));
     let response = opened(fleet.nodes[1].callers(), &rest, Some(&last)).await;
-    let bytes = read(response.into_body(), 1 << 20).await.unwrap();
+    let bytes = read_body(response.into_body(), 1 << 20).await.unwrap();
     log.push_str(std::str::from_utf8(&bytes).unwrap());
     assert!(log.ends_with("data: [DONE]\n\n"), "{log}");
     insta::assert_snapshot!(log.replace(&id, "STREAM"));
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -8,7 +8,7 @@
 use http::Method;
 use mulberrycourse::client::{AddressBook, StepReport, Trainer};
 use mulberrycourse::decide::{Group, Prompt, Ranges, Spec};
-use mulberrycourse::edge::http::{Fetch, FetchError};
+use mulberrycourse::edge::http::{JsonClient, JsonClientError};
 use mulberrycourse::node::{Pull, Pulled, Submit};
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
@@ -69,9 +69,9 @@
     method: Method,
     path: &str,
     value: &impl serde::Serialize,
-) -> Result<T, FetchError> {
+) -> Result<T, JsonClientError> {
     let path = format!("/v1/trainers/coach/steps/{path}");
-    Fetch::default().call(at, method, &path, value, GUARD).await
+    JsonClient::default().call(at, method, &path, value, GUARD).await
 }
 
 async fn submit(at: SocketAddr, step: u64, spec: &Spec, have: Ranges) {
--- a/tests/vms_list.rs
+++ b/tests/vms_list.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use mulberrycourse::edge::platform::{Platform, VmState};
+use mulberrycourse::edge::platform::{PlatformClient, VmState};
 use mulberrycourse::metrics::{Metrics, Purpose};
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
@@ -18,7 +18,7 @@
 async fn an_unchanged_list_is_not_sent_again() {
     let fleet = Fleet::spawn(0, 4, EngineSettings::default()).await.unwrap();
     let metrics = Arc::new(Metrics::default());
-    let platform = Platform::new(fleet.platform.address(), WAIT, metrics.clone());
+    let platform = PlatformClient::new(fleet.platform.address(), WAIT, metrics.clone());
     let bytes = || metrics.traffic(Purpose::Platform).bytes_received();
     let first = platform.vms().await.unwrap();
     assert_eq!(first, fleet.vms());
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -5,7 +5,7 @@
 
 use mulberrycourse::Name;
 use mulberrycourse::decide::{Ended, Fleet, Listed, Waiting, Want};
-use mulberrycourse::edge::replica::{Load, Target};
+use mulberrycourse::edge::replica::{ReplicaLoad, Target};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -18,7 +18,7 @@
     for i in 0..replicas {
         let address = std::net::SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
         fleet.list(Listed {
-            target: Target { id: format!("r{i:04}").into(), address, born: None },
+            target: Target { id: format!("r{i:04}").into(), address, started_ms: None },
             service: "engines".into(),
             zone: "z".into(),
             slots: SLOTS,
@@ -49,7 +49,7 @@
         let mut given = Vec::new();
         for id in due.remove(&millis).unwrap_or_default() {
             // Other homes have two texts there.
-            fleet.load(&id, Load { running: running[&id] + 2, waiting: 0 }, now);
+            fleet.load(&id, ReplicaLoad { running: running[&id] + 2, waiting: 0 }, now);
             if heads {
                 given.extend(waiting.offer(&id, &mut fleet, now));
             }
@@ -138,7 +138,7 @@
                         fleet.end(&id, None, Ended::Dropped, now);
                         running.insert(id.clone().into(), own - 1);
                     }
-                    fleet.load(&id, Load { running: own.saturating_sub(1), waiting: 0 }, now);
+                    fleet.load(&id, ReplicaLoad { running: own.saturating_sub(1), waiting: 0 }, now);
                     waiting.offer(&id, &mut fleet, now)
                 }
                 _ => waiting.pump(&mut fleet, now),
