--- a/src/node/claims/store.rs
+++ b/src/node/claims/store.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use crate::decide::claim::{FORMAT, Head, RING, Segment, Swapped};
+use crate::decide::claim::{FORMAT_VERSION, PartitionHead, SEGMENT_SLOTS, Segment, SwapResult};
 use crate::edge::peer::{decode, encode};
 use crate::edge::platform::{PlatformClient, SwapOutcome, VersionedValue};
 use crate::metrics::PlatformUse;
@@ -13,14 +13,14 @@
 
 /// The place of a segment in the ring; 16 neighbours share all but the last digit.
 fn place(partition: u16, number: u64) -> String {
-    format!("claims/{partition:02x}/segment/{:03x}", number % RING)
+    format!("claims/{partition:02x}/segment/{:03x}", number % SEGMENT_SLOTS)
 }
 
 /// Reads the head, with its revision.
 pub(super) async fn head(
     platform: &PlatformClient,
     partition: u16,
-) -> Result<Option<(Head, u64)>, ()> {
+) -> Result<Option<(PartitionHead, u64)>, ()> {
     match platform.get(&head_key(partition), PlatformUse::Claim).await {
         Ok(None) => Ok(None),
         Ok(Some(kept)) => parsed(&kept).map(|head| Some((head, kept.revision))),
@@ -54,37 +54,37 @@
     platform: &PlatformClient,
     partition: u16,
     expected: u64,
-    head: &Head,
+    head: &PartitionHead,
     full: Option<Segment>,
-) -> Swapped {
+) -> SwapResult {
     let also: Result<Vec<_>, _> =
         full.iter().map(|s| encode(s).map(|bytes| (place(partition, s.number), bytes))).collect();
     let (Ok(value), Ok(also)) = (encode(head), also) else {
         tracing::error!(event = "claim_unencodable", partition);
-        return Swapped::Unsent;
+        return SwapResult::Unsent;
     };
     let key = head_key(partition);
     match platform.compare_and_swap(&key, expected, value, also, PlatformUse::Claim).await {
-        SwapOutcome::Done(revision) => Swapped::Done(revision),
-        SwapOutcome::Conflict(None) => Swapped::Conflict(None),
+        SwapOutcome::Done(revision) => SwapResult::Done(revision),
+        SwapOutcome::Conflict(None) => SwapResult::Conflict(None),
         SwapOutcome::Conflict(Some(kept)) => {
             let found = parsed(&kept).ok().map(|head| (head, kept.revision));
-            Swapped::Conflict(found)
+            SwapResult::Conflict(found)
         }
         SwapOutcome::Unknown(reason) => {
             tracing::warn!(event = "claim_commit_unknown", partition, reason);
-            Swapped::Unknown
+            SwapResult::Unknown
         }
         SwapOutcome::Unsent(reason) => {
             tracing::warn!(event = "claim_commit_unsent", partition, reason);
-            Swapped::Unsent
+            SwapResult::Unsent
         }
     }
 }
 
-fn parsed(kept: &VersionedValue) -> Result<Head, ()> {
-    match decode::<Head>(&kept.value) {
-        Ok(head) if head.format == FORMAT => Ok(head),
+fn parsed(kept: &VersionedValue) -> Result<PartitionHead, ()> {
+    match decode::<PartitionHead>(&kept.value) {
+        Ok(head) if head.format == FORMAT_VERSION => Ok(head),
         Ok(head) => {
             tracing::error!(event = "claim_format", key = kept.key, format = head.format);
             Err(())
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -76,7 +76,7 @@
                 NodeReply::Acknowledged
             }
             NodeRequest::Claim(ask) => NodeReply::Verdict(claims::verdict(app, ask).await),
-            NodeRequest::CallEnded { key, nonce, end } => {
+            NodeRequest::CallEnded { key, nonce, outcome: end } => {
                 NodeReply::Recorded(claims::ended(app, key, nonce, end))
             }
             NodeRequest::Attempt(nonce) => NodeReply::Attempt(claims::attempt(app, nonce)),
