--- a/src/entry/counted.rs
+++ b/src/entry/counted_store.rs
@@ -14,13 +14,13 @@
 
 /// The store behind it, and where calls are counted.
 #[derive(Debug)]
-pub(super) struct Counted {
+pub(super) struct CountedStore {
     store: Arc<dyn Store>,
     notices: Arc<dyn StoreSchema>,
     tally: Arc<Tally>,
 }
 
-impl Counted {
+impl CountedStore {
     /// Counts the calls to a store.
     pub(super) fn new(
         store: Arc<dyn Store>,
@@ -72,8 +72,13 @@
     }
 }
 
+<<<<<<< HEAD:src/entry/counted.rs
 impl Store for Counted {
     fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
+=======
+impl Store for CountedStore {
+    fn get(&self, key: &str) -> Answer<Option<Item>> {
+>>>>>>> wording:src/entry/counted_store.rs
         self.count(StoreCall::Get, self.purpose(key), self.store.get(key))
     }
 
--- a/src/entry/follow/mod.rs
+++ b/src/entry/follow/mod.rs
@@ -1,13 +1,13 @@
-//! What a node believes of the configuration, the replicas and the other nodes: from its own
-//! watch of the store, or from a node that watches for others.
+//! Keeps this node's view of the configuration, the replicas and the other nodes current, by a
+//! watch of the store or by updates from a node that watches the store for others.
 
 mod apply;
 mod feed;
-mod follow;
-mod source;
+mod follower;
+mod sources;
 mod topic;
 
-pub use feed::{Feed, News};
-pub(super) use follow::follow;
-pub(super) use source::Feeds;
+pub use feed::{Feed, FeedUpdate};
+pub(super) use follower::follow;
+pub(super) use sources::Feeds;
 pub(super) use topic::Topic;
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use super::detour::Detour;
-use super::message::{StoreAsk, StoreReply};
+use super::fallback_store::FallbackStore;
+use super::messages::{StoreReply, StoreRequest};
 use crate::Name;
 use crate::edge::store::{KeyValue, RangeResult, Store, StoreFuture, Txn, TxnOutcome, WatchBatch};
 
@@ -19,6 +19,7 @@
     };
 }
 
+<<<<<<< HEAD
 impl Store for Detour {
     fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         let ask = StoreAsk::Get(Name::from(key));
@@ -27,15 +28,26 @@
 
     fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
         let ask = StoreAsk::Range(Name::from(prefix));
+=======
+impl Store for FallbackStore {
+    fn get(&self, key: &str) -> Answer<Option<Item>> {
+        let ask = StoreRequest::Get(Name::from(key));
+        Box::pin(self.clone().call(self.direct.get(key), ask, true, reply!(Item)))
+    }
+
+    fn range(&self, prefix: &str) -> Answer<Page> {
+        let ask = StoreRequest::Range(Name::from(prefix));
+>>>>>>> wording
         Box::pin(self.clone().call(self.direct.range(prefix), ask, true, reply!(Page)))
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> StoreFuture<WatchBatch> {
         let direct = self.until_closed(self.direct.watch(prefix, after, wait));
-        let ask = StoreAsk::Watch { prefix: prefix.into(), after, wait: wait.min(WATCH) };
+        let ask = StoreRequest::Watch { prefix: prefix.into(), after, wait: wait.min(WATCH) };
         Box::pin(self.clone().call(direct, ask, false, reply!(Watched)))
     }
 
+<<<<<<< HEAD
     fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
         let ask = StoreAsk::Txn(txn.clone());
         Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
@@ -49,11 +61,31 @@
     fn renew(&self, lease: u64) -> StoreFuture<bool> {
         let ask = StoreAsk::Keep(lease);
         Box::pin(self.clone().call(self.direct.renew(lease), ask, true, reply!(Kept)))
+=======
+    fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
+        let ask = StoreRequest::Txn(txn.clone());
+        Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
+    }
+
+    fn grant(&self, ttl: Duration) -> Answer<u64> {
+        let ask = StoreRequest::Grant(ttl);
+        Box::pin(self.clone().call(self.direct.grant(ttl), ask, true, reply!(Lease)))
+    }
+
+    fn keep(&self, lease: u64) -> Answer<bool> {
+        let ask = StoreRequest::Keep(lease);
+        Box::pin(self.clone().call(self.direct.keep(lease), ask, true, reply!(Kept)))
+>>>>>>> wording
     }
 
     fn revoke(&self, lease: u64) -> StoreFuture<()> {
         let open = |reply| matches!(reply, StoreReply::Ended).then_some(());
+<<<<<<< HEAD
         let ask = StoreAsk::End(lease);
         Box::pin(self.clone().call(self.direct.revoke(lease), ask, true, open))
+=======
+        let ask = StoreRequest::End(lease);
+        Box::pin(self.clone().call(self.direct.end(lease), ask, true, open))
+>>>>>>> wording
     }
 }
--- a/src/entry/usage/mod.rs
+++ b/src/entry/usage/mod.rs
@@ -1,9 +1,10 @@
-//! Usage: each node counts what it sends, the holder of duties gathers and reports it.
+//! Usage accounting: each node counts the requests that it sends, and the leader collects the
+//! counts of all nodes and reports them to the platform.
 
 mod meter;
-mod note;
 mod report;
+mod sharing;
 
 pub(super) use meter::Usage;
-pub(super) use note::send_notes;
-pub(super) use report::report;
+pub(super) use report::report_usage;
+pub(super) use sharing::share_counts;
--- a/src/node/claims/ask.rs
+++ b/src/node/claims/ask.rs
@@ -188,7 +188,7 @@
     }
     let Some(to) = app.members.address(home) else { return false };
     let told =
-        app.peers.request(to, &NodeRequest::CallEnded { key, nonce, revoke: end }, WORD).await;
+        app.peers.request(to, &NodeRequest::CallEnded { key, nonce, outcome: end }, WORD).await;
     matches!(told, Ok(NodeReply::Recorded(true)))
 }
 
