--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -72,13 +72,8 @@
     }
 }
 
-<<<<<<< HEAD:src/entry/counted.rs
-impl Store for Counted {
-    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
-=======
 impl Store for CountedStore {
-    fn get(&self, key: &str) -> Answer<Option<Item>> {
->>>>>>> wording:src/entry/counted_store.rs
+    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         self.count(StoreCall::Get, self.purpose(key), self.store.get(key))
     }
 
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -15,13 +15,8 @@
 const REPLICA_RETURN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl App {
-<<<<<<< HEAD
-    /// Takes over the whole.
-    pub(super) fn load(self: &Arc<Self>, topic: Topic, page: &RangeResult, prefix: &str) {
-=======
     /// Replaces the state of a topic by everything that the store has under its prefix.
-    pub(super) fn apply_snapshot(self: &Arc<Self>, topic: Topic, page: &Page, prefix: &str) {
->>>>>>> wording
+    pub(super) fn apply_snapshot(self: &Arc<Self>, topic: Topic, page: &RangeResult, prefix: &str) {
         match topic {
             Topic::Replicas => self.replace_replicas(page, prefix),
             Topic::Nodes => {
@@ -36,13 +31,8 @@
         self.notify_view_change();
     }
 
-<<<<<<< HEAD
-    /// Takes over changes.
-    pub(super) fn catch_up(&self, topic: Topic, watched: &WatchBatch) {
-=======
     /// Applies changes of a topic.
-    pub(super) fn apply_changes(&self, topic: Topic, watched: &Watched) {
->>>>>>> wording
+    pub(super) fn apply_changes(&self, topic: Topic, watched: &WatchBatch) {
         if watched.changes.is_empty() {
             return;
         }
@@ -79,13 +69,8 @@
             .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
 
-<<<<<<< HEAD
-    fn notice(&self, item: &KeyValue) {
+    fn apply_notice(&self, item: &KeyValue) {
         match self.notices.parse_directive(&item.key, &item.value) {
-=======
-    fn apply_notice(&self, item: &Item) {
-        match self.notices.notice(&item.key, &item.value) {
->>>>>>> wording
             Ok(None) => {}
             Ok(Some(Directive::Routes(routes))) => {
                 let mut current = self.routes.lock();
@@ -107,13 +92,8 @@
         }
     }
 
-<<<<<<< HEAD
-    fn list(&self, item: &KeyValue) {
+    fn add_replica(&self, item: &KeyValue) {
         match self.notices.parse_replica(&item.key, &item.value) {
-=======
-    fn add_replica(&self, item: &Item) {
-        match self.notices.replica(&item.key, &item.value) {
->>>>>>> wording
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
                 if self.slots.fleet.lock().list(listed) {
@@ -134,20 +114,12 @@
         }
     }
 
-<<<<<<< HEAD
-    /// Takes over the whole list. Who is missing is gone; after an outage of the store only
-    /// once [`LAPSE`] is over, for entries also lapse while the store is away. Entries that
-    /// come back show in what is followed, so nobody asks for them one by one: a call for each
-    /// missing replica at each of 250 nodes came to 57,000 in two outages.
-    fn relist(self: &Arc<Self>, page: &RangeResult, prefix: &str) {
-=======
     /// Replaces the list of replicas. Replicas that are not on the new list are removed; after an
     /// outage of the store only once [`REPLICA_RETURN_TIMEOUT`] is over, because entries expire
     /// during the outage as well. Entries that are written again arrive through the feed, so the
     /// store is not asked for each of them: one call for each missing replica on each of 250
     /// nodes came to 57,000 calls in two outages.
-    fn replace_replicas(self: &Arc<Self>, page: &Page, prefix: &str) {
->>>>>>> wording
+    fn replace_replicas(self: &Arc<Self>, page: &RangeResult, prefix: &str) {
         let mut missing = self.slots.fleet.lock().ids();
         for item in &page.items {
             self.add_replica(item);
--- a/src/entry/follow/feed.rs
+++ b/src/entry/follow/feed.rs
@@ -28,42 +28,24 @@
 
 /// An update of a prefix for a node that follows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-<<<<<<< HEAD
-pub enum News {
-    /// All of it.
-    Whole {
-        /// The keys.
-        page: RangeResult,
-        /// How long ago the store was last heard of it.
-        age: Duration,
-    },
-    /// What has changed.
-    Changes(WatchBatch),
-=======
 pub enum FeedUpdate {
     /// Everything under the prefix.
     Snapshot {
         /// The keys and values.
-        page: Page,
+        page: RangeResult,
         /// How long ago the copy was last confirmed by the store.
         age: Duration,
     },
     /// The changes since a revision.
-    Changes(Watched),
->>>>>>> wording
+    Changes(WatchBatch),
 }
 
 impl FeedUpdate {
     /// Returns the size of all values in it, in bytes.
     pub(super) fn bytes(&self) -> usize {
         match self {
-<<<<<<< HEAD
-            Self::Whole { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
-            Self::Changes(watched) => watched.changes.iter().map(Change::value_bytes).sum(),
-=======
             Self::Snapshot { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
-            Self::Changes(watched) => watched.changes.iter().map(Change::bytes).sum(),
->>>>>>> wording
+            Self::Changes(watched) => watched.changes.iter().map(Change::value_bytes).sum(),
         }
     }
 }
@@ -87,17 +69,10 @@
     /// The last changes, oldest first.
     changes: VecDeque<Change>,
     /// The bytes of the values in `changes`.
-<<<<<<< HEAD
-    bytes: usize,
-    items: BTreeMap<Name, KeyValue>,
-    /// When it was last heard of; none before the first time.
-    heard: Option<Instant>,
-=======
     change_bytes: usize,
-    items: BTreeMap<Name, Item>,
+    items: BTreeMap<Name, KeyValue>,
     /// When the store last confirmed the copy. None before the first snapshot.
     updated: Option<Instant>,
->>>>>>> wording
 }
 
 impl Default for Feed {
@@ -107,32 +82,18 @@
 }
 
 impl Feed {
-<<<<<<< HEAD
-    /// The whole was read from the store, and is watched from there.
-    pub fn open(&self, page: &RangeResult) {
-        self.set(page, true);
-    }
-
-    /// The whole was heard from another node, so long ago.
-    pub fn copy(&self, page: &RangeResult, age: Duration) {
-=======
     /// Replaces the copy by a snapshot from the store, from which this node goes on to watch.
-    pub fn begin_watch(&self, page: &Page) {
+    pub fn begin_watch(&self, page: &RangeResult) {
         self.set(page, true);
     }
 
     /// Replaces the copy by a snapshot from another node, which had it from the store `age` ago.
-    pub fn copy_from_peer(&self, page: &Page, age: Duration) {
->>>>>>> wording
+    pub fn copy_from_peer(&self, page: &RangeResult, age: Duration) {
         self.set(page, false);
         self.state.lock().updated = Instant::now().checked_sub(age);
     }
 
-<<<<<<< HEAD
-    fn set(&self, page: &RangeResult, open: bool) {
-=======
-    fn set(&self, page: &Page, watched: bool) {
->>>>>>> wording
+    fn set(&self, page: &RangeResult, watched: bool) {
         let items = page.items.iter().map(|item| (item.key.clone(), item.clone())).collect();
         *self.state.lock() = State {
             watched,
@@ -152,13 +113,8 @@
         self.notify();
     }
 
-<<<<<<< HEAD
-    /// These have changed since.
-    pub fn add(&self, watched: &WatchBatch) {
-=======
     /// Applies changes that follow the present revision.
-    pub fn apply(&self, watched: &Watched) {
->>>>>>> wording
+    pub fn apply(&self, watched: &WatchBatch) {
         let mut state = self.state.lock();
         for change in &watched.changes {
             match change {
@@ -228,11 +184,7 @@
         }
         let changes = state.changes.iter().filter(|change| change.revision() > after);
         let changes = changes.cloned().collect();
-<<<<<<< HEAD
-        Some(News::Changes(WatchBatch { changes, revision: state.revision.max(after) }))
-=======
-        Some(FeedUpdate::Changes(Watched { changes, revision: state.revision.max(after) }))
->>>>>>> wording
+        Some(FeedUpdate::Changes(WatchBatch { changes, revision: state.revision.max(after) }))
     }
 
     fn notify(&self) {
@@ -245,33 +197,20 @@
     /// whatever its size.
     fn retain(&mut self, changes: &[Change]) {
         for change in changes {
-<<<<<<< HEAD
-            self.bytes += change.value_bytes();
-=======
-            self.change_bytes += change.bytes();
->>>>>>> wording
+            self.change_bytes += change.value_bytes();
             self.changes.push_back(change.clone());
         }
         while self.changes.len() > MAX_RETAINED_CHANGES
             || (self.changes.len() > 1 && self.change_bytes > MAX_RETAINED_BYTES)
         {
             let Some(change) = self.changes.pop_front() else { return };
-<<<<<<< HEAD
-            self.bytes -= change.value_bytes();
-            self.floor = change.revision();
-=======
-            self.change_bytes -= change.bytes();
+            self.change_bytes -= change.value_bytes();
             self.complete_after = change.revision();
->>>>>>> wording
         }
     }
 
     fn snapshot(&self, age: Duration) -> FeedUpdate {
         let items = self.items.values().cloned().collect();
-<<<<<<< HEAD
-        News::Whole { page: RangeResult { items, revision: self.revision }, age }
-=======
-        FeedUpdate::Snapshot { page: Page { items, revision: self.revision }, age }
->>>>>>> wording
+        FeedUpdate::Snapshot { page: RangeResult { items, revision: self.revision }, age }
     }
 }
--- a/src/entry/follow/sources.rs
+++ b/src/entry/follow/sources.rs
@@ -14,7 +14,7 @@
 
 use super::feed::{Feed, FeedUpdate};
 use crate::decide::{rank, score};
-use crate::edge::store::Page;
+use crate::edge::store::RangeResult;
 use crate::entry::app::App;
 use crate::entry::peer::FeedTopic;
 use crate::{Moment, Name};
@@ -156,7 +156,7 @@
             (*seed, self.fetch_snapshot_from(*seed, topic, Duration::ZERO).await)
         });
         let mut replies: FuturesUnordered<_> = requests.collect();
-        let mut best: Option<(Duration, Page, SocketAddr)> = None;
+        let mut best: Option<(Duration, RangeResult, SocketAddr)> = None;
         while let Some((seed, update)) = replies.next().await {
             let Some(FeedUpdate::Snapshot { page, age }) = update else { continue };
             if best.as_ref().is_none_or(|(known, ..)| age < *known) {
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -38,19 +38,11 @@
     /// Returns the prefix of its keys in the store.
     pub(super) fn prefix(self, app: &App) -> String {
         match self {
-<<<<<<< HEAD
             Self::Routes => app.notices.routes_prefix().to_owned(),
             Self::Versions => app.notices.versions_prefix().to_owned(),
             Self::Retirements => app.notices.retirements_prefix().to_owned(),
             Self::Replicas => app.notices.replicas_prefix().to_owned(),
-            Self::Live => LIVE.to_owned(),
-=======
-            Self::Routes => app.notices.routes().to_owned(),
-            Self::Versions => app.notices.versions().to_owned(),
-            Self::Retirements => app.notices.retirements().to_owned(),
-            Self::Replicas => app.notices.replicas().to_owned(),
             Self::Nodes => LIVE.to_owned(),
->>>>>>> wording
         }
     }
 
--- a/src/entry/member.rs
+++ b/src/entry/member.rs
@@ -38,19 +38,11 @@
     let value = serde_json::to_vec(&value).map_err(|e| StoreError::Refused(e.to_string()))?;
     let key = node(&app.settings.name);
     let txn = Txn::default().put_leased(key, value, lease);
-<<<<<<< HEAD
     let TxnOutcome::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
-    *app.lease.lock() = Lease { id: lease, until: sent + ttl, key: written };
-    app.listed.store(true, Ordering::Relaxed);
-    tracing::info!(event = "node_listed", life = %app.life, lease);
-    app.tell();
-=======
-    let TxnEnd::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
     *app.lease.lock() = Lease { id: lease, valid_until: sent + ttl, key_revision: written };
     app.registered.store(true, Ordering::Relaxed);
     tracing::info!(event = "node_listed", life = %app.incarnation, lease);
     app.notify_view_change();
->>>>>>> wording
     let mut pause = ttl / RENEWALS;
     loop {
         tokio::select! {
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -162,13 +162,8 @@
     /// Makes a call. `again` for one that may be made more than once.
     pub(super) async fn call<T>(
         self,
-<<<<<<< HEAD:src/entry/peer/detour.rs
         direct: StoreFuture<T>,
-        ask: StoreAsk,
-=======
-        direct: Answer<T>,
         ask: StoreRequest,
->>>>>>> wording:src/entry/peer/fallback_store.rs
         again: bool,
         open: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -8,15 +8,9 @@
 use crate::Name;
 use crate::decide::job::Spec;
 use crate::decide::usage::WindowNote;
-<<<<<<< HEAD:src/entry/peer/message.rs
 use crate::edge::peer::PeerMessage;
 use crate::edge::store::{KeyValue, RangeResult, StoreError, Txn, TxnOutcome, WatchBatch};
-use crate::entry::follow::News;
-=======
-use crate::edge::peer::Message;
-use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
 use crate::entry::follow::FeedUpdate;
->>>>>>> wording:src/entry/peer/messages.rs
 use crate::entry::read::Read;
 use crate::entry::submit::Submitted;
 use crate::metrics::PeerUse;
@@ -168,11 +162,7 @@
     Ended,
 }
 
-<<<<<<< HEAD:src/entry/peer/message.rs
-impl PeerMessage for PeerAsk {
-=======
-impl Message for PeerRequest {
->>>>>>> wording:src/entry/peer/messages.rs
+impl PeerMessage for PeerRequest {
     type Reply = PeerReply;
 }
 
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -51,9 +51,9 @@
 }
 
 impl PeerHandler for PeerResponder {
-    type Asked = PeerRequest;
+    type Request = PeerRequest;
 
-    async fn reply(self: Arc<Self>, ask: PeerRequest) -> PeerReply {
+    async fn handle(self: Arc<Self>, ask: PeerRequest) -> PeerReply {
         self.answer(ask).await
     }
 
@@ -140,8 +140,8 @@
             }
             StoreRequest::Txn(txn) => store.txn(txn).await.map(StoreReply::Txn),
             StoreRequest::Grant(ttl) => store.grant(ttl).await.map(StoreReply::Lease),
-            StoreRequest::Keep(lease) => store.keep(lease).await.map(StoreReply::Kept),
-            StoreRequest::End(lease) => store.end(lease).await.map(|()| StoreReply::Ended),
+            StoreRequest::Keep(lease) => store.renew(lease).await.map(StoreReply::Kept),
+            StoreRequest::End(lease) => store.revoke(lease).await.map(|()| StoreReply::Ended),
         }
     }
 }
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -19,25 +19,14 @@
     };
 }
 
-<<<<<<< HEAD
-impl Store for Detour {
-    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
-        let ask = StoreAsk::Get(Name::from(key));
-        Box::pin(self.clone().call(self.direct.get(key), ask, true, reply!(Item)))
-    }
-
-    fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
-        let ask = StoreAsk::Range(Name::from(prefix));
-=======
 impl Store for FallbackStore {
-    fn get(&self, key: &str) -> Answer<Option<Item>> {
+    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         let ask = StoreRequest::Get(Name::from(key));
         Box::pin(self.clone().call(self.direct.get(key), ask, true, reply!(Item)))
     }
 
-    fn range(&self, prefix: &str) -> Answer<Page> {
+    fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
         let ask = StoreRequest::Range(Name::from(prefix));
->>>>>>> wording
         Box::pin(self.clone().call(self.direct.range(prefix), ask, true, reply!(Page)))
     }
 
@@ -47,45 +36,24 @@
         Box::pin(self.clone().call(direct, ask, false, reply!(Watched)))
     }
 
-<<<<<<< HEAD
     fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
-        let ask = StoreAsk::Txn(txn.clone());
-        Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
-    }
-
-    fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
-        let ask = StoreAsk::Grant(ttl);
-        Box::pin(self.clone().call(self.direct.grant(ttl), ask, true, reply!(Lease)))
-    }
-
-    fn renew(&self, lease: u64) -> StoreFuture<bool> {
-        let ask = StoreAsk::Keep(lease);
-        Box::pin(self.clone().call(self.direct.renew(lease), ask, true, reply!(Kept)))
-=======
-    fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
         let ask = StoreRequest::Txn(txn.clone());
         Box::pin(self.clone().call(self.direct.txn(txn), ask, false, reply!(Txn)))
     }
 
-    fn grant(&self, ttl: Duration) -> Answer<u64> {
+    fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
         let ask = StoreRequest::Grant(ttl);
         Box::pin(self.clone().call(self.direct.grant(ttl), ask, true, reply!(Lease)))
     }
 
-    fn keep(&self, lease: u64) -> Answer<bool> {
+    fn renew(&self, lease: u64) -> StoreFuture<bool> {
         let ask = StoreRequest::Keep(lease);
-        Box::pin(self.clone().call(self.direct.keep(lease), ask, true, reply!(Kept)))
->>>>>>> wording
+        Box::pin(self.clone().call(self.direct.renew(lease), ask, true, reply!(Kept)))
     }
 
     fn revoke(&self, lease: u64) -> StoreFuture<()> {
         let open = |reply| matches!(reply, StoreReply::Ended).then_some(());
-<<<<<<< HEAD
-        let ask = StoreAsk::End(lease);
-        Box::pin(self.clone().call(self.direct.revoke(lease), ask, true, open))
-=======
         let ask = StoreRequest::End(lease);
-        Box::pin(self.clone().call(self.direct.end(lease), ask, true, open))
->>>>>>> wording
+        Box::pin(self.clone().call(self.direct.revoke(lease), ask, true, open))
     }
 }
--- a/src/entry/remote_jobs.rs
+++ b/src/entry/remote_jobs.rs
@@ -77,13 +77,8 @@
 
 impl RemoteJobState {
     /// Takes over results, if they begin where the known ones end.
-<<<<<<< HEAD:src/entry/views.rs
     pub(super) fn add(&mut self, job: &str, item: &KeyValue) {
-        if *item.key != *results(job, self.listed.len()) {
-=======
-    pub(super) fn add(&mut self, job: &str, item: &Item) {
         if *item.key != *results(job, self.results.len()) {
->>>>>>> wording:src/entry/remote_jobs.rs
             return;
         }
         let config = bincode::config::standard();
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -145,13 +145,8 @@
                 continue;
             }
             let end = self.order(&order).await;
-<<<<<<< HEAD:src/entry/scale/order.rs
-            let (at, taken) = (self.app.now(), end == DutyOutcome::Done);
-            let sent = Sent { desired: order.desired, at, taken };
-=======
-            let (sent_at, accepted) = (self.app.now(), end == DutyEnd::Done);
+            let (sent_at, accepted) = (self.app.now(), end == DutyOutcome::Done);
             let sent = SentOrder { desired: order.desired, sent_at, accepted };
->>>>>>> wording:src/entry/scale/orders.rs
             self.sent.insert((order.service, order.zone), sent);
             if end == DutyOutcome::Refused
                 && let Some(planner) = self.planners.get_mut(&limits.service)
@@ -171,18 +166,11 @@
         unsent || (there != order.desired && elapsed > limits.boot + REORDER_DELAY)
     }
 
-<<<<<<< HEAD:src/entry/scale/order.rs
+    /// Sends an order to the platform.
     async fn order(&self, order: &ScaleOrder) -> DutyOutcome {
         let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
-        *self.app.ordered.lock() = Some(self.app.now());
-        let end = self.app.duties.order_scale(term, order.clone(), CALL).await;
-=======
-    /// Sends an order to the platform.
-    async fn order(&self, order: &ScaleOrder) -> DutyEnd {
-        let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
         *self.app.last_duty.lock() = Some(self.app.now());
-        let end = self.app.duties.scale(term, order.clone(), ORDER_TIMEOUT).await;
->>>>>>> wording:src/entry/scale/orders.rs
+        let end = self.app.duties.order_scale(term, order.clone(), ORDER_TIMEOUT).await;
         self.app.tally.scale(end);
         tracing::info!(
             event = "replicas_ordered",
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -43,15 +43,9 @@
         self.agreed.lock().read(reading.since_boot, reading.since_epoch)
     }
 
-<<<<<<< HEAD
-    /// What another node says the time is.
-    pub(in crate::entry) fn hear(&self, node: &Name, time: Duration) {
-        let running = self.clock.read().since_boot;
-=======
     /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
-        let running = self.clock.read().running;
->>>>>>> wording
+        let running = self.clock.read().since_boot;
         self.agreed.lock().hear(node, time, running);
     }
 
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -139,25 +139,14 @@
             }
             let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
             let report = UsageReport { window, counts: fixed.counts.clone() };
-<<<<<<< HEAD
-            *self.app.ordered.lock() = Some(self.app.now());
-            let end = self.app.duties.report_usage(term, report, CALL).await;
-            self.app.tally.usage(end);
-            tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
-            match end {
-                DutyOutcome::Done => return Course::On,
-                DutyOutcome::Fenced => return Course::Over,
-                DutyOutcome::Refused | DutyOutcome::Unknown => {}
-=======
             *self.app.last_duty.lock() = Some(self.app.now());
-            let end = self.app.duties.report(term, report, REPORT_TIMEOUT).await;
+            let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
             self.app.tally.usage(end);
             tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
             match end {
-                DutyEnd::Done => return TermState::Current,
-                DutyEnd::Fenced => return TermState::Over,
-                DutyEnd::Refused | DutyEnd::Unknown => {}
->>>>>>> wording
+                DutyOutcome::Done => return TermState::Current,
+                DutyOutcome::Fenced => return TermState::Over,
+                DutyOutcome::Refused | DutyOutcome::Unknown => {}
             }
             tokio::time::sleep(retry_delay).await;
             retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -75,15 +75,9 @@
                 app.upstreams.left(app, departures);
                 NodeReply::Acknowledged
             }
-<<<<<<< HEAD
             NodeRequest::Claim(ask) => NodeReply::Verdict(claims::verdict(app, ask).await),
             NodeRequest::CallEnded { key, nonce, outcome: end } => {
                 NodeReply::Recorded(claims::ended(app, key, nonce, end))
-=======
-            Request::Claim(ask) => Reply::Verdict(claims::verdict(app, ask).await),
-            Request::Ended { key, nonce, end } => {
-                Reply::Recorded(claims::ended(app, key, nonce, end))
->>>>>>> wording
             }
             NodeRequest::Attempt(nonce) => NodeReply::Attempt(claims::attempt(app, nonce)),
             NodeRequest::Suspects(all) => {
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -10,15 +10,10 @@
 use mulberrycourse::decide::scale::Autoscale;
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
-<<<<<<< HEAD
 use mulberrycourse::edge::schema::Directive;
-use mulberrycourse::entry::{App, Ask, Entry, PeerAsk, PeerReply, Peers, Ports, Read, Submitted};
-=======
-use mulberrycourse::edge::notice::Notice;
 use mulberrycourse::entry::{
     App, Ask, EntryNode, PeerReply, PeerRequest, Peers, Ports, Read, Submitted,
 };
->>>>>>> wording
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
 use standins::kv::{Faults, KvLine, KvService, Words};
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -2,13 +2,8 @@
 
 use std::time::Duration;
 
-<<<<<<< HEAD
 use mulberrycourse::edge::store::{Change, KeyValue, RangeResult, WatchBatch};
-use mulberrycourse::entry::{Feed, News};
-=======
-use mulberrycourse::edge::store::{Change, Item, Page, Watched};
 use mulberrycourse::entry::{Feed, FeedUpdate};
->>>>>>> wording
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::ZERO;
@@ -26,11 +21,7 @@
 }
 
 /// The changes that were heard; none where it was the whole, or nothing.
-<<<<<<< HEAD
-fn changes(news: Option<News>) -> Option<WatchBatch> {
-=======
-fn changes(news: Option<FeedUpdate>) -> Option<Watched> {
->>>>>>> wording
+fn changes(news: Option<FeedUpdate>) -> Option<WatchBatch> {
     match news? {
         FeedUpdate::Changes(watched) => Some(watched),
         FeedUpdate::Snapshot { .. } => None,
@@ -44,23 +35,13 @@
 #[tokio::test(start_paused = true)]
 async fn a_feed_that_is_closed_or_too_young_says_nothing() {
     let feed = Feed::default();
-<<<<<<< HEAD
-    assert_eq!(feed.after(0, NOW).await, None);
-    feed.open(&page(5));
-    assert_eq!(changes(feed.after(4, NOW).await), None);
-    let none = WatchBatch { changes: Vec::new(), revision: 5 };
-    assert_eq!(changes(feed.after(5, NOW).await), Some(none));
-    feed.close();
-    assert_eq!(feed.after(5, NOW).await, None);
-=======
     assert_eq!(feed.wait_for_update(0, NOW).await, None);
     feed.begin_watch(&page(5));
     assert_eq!(changes(feed.wait_for_update(4, NOW).await), None);
-    let none = Watched { changes: Vec::new(), revision: 5 };
+    let none = WatchBatch { changes: Vec::new(), revision: 5 };
     assert_eq!(changes(feed.wait_for_update(5, NOW).await), Some(none));
     feed.end_watch();
     assert_eq!(feed.wait_for_update(5, NOW).await, None);
->>>>>>> wording
 }
 
 #[tokio::test(start_paused = true)]
@@ -105,13 +86,8 @@
     feed.begin_watch(&page(0));
     for revision in 1..=50 {
         let value = vec![b'v'; 1 << 20].into();
-<<<<<<< HEAD
         let changes = vec![Change::Put(KeyValue { key: "routes".into(), value, revision })];
-        feed.add(&WatchBatch { changes, revision });
-=======
-        let changes = vec![Change::Put(Item { key: "routes".into(), value, revision })];
-        feed.apply(&Watched { changes, revision });
->>>>>>> wording
+        feed.apply(&WatchBatch { changes, revision });
     }
     assert!(matches!(feed.wait_for_update(40, NOW).await, Some(FeedUpdate::Snapshot { .. })));
     assert_eq!(changes(feed.wait_for_update(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
