--- a/src/decide/job/mod.rs
+++ b/src/decide/job/mod.rs
@@ -1,11 +1,12 @@
-//! A batch job: many samples that are submitted at once, run, scored and listed.
+//! A batch job: many samples that are submitted at once, run and scored, and whose results are
+//! listed.
 
 mod job;
 mod order;
 mod sample;
 mod text;
 
-pub use job::{Finished, Job, Listing, Spec, State};
+pub use job::{FinishEffect, ItemResult, ItemState, Job, JobSpec};
 pub use order::JobOrder;
 pub use sample::{ItemSpec, Score, Scorer};
-pub use text::{Event, EventReader, Fault, Growth, Saved, Text};
+pub use text::{Event, EventReader, SampleText, SavedProgress, StreamError, TextDelta};
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::decide::usage::WindowNote;
 use crate::edge::peer::PeerMessage;
 use crate::edge::store::{KeyValue, RangeResult, StoreError, Txn, TxnOutcome, WatchBatch};
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerRequest {
     /// Be home to this job.
-    Submit(Spec),
+    Submit(JobSpec),
     /// Say whether you have this job.
     OwnsJob(Name),
     /// The body of a sample of a job that you have.
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use super::slots::Held;
 use super::stream;
 use crate::decide::comeback::SOON;
-use crate::decide::{Again, Ended, History, Outcome, Route, Wish};
+use crate::decide::{Again, AttemptRequest, History, Outcome, ReplicaOutcome, Route};
 use crate::edge::http::collect_pieces;
 use crate::edge::replica::{BodyStream, CallError, ReplicaCall, Reply};
 use crate::error::{Kind, Refusal};
@@ -150,7 +150,12 @@
         let Some(service) = course.route.service(self.draw()).cloned() else {
             return Came::Over(refused(Kind::NoUpstream, "the route names no service"));
         };
-        let wish = Wish { service: &service, weights: None, avoid: &course.avoid, over: true };
+        let wish = AttemptRequest {
+            service: &service,
+            weights: None,
+            avoid: &course.avoid,
+            allow_full: true,
+        };
         let Some(mut held) = self.take(&wish) else {
             return Came::Over(refused(Kind::NoUpstream, "no replica takes work"));
         };
@@ -191,7 +196,7 @@
             }
         };
         let took = self.now().saturating_sub(began);
-        held.ended(Ended::Answered { took, cost: 1 });
+        held.ended(ReplicaOutcome::Answered { duration: took, cost: 1 });
         if signature.is_none() {
             return course.failed(self, &mut held, CallError::Interrupted("unsigned".to_owned()));
         }
@@ -201,7 +206,7 @@
             course.failures += 1;
         }
         if failed {
-            held.ended(Ended::Failed);
+            held.ended(ReplicaOutcome::Failed);
             if course.may_repeat() && course.made < course.route.attempts {
                 course.history.note(Outcome::Unknown);
                 course.avoid.push(held.target.id.clone());
@@ -259,9 +264,9 @@
             CallError::Interrupted(_) => AttemptEnd::Broken,
         });
         held.ended(match failure {
-            CallError::Unsent(_) | CallError::WrongInstance => Ended::Unreachable,
-            CallError::NotRun(_) => Ended::Full,
-            CallError::Interrupted(_) => Ended::Failed,
+            CallError::Unsent(_) | CallError::WrongInstance => ReplicaOutcome::Unreachable,
+            CallError::NotRun(_) => ReplicaOutcome::Full,
+            CallError::Interrupted(_) => ReplicaOutcome::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
