--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -1,4 +1,4 @@
-//! A store whose calls are counted by kind, end and purpose.
+//! A store that counts its calls in the metrics.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,43 +12,46 @@
 };
 use crate::metrics::{StoreCall, StoreEnd, StoreUse, Tally};
 
-/// The store behind it, and where calls are counted.
+/// Passes calls on to a store and counts them by kind, outcome and purpose.
 #[derive(Debug)]
 pub(super) struct CountedStore {
     store: Arc<dyn Store>,
-    notices: Arc<dyn StoreSchema>,
+    schema: Arc<dyn StoreSchema>,
     tally: Arc<Tally>,
 }
 
 impl CountedStore {
-    /// Counts the calls to a store.
+    /// Wraps a store to count its calls in `tally`.
     pub(super) fn new(
         store: Arc<dyn Store>,
-        notices: Arc<dyn StoreSchema>,
+        schema: Arc<dyn StoreSchema>,
         tally: Arc<Tally>,
     ) -> Self {
-        Self { store, notices, tally }
+        Self { store, schema, tally }
     }
 
+    /// Returns the purpose of a call by its key or prefix.
     fn purpose(&self, key: &str) -> StoreUse {
-        let notices = &self.notices;
+        let schema = &self.schema;
         match key {
             LIVE => StoreUse::Nodes,
-            key if key.starts_with(notices.replicas_prefix()) => StoreUse::Replicas,
-            key if key.starts_with(notices.versions_prefix()) => StoreUse::Versions,
-            key if key.starts_with(notices.retirements_prefix()) => StoreUse::Retirements,
-            key if key.starts_with(notices.routes_prefix()) => StoreUse::Routes,
+            key if key.starts_with(schema.replicas_prefix()) => StoreUse::Replicas,
+            key if key.starts_with(schema.versions_prefix()) => StoreUse::Versions,
+            key if key.starts_with(schema.retirements_prefix()) => StoreUse::Retirements,
+            key if key.starts_with(schema.routes_prefix()) => StoreUse::Routes,
             key => own_use(key),
         }
     }
 
-    /// A write is about what it changes first; a job's results go before its home's key.
-    fn written(&self, txn: &Txn) -> StoreUse {
+    /// Returns the purpose of a transaction, which is that of the first key it changes. The results
+    /// of a job are written before the record of its owner.
+    fn txn_purpose(&self, txn: &Txn) -> StoreUse {
         let put = txn.puts.iter().map(|put| &*put.key);
         let mut keys = put.chain(txn.removes.iter().map(|key| &**key));
         keys.next().map_or(StoreUse::Other, |key| self.purpose(key))
     }
 
+    /// Counts a call once it is answered, and measures its duration unless it is a watch or fails.
     fn count<T: Send + 'static>(
         &self,
         call: StoreCall,
@@ -57,7 +60,7 @@
     ) -> StoreFuture<T> {
         let tally = self.tally.clone();
         Box::pin(async move {
-            let begun = Instant::now();
+            let started = Instant::now();
             let result = answer.await;
             let end = match &result {
                 Ok(_) => StoreEnd::Answered,
@@ -66,7 +69,7 @@
                 Err(StoreError::Compacted) => StoreEnd::Compacted,
             };
             let timed = result.is_ok() && call != StoreCall::Watch;
-            tally.store(call, end, purpose, timed.then(|| begun.elapsed()));
+            tally.store(call, end, purpose, timed.then(|| started.elapsed()));
             result
         })
     }
@@ -87,7 +90,7 @@
     }
 
     fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
-        self.count(StoreCall::Txn, self.written(&txn), self.store.txn(txn))
+        self.count(StoreCall::Txn, self.txn_purpose(&txn), self.store.txn(txn))
     }
 
     fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
