--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -14,7 +14,7 @@
 use super::replica::{LoadReporting, Replica, fits};
 use super::{AttemptRequest, ListedReplica, ReplicaOutcome};
 use crate::decide::{Others, Pace, expected, most_out};
-use crate::edge::replica::{Load, Target};
+use crate::edge::replica::{ReplicaLoad, Target};
 use crate::{Moment, Name};
 
 /// How long a replica that refused because it was full gets nothing: about the time of one
@@ -92,7 +92,7 @@
             self.replicas.insert(id, Replica::new(listed));
             return true;
         };
-        match listed.target.born.cmp(&known.listed.target.born) {
+        match listed.target.started_ms.cmp(&known.listed.target.started_ms) {
             Ordering::Less => return false,
             Ordering::Greater => {
                 known.reset(listed);
@@ -185,7 +185,7 @@
     }
 
     /// Records the load that a replica reported.
-    pub fn report_load(&mut self, id: &str, load: Load, now: Moment) {
+    pub fn report_load(&mut self, id: &str, load: ReplicaLoad, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         let others = (load.running + load.waiting).saturating_sub(replica.running);
         replica.others = Others::new(others, now);
@@ -417,7 +417,7 @@
     /// Returns the replica if this is still its incarnation.
     fn incarnation(&mut self, target: &Target) -> Option<&mut Replica> {
         let replica = self.replicas.get_mut(&target.id)?;
-        (replica.listed.target.born == target.born).then_some(replica)
+        (replica.listed.target.started_ms == target.started_ms).then_some(replica)
     }
 
     /// Returns the replicas of a service.
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -15,7 +15,7 @@
 use crate::Moment;
 use crate::decide::detour::{self, Way};
 use crate::edge::peer::PeerError;
-use crate::edge::store::{Answer, Store, StoreError, Watched};
+use crate::edge::store::{Store, StoreError, StoreFuture, WatchBatch};
 
 /// How long another node may take with a call: its own call to the store may take a third of it,
 /// and a lease has to be renewed within two seconds.
@@ -174,7 +174,7 @@
     /// if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
-        direct: Answer<T>,
+        direct: StoreFuture<T>,
         request: StoreRequest,
         repeatable: bool,
         extract: fn(StoreReply) -> Option<T>,
@@ -315,7 +315,7 @@
 
     /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
     /// so it is given up [`RECOVERY_GRACE`] after that.
-    async fn until_recovery<T>(&self, call: Answer<T>) -> Result<T, StoreError> {
+    async fn until_recovery<T>(&self, call: StoreFuture<T>) -> Result<T, StoreError> {
         let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
             answer = call => answer,
@@ -328,7 +328,7 @@
 
     /// Wraps a direct watch so that it fails once the store becomes unreachable: the watch itself
     /// would go on waiting.
-    pub(super) fn until_closed(&self, watched: Answer<Watched>) -> Answer<Watched> {
+    pub(super) fn until_closed(&self, watched: StoreFuture<WatchBatch>) -> StoreFuture<WatchBatch> {
         let mut disconnects = self.disconnects.subscribe();
         Box::pin(async move {
             tokio::select! {
@@ -401,7 +401,7 @@
 }
 
 /// Makes a call within [`PROBE_TIMEOUT`], to show soon whether the direct path works.
-async fn probe_call<T>(call: Answer<T>) -> Result<T, StoreError> {
+async fn probe_call<T>(call: StoreFuture<T>) -> Result<T, StoreError> {
     let late = || StoreError::Unknown("no answer to a probe".to_owned());
     tokio::time::timeout(PROBE_TIMEOUT, call).await.unwrap_or_else(|_| Err(late()))
 }
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::decide::scale::{Autoscale, Planner};
-use crate::edge::duty::{DutyEnd, ScaleOrder, Term};
+use crate::edge::duty::{DutyOutcome, ScaleOrder, Term};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
 use crate::entry::keys::SCALE;
@@ -147,10 +147,10 @@
                 continue;
             }
             let end = self.order(&order).await;
-            let (sent_at, accepted) = (self.app.now(), end == DutyEnd::Done);
+            let (sent_at, accepted) = (self.app.now(), end == DutyOutcome::Done);
             let sent = SentOrder { desired: order.desired, sent_at, accepted };
             self.sent.insert((order.service, order.zone), sent);
-            if end == DutyEnd::Refused
+            if end == DutyOutcome::Refused
                 && let Some(planner) = self.planners.get_mut(&limits.service)
             {
                 planner.refused(zone, there.saturating_sub(base), sent_at);
@@ -169,10 +169,10 @@
     }
 
     /// Sends an order to the platform.
-    async fn order(&self, order: &ScaleOrder) -> DutyEnd {
-        let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
+    async fn order(&self, order: &ScaleOrder) -> DutyOutcome {
+        let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
         *self.app.last_duty.lock() = Some(self.app.now());
-        let end = self.app.duties.scale(term, order.clone(), ORDER_TIMEOUT).await;
+        let end = self.app.duties.order_scale(term, order.clone(), ORDER_TIMEOUT).await;
         self.app.tally.scale(end);
         tracing::info!(
             event = "replicas_ordered",
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -11,7 +11,7 @@
 
 use super::meter::Usage;
 use crate::decide::usage::{Counts, Total};
-use crate::edge::duty::{DutyEnd, Term, UsageReport};
+use crate::edge::duty::{DutyOutcome, Term, UsageReport};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
 use crate::entry::keys::USAGE;
@@ -137,16 +137,16 @@
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            let term = Term { holder: self.app.settings.name.clone(), fence: self.fence };
+            let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
-            let end = self.app.duties.report(term, report, REPORT_TIMEOUT).await;
+            let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
             self.app.tally.usage(end);
             tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
             match end {
-                DutyEnd::Done => return TermState::Current,
-                DutyEnd::Fenced => return TermState::Over,
-                DutyEnd::Refused | DutyEnd::Unknown => {}
+                DutyOutcome::Done => return TermState::Current,
+                DutyOutcome::Fenced => return TermState::Over,
+                DutyOutcome::Refused | DutyOutcome::Unknown => {}
             }
             tokio::time::sleep(retry_delay).await;
             retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
--- a/src/node/claims/store.rs
+++ b/src/node/claims/store.rs
@@ -4,7 +4,7 @@
 
 use crate::decide::claim::{FORMAT_VERSION, PartitionHead, SEGMENT_SLOTS, Segment, SwapResult};
 use crate::edge::peer::{decode, encode};
-use crate::edge::platform::{Kept, Platform, Swap};
+use crate::edge::platform::{PlatformClient, SwapOutcome, VersionedValue};
 use crate::metrics::PlatformUse;
 
 fn head_key(partition: u16) -> String {
@@ -18,7 +18,7 @@
 
 /// Reads the head, with its revision.
 pub(super) async fn head(
-    platform: &Platform,
+    platform: &PlatformClient,
     partition: u16,
 ) -> Result<Option<(PartitionHead, u64)>, ()> {
     match platform.get(&head_key(partition), PlatformUse::Claim).await {
@@ -33,7 +33,7 @@
 
 /// Reads segments; those that are not there are missing in the result.
 pub(super) async fn segments(
-    platform: &Platform,
+    platform: &PlatformClient,
     partition: u16,
     range: Range<u64>,
 ) -> Result<Vec<Segment>, ()> {
@@ -51,7 +51,7 @@
 
 /// Replaces the head, and writes a full segment with it.
 pub(super) async fn swap(
-    platform: &Platform,
+    platform: &PlatformClient,
     partition: u16,
     expected: u64,
     head: &PartitionHead,
@@ -64,25 +64,25 @@
         return SwapResult::Unsent;
     };
     let key = head_key(partition);
-    match platform.swap(&key, expected, value, also, PlatformUse::Claim).await {
-        Swap::Done(revision) => SwapResult::Done(revision),
-        Swap::Conflict(None) => SwapResult::Conflict(None),
-        Swap::Conflict(Some(kept)) => {
+    match platform.compare_and_swap(&key, expected, value, also, PlatformUse::Claim).await {
+        SwapOutcome::Done(revision) => SwapResult::Done(revision),
+        SwapOutcome::Conflict(None) => SwapResult::Conflict(None),
+        SwapOutcome::Conflict(Some(kept)) => {
             let found = parsed(&kept).ok().map(|head| (head, kept.revision));
             SwapResult::Conflict(found)
         }
-        Swap::Unknown(reason) => {
+        SwapOutcome::Unknown(reason) => {
             tracing::warn!(event = "claim_commit_unknown", partition, reason);
             SwapResult::Unknown
         }
-        Swap::Unsent(reason) => {
+        SwapOutcome::Unsent(reason) => {
             tracing::warn!(event = "claim_commit_unsent", partition, reason);
             SwapResult::Unsent
         }
     }
 }
 
-fn parsed(kept: &Kept) -> Result<PartitionHead, ()> {
+fn parsed(kept: &VersionedValue) -> Result<PartitionHead, ()> {
     match decode::<PartitionHead>(&kept.value) {
         Ok(head) if head.format == FORMAT_VERSION => Ok(head),
         Ok(head) => {
