--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -26,8 +26,8 @@
 use crate::decide::scale::Load;
 use crate::decide::{Demand, Routes};
 use crate::edge::duty::Duties;
-use crate::edge::notice::Notices;
 use crate::edge::replica::Replicas;
+use crate::edge::schema::StoreSchema;
 use crate::edge::store::Store;
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
@@ -54,7 +54,7 @@
     /// Calls to the replicas.
     pub(super) replicas: Arc<dyn Replicas>,
     /// The layout of the keys and values that the platform and trainers write.
-    pub(super) schema: Arc<dyn Notices>,
+    pub(super) schema: Arc<dyn StoreSchema>,
     /// Calls that only the leader makes to the platform.
     pub(super) duties: Arc<dyn Duties>,
     /// The usage counts. None if the settings do not ask for usage reports.
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -5,8 +5,8 @@
 
 use super::topic::Topic;
 use crate::decide::rank;
-use crate::edge::notice::Notice;
-use crate::edge::store::{Change, Item, Page, Watched};
+use crate::edge::schema::Directive;
+use crate::edge::store::{Change, KeyValue, RangeResult, WatchBatch};
 use crate::entry::app::App;
 use crate::entry::peer::FeedTopic;
 
@@ -16,7 +16,7 @@
 
 impl App {
     /// Replaces the state of a topic by everything that the store has under its prefix.
-    pub(super) fn apply_snapshot(self: &Arc<Self>, topic: Topic, page: &Page, prefix: &str) {
+    pub(super) fn apply_snapshot(self: &Arc<Self>, topic: Topic, page: &RangeResult, prefix: &str) {
         match topic {
             Topic::Replicas => self.replace_replicas(page, prefix),
             Topic::Nodes => {
@@ -32,7 +32,7 @@
     }
 
     /// Applies changes of a topic.
-    pub(super) fn apply_changes(&self, topic: Topic, watched: &Watched) {
+    pub(super) fn apply_changes(&self, topic: Topic, watched: &WatchBatch) {
         if watched.changes.is_empty() {
             return;
         }
@@ -69,31 +69,31 @@
             .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
 
-    fn apply_notice(&self, item: &Item) {
-        match self.schema.notice(&item.key, &item.value) {
+    fn apply_notice(&self, item: &KeyValue) {
+        match self.schema.parse_directive(&item.key, &item.value) {
             Ok(None) => {}
-            Ok(Some(Notice::Routes(routes))) => {
+            Ok(Some(Directive::Routes(routes))) => {
                 let mut current = self.routes.lock();
                 if current.as_ref().is_none_or(|c| c.version < routes.version) {
                     tracing::info!(event = "routes_adopted", version = routes.version);
                     *current = Some(Arc::new(routes));
                 }
             }
-            Ok(Some(Notice::Version { model, version })) => {
+            Ok(Some(Directive::Version { model, version })) => {
                 let mut versions = self.versions.lock();
                 let known = versions.entry(model.clone()).or_insert(version);
                 *known = version.max(*known);
                 tracing::info!(event = "version_named", %model, version);
             }
-            Ok(Some(Notice::Retire { node, within })) => self.retire(&node, within),
+            Ok(Some(Directive::Retire { node, within })) => self.retire(&node, within),
             Err(reason) => {
                 tracing::error!(event = "notice_unreadable", key = %item.key, %reason);
             }
         }
     }
 
-    fn add_replica(&self, item: &Item) {
-        match self.schema.replica(&item.key, &item.value) {
+    fn add_replica(&self, item: &KeyValue) {
+        match self.schema.parse_replica(&item.key, &item.value) {
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
                 if self.slots.fleet.lock().upsert(listed) {
@@ -119,7 +119,7 @@
     /// during the outage as well. Entries that are written again arrive through the feed, so the
     /// store is not asked for each of them: one call for each missing replica on each of 250
     /// nodes came to 57,000 calls in two outages.
-    fn replace_replicas(self: &Arc<Self>, page: &Page, prefix: &str) {
+    fn replace_replicas(self: &Arc<Self>, page: &RangeResult, prefix: &str) {
         let mut missing = self.slots.fleet.lock().ids();
         for item in &page.items {
             self.add_replica(item);
--- a/src/entry/remote_jobs.rs
+++ b/src/entry/remote_jobs.rs
@@ -8,7 +8,7 @@
 use super::app::ByName;
 use super::keys::results;
 use crate::decide::job::{ItemResult, JobSpec};
-use crate::edge::store::Item;
+use crate::edge::store::KeyValue;
 use crate::{Moment, Name};
 
 /// Copies of jobs that other nodes own, by job id.
@@ -85,7 +85,7 @@
 
 impl RemoteJobState {
     /// Appends a batch of results if it begins where the known results end.
-    pub(super) fn append_results(&mut self, job: &str, item: &Item) {
+    pub(super) fn append_results(&mut self, job: &str, item: &KeyValue) {
         if *item.key != *results(job, self.results.len()) {
             return;
         }
--- a/src/node/claims/ask.rs
+++ b/src/node/claims/ask.rs
@@ -9,7 +9,7 @@
     AttemptState, CLAIM_TIMEOUT, CachedAnswer, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest,
     Holder, Resolution, RunnerStatus, resolve,
 };
-use crate::edge::peer::{PeerError, Reply, Request};
+use crate::edge::peer::{NodeReply, NodeRequest, PeerError};
 use crate::error::{Kind, Refusal};
 use crate::node::app::App;
 
@@ -129,8 +129,8 @@
             .members
             .address(home)
             .ok_or_else(|| format!("{home} is home and not known here"))?;
-        match app.peers.ask(to, &Request::Claim(ask), LIMIT).await {
-            Ok(Reply::Verdict(verdict)) => Ok(verdict),
+        match app.peers.request(to, &NodeRequest::Claim(ask), LIMIT).await {
+            Ok(NodeReply::Verdict(verdict)) => Ok(verdict),
             Ok(_) => Err(format!("{home} did not understand")),
             Err(e) => Err(e.to_string()),
         }
@@ -187,8 +187,9 @@
         return serve::ended(app, key, nonce, end);
     }
     let Some(to) = app.members.address(home) else { return false };
-    let told = app.peers.ask(to, &Request::Ended { key, nonce, end }, WORD).await;
-    matches!(told, Ok(Reply::Recorded(true)))
+    let told =
+        app.peers.request(to, &NodeRequest::CallEnded { key, nonce, outcome: end }, WORD).await;
+    matches!(told, Ok(NodeReply::Recorded(true)))
 }
 
 /// What the runner says of the attempt that holds a key.
@@ -198,9 +199,9 @@
             .map_or(RunnerStatus::Forgotten, RunnerStatus::Known);
     }
     let Some(to) = app.members.address(&holder.runner) else { return RunnerStatus::Unreachable };
-    match app.peers.ask(to, &Request::Attempt(holder.nonce), WORD).await {
-        Ok(Reply::Attempt(Some(attempt))) => RunnerStatus::Known(attempt),
-        Ok(Reply::Attempt(None)) => RunnerStatus::Forgotten,
+    match app.peers.request(to, &NodeRequest::Attempt(holder.nonce), WORD).await {
+        Ok(NodeReply::Attempt(Some(attempt))) => RunnerStatus::Known(attempt),
+        Ok(NodeReply::Attempt(None)) => RunnerStatus::Forgotten,
         Ok(_) | Err(PeerError::Connect { .. }) => RunnerStatus::Unreachable,
         Err(_) if alive(app, &holder.runner) => RunnerStatus::Unresponsive,
         Err(_) => RunnerStatus::Unreachable,
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -135,7 +135,7 @@
         let links = self.clone();
         Box::pin(async move {
             tokio::time::sleep(REPLY_LATENCY).await;
-            let late = PeerError::Late { to, limit: timeout, came: 0 };
+            let late = PeerError::Timeout { to, timeout, received: 0 };
             match found {
                 None | Some((_, Link::Refusing)) => {
                     Err(PeerError::Connect { to, reason: "refused".to_owned() })
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -1,6 +1,6 @@
 //! Tests of the view that nodes have of the configuration, the replicas and each other.
 
-use mulberrycourse::edge::notice::Notice;
+use mulberrycourse::edge::schema::Directive;
 use standins::kv::{Away, Faults};
 use std::time::Duration;
 
@@ -141,7 +141,7 @@
 async fn a_machine_without_a_disk_ignores_retirement_requests() {
     let world = World::new();
     let _node = world.node("a").await;
-    let notice = Notice::Retire { node: "a".into(), within: Duration::from_secs(9) };
+    let notice = Directive::Retire { node: "a".into(), within: Duration::from_secs(9) };
     world.words.write(&world.kv, "retire/a", notice);
     pass(1_000).await;
     assert!(world.kv.items("retired/").is_empty());
