--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -65,7 +65,7 @@
     pub(super) routes: Mutex<Option<Arc<Routes>>>,
     /// The newest version of the weights that was announced for each model.
     pub(super) versions: Mutex<BTreeMap<Name, u64>>,
-    /// The work that training steps bring by model: of the jobs of this node, and on the leader
+    /// The work of training steps by model: of the jobs of this node, and on the leader
     /// also of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
     /// The slots that the samples of all nodes need, on the leader.
@@ -100,8 +100,10 @@
     /// Counts watches that were cut. The store may have dropped its history with them, so that
     /// changes may have been missed.
     pub(super) watch_gaps: AtomicU64,
-    /// Cancelled when the process begins to drain: it stops work of its own.
+    /// Cancelled when the process begins to drain: its background work stops, and the listeners go
+    /// on.
     pub(super) stop: CancellationToken,
+    /// The running background tasks.
     tasks: TaskTracker,
     /// Cancelled when the process ends: every task is dropped wherever it is.
     pub(super) abort: CancellationToken,
@@ -121,6 +123,7 @@
 }
 
 impl App {
+    /// Creates the state of a node that starts. `peers` makes the port to other nodes from the metrics.
     pub(super) fn new(
         settings: EntrySettings,
         ports: Ports,
@@ -131,15 +134,16 @@
         let tally = Arc::new(Tally::default());
         let peers = peers(tally.clone());
         let direct = Arc::new(CountedStore::new(store, schema.clone(), tally.clone()));
-        let detour = FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
+        let fallback_store =
+            FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
         let slots = Slots::new(settings.zone.clone());
         let usage = settings.usage_windows.map(|windows| Arc::new(Usage::new(windows, clock)));
         Arc::new(Self {
             settings,
             tally,
-            store: Arc::new(detour.clone()),
+            store: Arc::new(fallback_store.clone()),
             direct_store: direct,
-            fallback_store: detour,
+            fallback_store,
             peers,
             unreachable_peers: Mutex::default(),
             replicas,
@@ -174,10 +178,10 @@
 
     /// Runs a task until it returns or the process ends.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let gone = self.abort.clone();
+        let abort = self.abort.clone();
         self.tasks.spawn(async move {
             tokio::select! {
-                () = gone.cancelled() => {}
+                () = abort.cancelled() => {}
                 () = task => {}
             }
         });
@@ -253,10 +257,10 @@
     }
 
     /// Whether the term of this node as leader is certain to last: [`App::may_order`] holds, and no
-    /// newer leader is known. `fence` is the revision of the leader key that began the term.
-    pub(super) fn holds_term(&self, fence: u64) -> bool {
+    /// newer leader is known. `fencing_token` is the revision of the leader key that began the term.
+    pub(super) fn holds_term(&self, fencing_token: u64) -> bool {
         let seen = self.membership.lock().holder().map(|seen| seen.revision);
-        self.may_order() && seen.is_none_or(|revision| revision <= fence)
+        self.may_order() && seen.is_none_or(|revision| revision <= fencing_token)
     }
 
     /// Returns how long a new leader waits before its first order. The previous leader sent its
--- a/src/entry/ended_jobs.rs
+++ b/src/entry/ended_jobs.rs
@@ -53,8 +53,8 @@
 
     /// Returns the size of the submission and the results in bytes.
     fn bytes(&self) -> usize {
-        let listed: usize = self.results.iter().map(|listing| listing.approx_bytes()).sum();
-        listed + self.spec.approx_bytes()
+        let results: usize = self.results.iter().map(|result| result.approx_bytes()).sum();
+        results + self.spec.approx_bytes()
     }
 }
 
--- a/src/entry/follow/sources.rs
+++ b/src/entry/follow/sources.rs
@@ -110,8 +110,8 @@
         }
         let seeds = self.other_seeds();
         let deadline = self.now() + SEED_WAIT;
-        let requests = seeds.iter().zip(0..).map(|(seed, place)| async move {
-            tokio::time::sleep(SEED_STAGGER * place).await;
+        let requests = seeds.iter().zip(0..).map(|(seed, index)| async move {
+            tokio::time::sleep(SEED_STAGGER * index).await;
             self.fetch_initial_from(*seed, topic, deadline).await
         });
         let mut replies: FuturesUnordered<_> = requests.collect();
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -20,7 +20,8 @@
 /// How long another node may take with a call: its own call to the store may take a third of it,
 /// and a lease has to be renewed within two seconds.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a probe of the direct path may take, for the same reason.
+/// How long a probe of the direct path may take. The call may have to go through another node after
+/// it, and a lease has to be renewed within two seconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a call that began during an outage of the store may still take after its end.
 const RECOVERY_GRACE: Duration = Duration::from_millis(100);
@@ -33,13 +34,16 @@
 /// The store, reached directly or through another node. Clones share their state.
 #[derive(Debug, Clone)]
 pub(in crate::entry) struct FallbackStore {
+    /// The store, reached only directly.
     pub(super) direct: Arc<dyn Store>,
+    /// Requests to other entry nodes.
     peers: Arc<dyn Peers>,
     state: Arc<Mutex<State>>,
     /// Counts how often the store became unreachable on the direct path.
     disconnects: watch::Sender<u64>,
     /// Counts how often the store became reachable again.
     recoveries: watch::Sender<u64>,
+    /// The zero of the moments in `state`.
     started: Instant,
 }
 
@@ -49,6 +53,7 @@
 /// probe.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// What is known about the reachability of the store.
 #[derive(Debug)]
 struct State {
     /// Decides by which path calls are made.
@@ -91,6 +96,7 @@
 }
 
 impl FallbackStore {
+    /// Creates the store of a node that starts and knows only the seeds.
     pub(in crate::entry) fn new(
         direct: Arc<dyn Store>,
         peers: Arc<dyn Peers>,
@@ -160,8 +166,8 @@
             state.fallback.set_pace(pace, rand::random());
         }
         state.nodes = nodes;
-        if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
-            state.nodes.swap(0, place);
+        if let Some(position) = state.nodes.iter().position(|n| Some(*n) == first) {
+            state.nodes.swap(0, position);
         }
     }
 
@@ -170,8 +176,8 @@
     ///
     /// # Errors
     ///
-    /// `Refused` if no node has made the call, `Unknown` if one may have made it, and `Compacted`
-    /// if the store no longer retains the revision.
+    /// For a call that is not repeatable, `Refused` if it was not made and `Unknown` if it may have been
+    /// made. `Compacted` if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
         direct: StoreFuture<T>,
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -104,9 +104,9 @@
     /// Grant a lease with this time to live.
     Grant(Duration),
     /// Renew a lease.
-    Keep(u64),
-    /// End a lease.
-    End(u64),
+    Renew(u64),
+    /// Revoke a lease.
+    Revoke(u64),
 }
 
 /// The reply of a node to a [`PeerRequest`]. The names of its variants and fields appear in log
@@ -150,19 +150,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
     /// Replies to `Get`: the key, if it exists.
-    Item(Option<KeyValue>),
+    KeyValue(Option<KeyValue>),
     /// Replies to `Range`.
-    Page(RangeResult),
+    Range(RangeResult),
     /// Replies to `Watch`.
-    Watched(WatchBatch),
+    Watch(WatchBatch),
     /// Replies to `Txn`.
     Txn(TxnOutcome),
     /// Replies to `Grant`: the lease id.
-    Lease(u64),
-    /// Replies to `Keep`: whether the lease still exists.
-    Kept(bool),
-    /// Replies to `End`.
-    Ended,
+    Granted(u64),
+    /// Replies to `Renew`: whether the lease still exists.
+    Renewed(bool),
+    /// Replies to `Revoke`.
+    Revoked,
 }
 
 impl PeerMessage for PeerRequest {
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -25,7 +25,7 @@
 /// in the slowest store seen.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long a node may take to answer whether it has a job, or which demand it has.
-const FIND_OWNER_TIMEOUT: Duration = Duration::from_millis(150);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long a node may take to reply to a read, beyond the time for which it may wait.
 const REPLY_MARGIN: Duration = Duration::from_millis(400);
 /// How long another node may wait for a change before it replies. The failure of that node is
@@ -133,11 +133,8 @@
         let requests =
             owners.into_iter().filter(|(_, to)| !self.is_unreachable(*to)).map(
                 |(incarnation, to)| {
-                    let reply = self.peers.request(
-                        to,
-                        PeerRequest::OwnsJob(job.into()),
-                        FIND_OWNER_TIMEOUT,
-                    );
+                    let reply =
+                        self.peers.request(to, PeerRequest::OwnsJob(job.into()), QUERY_TIMEOUT);
                     async move {
                         matches!(reply.await, Ok(PeerReply::Found(true))).then_some(incarnation)
                     }
@@ -176,7 +173,7 @@
         loop {
             tokio::time::sleep(DEMAND_POLL_INTERVAL).await;
             let requests = self.likely_owners(None).into_iter().map(|(_, to)| async move {
-                self.peers.request(to, PeerRequest::Demand, FIND_OWNER_TIMEOUT).await
+                self.peers.request(to, PeerRequest::Demand, QUERY_TIMEOUT).await
             });
             let replies = futures_util::future::join_all(requests).await;
             let now = self.now();
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -137,15 +137,15 @@
         }
         let store = &self.app.direct_store;
         match request {
-            StoreRequest::Get(key) => store.get(&key).await.map(StoreReply::Item),
-            StoreRequest::Range(prefix) => store.range(&prefix).await.map(StoreReply::Page),
+            StoreRequest::Get(key) => store.get(&key).await.map(StoreReply::KeyValue),
+            StoreRequest::Range(prefix) => store.range(&prefix).await.map(StoreReply::Range),
             StoreRequest::Watch { prefix, after, wait } => {
-                store.watch(&prefix, after, wait).await.map(StoreReply::Watched)
+                store.watch(&prefix, after, wait).await.map(StoreReply::Watch)
             }
             StoreRequest::Txn(txn) => store.txn(txn).await.map(StoreReply::Txn),
-            StoreRequest::Grant(ttl) => store.grant(ttl).await.map(StoreReply::Lease),
-            StoreRequest::Keep(lease) => store.renew(lease).await.map(StoreReply::Kept),
-            StoreRequest::End(lease) => store.revoke(lease).await.map(|()| StoreReply::Ended),
+            StoreRequest::Grant(ttl) => store.grant(ttl).await.map(StoreReply::Granted),
+            StoreRequest::Renew(lease) => store.renew(lease).await.map(StoreReply::Renewed),
+            StoreRequest::Revoke(lease) => store.revoke(lease).await.map(|()| StoreReply::Revoked),
         }
     }
 }
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -23,12 +23,12 @@
 impl Store for FallbackStore {
     fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         let request = StoreRequest::Get(Name::from(key));
-        Box::pin(self.clone().call(self.direct.get(key), request, true, extract!(Item)))
+        Box::pin(self.clone().call(self.direct.get(key), request, true, extract!(KeyValue)))
     }
 
     fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
         let request = StoreRequest::Range(Name::from(prefix));
-        Box::pin(self.clone().call(self.direct.range(prefix), request, true, extract!(Page)))
+        Box::pin(self.clone().call(self.direct.range(prefix), request, true, extract!(Range)))
     }
 
     fn watch(&self, prefix: &str, after: u64, wait: Duration) -> StoreFuture<WatchBatch> {
@@ -38,7 +38,7 @@
             after,
             wait: wait.min(MAX_PEER_WATCH_WAIT),
         };
-        Box::pin(self.clone().call(direct, request, false, extract!(Watched)))
+        Box::pin(self.clone().call(direct, request, false, extract!(Watch)))
     }
 
     fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
@@ -48,17 +48,17 @@
 
     fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
         let request = StoreRequest::Grant(ttl);
-        Box::pin(self.clone().call(self.direct.grant(ttl), request, true, extract!(Lease)))
+        Box::pin(self.clone().call(self.direct.grant(ttl), request, true, extract!(Granted)))
     }
 
     fn renew(&self, lease: u64) -> StoreFuture<bool> {
-        let request = StoreRequest::Keep(lease);
-        Box::pin(self.clone().call(self.direct.renew(lease), request, true, extract!(Kept)))
+        let request = StoreRequest::Renew(lease);
+        Box::pin(self.clone().call(self.direct.renew(lease), request, true, extract!(Renewed)))
     }
 
     fn revoke(&self, lease: u64) -> StoreFuture<()> {
-        let extract = |reply| matches!(reply, StoreReply::Ended).then_some(());
-        let request = StoreRequest::End(lease);
+        let extract = |reply| matches!(reply, StoreReply::Revoked).then_some(());
+        let request = StoreRequest::Revoke(lease);
         Box::pin(self.clone().call(self.direct.revoke(lease), request, true, extract))
     }
 }
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -37,7 +37,9 @@
 /// Plans and orders replicas during one term as leader.
 struct Autoscaler {
     app: Arc<App>,
-    fence: u64,
+    /// The revision of the leader key that began the term.
+    fencing_token: u64,
+    /// The value in the store, which only the leader of the term may write.
     record: Record,
     /// The plan of each service.
     planners: BTreeMap<Name, Planner>,
@@ -47,14 +49,14 @@
 
 /// Plans and orders replicas until the term of this node as leader is over. Waits forever if the
 /// settings name no platform to order from.
-pub(in crate::entry) async fn run_autoscaling(app: &Arc<App>, fence: u64) {
+pub(in crate::entry) async fn run_autoscaling(app: &Arc<App>, fencing_token: u64) {
     if app.settings.duties_address.is_none() {
         return std::future::pending().await;
     }
     let mut autoscaler = Autoscaler {
         app: app.clone(),
-        fence,
-        record: Record::new(SCALE, fence),
+        fencing_token,
+        record: Record::new(SCALE, fencing_token),
         planners: BTreeMap::new(),
         sent: BTreeMap::new(),
     };
@@ -67,7 +69,7 @@
             Ok(true) => loaded = true,
             Ok(false) => return,
             Err(e) => {
-                tracing::warn!(event = "replicas_not_planned", fence, error = %e);
+                tracing::warn!(event = "replicas_not_planned", fence = fencing_token, error = %e);
                 loaded = false;
             }
         }
@@ -143,7 +145,7 @@
                 spot: limits.spot,
                 desired: base + extra,
             };
-            if !self.is_due(&order, limits, there) || !self.app.holds_term(self.fence) {
+            if !self.is_due(&order, limits, there) || !self.app.holds_term(self.fencing_token) {
                 continue;
             }
             let end = self.order(&order).await;
@@ -170,7 +172,8 @@
 
     /// Sends an order to the platform.
     async fn order(&self, order: &ScaleOrder) -> DutyOutcome {
-        let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
+        let term =
+            Term { holder: self.app.settings.name.clone(), fencing_token: self.fencing_token };
         *self.app.last_duty.lock() = Some(self.app.now());
         let end = self.app.duties.order_scale(term, order.clone(), ORDER_TIMEOUT).await;
         self.app.tally.scale(end);
@@ -180,7 +183,7 @@
             zone = %order.zone,
             spot = order.spot,
             desired = order.desired,
-            fence = self.fence,
+            fence = self.fencing_token,
             outcome = ?end
         );
         end
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -21,7 +21,9 @@
     pub ledger: Mutex<Ledger>,
     /// Notified when a count of this node changes.
     pub changed: Notify,
+    /// The clocks of this VM.
     clock: Arc<dyn Clock>,
+    /// The time of day that the nodes agree on.
     agreed: Mutex<Agreed>,
 }
 
@@ -45,8 +47,8 @@
 
     /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
-        let running = self.clock.read().since_boot;
-        self.agreed.lock().hear(node, time, running);
+        let since_boot = self.clock.read().since_boot;
+        self.agreed.lock().hear(node, time, since_boot);
     }
 
     /// Returns the number of the window that contains the present.
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -41,7 +41,9 @@
 struct Reporter {
     app: Arc<App>,
     usage: Arc<Usage>,
-    fence: u64,
+    /// The revision of the leader key that began the term.
+    fencing_token: u64,
+    /// The value in the store, which only the leader of the term may write.
     record: Record,
 }
 
@@ -54,10 +56,14 @@
 }
 
 /// Reports usage until the term of this node as leader is over.
-pub(in crate::entry) async fn report_usage(app: &Arc<App>, fence: u64) {
+pub(in crate::entry) async fn report_usage(app: &Arc<App>, fencing_token: u64) {
     let Some(usage) = app.usage.clone() else { return std::future::pending().await };
-    let mut reporter =
-        Reporter { app: app.clone(), usage, fence, record: Record::new(USAGE, fence) };
+    let mut reporter = Reporter {
+        app: app.clone(),
+        usage,
+        fencing_token,
+        record: Record::new(USAGE, fencing_token),
+    };
     tokio::time::sleep(app.takeover_delay()).await;
     let mut next = None;
     loop {
@@ -65,7 +71,7 @@
             Ok(TermState::Current) => {}
             Ok(TermState::Over) => return,
             Err(e) => {
-                tracing::warn!(event = "usage_not_fixed", fence, error = %e);
+                tracing::warn!(event = "usage_not_fixed", fence = fencing_token, error = %e);
                 next = None;
                 app.fallback_store.wait_for_recovery(INITIAL_RETRY_DELAY).await;
             }
@@ -104,7 +110,13 @@
         }
         let missing = total.missing.len();
         let requests: u64 = fixed.counts.values().sum();
-        tracing::info!(event = "usage_fixed", window, requests, missing, fence = self.fence);
+        tracing::info!(
+            event = "usage_fixed",
+            window,
+            requests,
+            missing,
+            fence = self.fencing_token
+        );
         Ok(self.send(fixed).await)
     }
 
@@ -133,16 +145,17 @@
         let window = fixed.window;
         let mut retry_delay = INITIAL_RETRY_DELAY;
         while self.usage.time() <= self.usage.windows.due(window) {
-            if !self.app.holds_term(self.fence) {
+            if !self.app.holds_term(self.fencing_token) {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
+            let term =
+                Term { holder: self.app.settings.name.clone(), fencing_token: self.fencing_token };
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
             let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
             self.app.tally.usage(end);
-            tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
+            tracing::info!(event = "usage_reported", window, fence = self.fencing_token, outcome = ?end);
             match end {
                 DutyOutcome::Done => return TermState::Current,
                 DutyOutcome::Fenced => return TermState::Over,
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -357,7 +357,7 @@
     let get = PeerRequest::Store(StoreRequest::Get("some/key".into()));
     let item = node.line.get("some/key").await.unwrap();
     let got = client.request(server.address(), get, limit).await.unwrap();
-    assert_eq!(got, PeerReply::Store(Ok(StoreReply::Item(item))));
+    assert_eq!(got, PeerReply::Store(Ok(StoreReply::KeyValue(item))));
     let submitted =
         client.request(server.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
     assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
