--- a/src/client/trainer.rs
+++ b/src/client/trainer.rs
@@ -13,7 +13,7 @@
 
 use super::AddressBook;
 use crate::Name;
-use crate::decide::{Group, Ranges, Spec, floor};
+use crate::decide::{Group, Ranges, StepSpec, min_fresh_version};
 use crate::edge::http::{Fetch, FetchError};
 use crate::node::{Pull, Pulled, Submit};
 
@@ -68,7 +68,7 @@
 pub struct Pulling<'a> {
     trainer: &'a Trainer,
     number: u64,
-    spec: &'a Spec,
+    spec: &'a StepSpec,
     report: StepReport,
     /// Where the step is held.
     node: Option<SocketAddr>,
@@ -90,7 +90,7 @@
     }
 
     /// Submits a step and pulls until every group is there.
-    pub async fn step(&self, number: u64, spec: &Spec) -> Result<StepReport, TrainerError> {
+    pub async fn step(&self, number: u64, spec: &StepSpec) -> Result<StepReport, TrainerError> {
         let mut pulling = self.resume(number, spec, BTreeMap::new());
         while !pulling.next().await?.is_empty() {}
         Ok(pulling.report)
@@ -100,7 +100,7 @@
     pub fn resume<'a>(
         &'a self,
         number: u64,
-        spec: &'a Spec,
+        spec: &'a StepSpec,
         kept: BTreeMap<u32, Group>,
     ) -> Pulling<'a> {
         self.advance(spec.version);
@@ -169,7 +169,7 @@
         let Some(at) = self.trainer.book.get().await else { return Ok(None) };
         let path = self.trainer.path(self.number);
         let submit = Submit {
-            spec: Spec { version: self.version(), ..self.spec.clone() },
+            spec: StepSpec { version: self.version(), ..self.spec.clone() },
             have: self.have(),
             parts: self.parts.clone(),
         };
@@ -204,7 +204,7 @@
 
     /// Takes what is whole, new and, at this moment, fresh.
     fn take(&mut self, pulled: Pulled) -> Vec<Group> {
-        let floor = floor(self.version(), pulled.bound);
+        let floor = min_fresh_version(self.version(), pulled.bound);
         if pulled.leaving {
             self.parts = pulled.parts;
         }
--- a/src/decide/dispatch/pool.rs
+++ b/src/decide/dispatch/pool.rs
@@ -11,7 +11,8 @@
 use super::upstream::Upstream;
 use super::{LoadReport, Report, UpstreamKey, UpstreamView};
 use crate::decide::{
-    Call, Class, Deadlines, Open, Others, Outcome, Pace, Ring, bounded, expected, most_out, two,
+    Call, Class, Deadlines, Open, OtherLoad, Outcome, Pace, Ring, expected_latency, most_out,
+    two_random, within_load_bound,
 };
 use crate::{Moment, Name};
 
@@ -85,7 +86,7 @@
         let upstream = &mut self.upstreams[key];
         if report.at >= upstream.others.at() {
             let others = report.total.saturating_sub(upstream.limit.running());
-            upstream.others = Others::new(others, report.at);
+            upstream.others = OtherLoad::new(others, report.at);
         }
     }
 
@@ -135,12 +136,12 @@
         let open = self.open_of(room);
         let mut best: Option<(bool, f64, UpstreamKey)> = None;
         for _ in 0..DRAWS {
-            let (first, second) = two(open.len(), rng)?;
+            let (first, second) = two_random(open.len(), rng)?;
             for key in [open.get(first), open.get(second)] {
                 let upstream = &self.upstreams[key];
                 let bad = Some(key) == avoid;
                 let pace = upstream.pace.faded(typical, now);
-                let time = expected(upstream.load(now), pace, call.cost, upstream.far);
+                let time = expected_latency(upstream.load(now), pace, call.cost, upstream.far);
                 if best.is_none_or(|(b, t, _)| (bad, time) < (b, t)) {
                     best = Some((bad, time, key));
                 }
@@ -210,7 +211,7 @@
             let upstream = &self.upstreams[*key];
             let fine = open.contains(*key) && Some(*key) != avoid;
             let slow = upstream.pace.faded(typical, now) > 2.0 * typical;
-            fine && !slow && bounded(upstream.load(now), mean)
+            fine && !slow && within_load_bound(upstream.load(now), mean)
         })
     }
 
--- a/src/decide/dispatch/upstream.rs
+++ b/src/decide/dispatch/upstream.rs
@@ -4,7 +4,7 @@
 
 use super::UpstreamView;
 use crate::Moment;
-use crate::decide::{Failures, Limit, Others, Pace, per_cost};
+use crate::decide::{Failures, Limit, OtherLoad, Pace, per_cost};
 
 /// Its state.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
     pub(super) far: bool,
     pub(super) limit: Limit,
     pub(super) pace: Pace,
-    pub(super) others: Others,
+    pub(super) others: OtherLoad,
     pub(super) failures: Failures,
     /// Left out until then.
     pub(super) out: Option<Moment>,
@@ -26,7 +26,7 @@
             far,
             limit: Limit::new(ceiling),
             pace: Pace::default(),
-            others: Others::default(),
+            others: OtherLoad::default(),
             failures: Failures::default(),
             out: None,
         }
@@ -49,6 +49,6 @@
 
     /// Attempts in flight, those of others with them.
     pub(super) fn load(&self, now: Moment) -> f64 {
-        f64::from(self.limit.running()) + self.others.faded(now)
+        f64::from(self.limit.running()) + self.others.decayed(now)
     }
 }
--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -13,7 +13,7 @@
 
 use super::replica::{LoadReporting, Replica, fits};
 use super::{AttemptRequest, ListedReplica, ReplicaOutcome};
-use crate::decide::{Others, Pace, expected, most_out};
+use crate::decide::{OtherLoad, Pace, expected_latency, most_out};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
 
@@ -188,7 +188,7 @@
     pub fn report_load(&mut self, id: &str, load: Load, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         let others = (load.running + load.waiting).saturating_sub(replica.running);
-        replica.others = Others::new(others, now);
+        replica.others = OtherLoad::new(others, now);
         replica.load_report = LoadReporting::At(now);
     }
 
@@ -214,7 +214,7 @@
             let rated = self.rate(replica, request, known.faded(typical, now), now);
             if many
                 && load_known
-                && rated.latency <= expected(0.0, typical, 1, false)
+                && rated.latency <= expected_latency(0.0, typical, 1, false)
                 && !rated.penalties.0
             {
                 return Some(replica.listed.target.clone());
@@ -293,10 +293,10 @@
     ) -> Rated<'a> {
         let listed = &replica.listed;
         let far = self.zone.as_ref().is_some_and(|zone| *zone != listed.zone);
-        let load = f64::from(replica.running) + replica.others.faded(now);
+        let load = f64::from(replica.running) + replica.others.decayed(now);
         let full = load >= f64::from(listed.slots);
         let avoided = request.avoid.contains(&listed.target.id);
-        Rated { penalties: (avoided, full), latency: expected(load, pace, 1, far), replica }
+        Rated { penalties: (avoided, full), latency: expected_latency(load, pace, 1, far), replica }
     }
 
     /// Records the time between two events of a replica's streams, in seconds.
@@ -411,7 +411,7 @@
     /// Returns the number of free slots of a service, as far as this node knows.
     pub fn free_slots(&self, service: &str, now: Moment) -> u32 {
         let open = self.of(service).filter(|r| !r.listed.draining && r.excluded_until <= now);
-        open.map(|r| r.listed.slots.saturating_sub(r.running + r.others.faded(now) as u32)).sum()
+        open.map(|r| r.listed.slots.saturating_sub(r.running + r.others.decayed(now) as u32)).sum()
     }
 
     /// Returns the replica if this is still its incarnation.
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{AttemptRequest, ListedReplica};
-use crate::decide::{Failures, Others, Pace};
+use crate::decide::{Failures, OtherLoad, Pace};
 use crate::{Moment, Name};
 
 /// How long a replica's report of its load counts: a text takes about as long, so after this
@@ -18,7 +18,7 @@
     /// Number of this node's attempts that run there.
     pub running: u32,
     /// Requests of other nodes there, by its last report.
-    pub others: Others,
+    pub others: OtherLoad,
     /// Time per cost of the attempts there.
     pub pace: Pace,
     /// Time between the events of its streams.
@@ -43,7 +43,7 @@
             versions: listed.versions.iter().cloned().collect(),
             listed,
             running: 0,
-            others: Others::default(),
+            others: OtherLoad::default(),
             pace: Pace::default(),
             event_interval: Pace::default(),
             failures: Failures::default(),
@@ -69,8 +69,8 @@
             LoadReporting::Never => true,
             LoadReporting::Unknown => self.running == 0 || lost,
             LoadReporting::At(at) => {
-                let alone =
-                    self.others.faded(now) < 1.0 && now.saturating_sub(at) <= LOAD_REPORT_LIFETIME;
+                let alone = self.others.decayed(now) < 1.0
+                    && now.saturating_sub(at) <= LOAD_REPORT_LIFETIME;
                 alone || at > self.began || lost
             }
         }
@@ -111,7 +111,7 @@
     if replica.listed.draining || (exclude && replica.excluded_until > now) {
         return false;
     }
-    let load = f64::from(replica.running) + replica.others.faded(now);
+    let load = f64::from(replica.running) + replica.others.decayed(now);
     if !request.allow_full && load >= f64::from(replica.listed.slots) {
         return false;
     }
--- a/src/decide/label.rs
+++ b/src/decide/label.rs
@@ -1,11 +1,11 @@
 //! The label of a sample: which weight versions produced which tokens.
 //!
-//! Only the engine knows, so a label is built from what the engine reports with
-//! each chunk, and from nothing else. A chunk without a version spoils the label.
+//! Only the engine knows the version, so a label is built from what the engine reports with
+//! each chunk, and from nothing else. A chunk without a version makes the label unusable.
 
 use serde::{Deserialize, Serialize};
 
-/// A run of tokens that one weight version produced.
+/// A run of consecutive tokens that one weight version produced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
     /// The weight version.
@@ -16,7 +16,7 @@
     pub to: u32,
 }
 
-/// A chunk came without a version: the sample can't be used.
+/// A chunk arrived without a version, so the sample can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("token {at} has no certain weight version")]
 pub struct Unlabelled {
@@ -33,7 +33,8 @@
 }
 
 impl Label {
-    /// Adds a chunk of `count` tokens; one without tokens says nothing of any token.
+    /// Adds a chunk of `count` tokens. A chunk without tokens is ignored, even without a
+    /// version.
     pub fn push(&mut self, version: Option<u64>, count: u32) {
         if count == 0 {
             return;
@@ -50,22 +51,22 @@
         }
     }
 
-    /// How many tokens were pushed.
+    /// Returns the number of tokens added.
     pub fn tokens(&self) -> u32 {
         self.next
     }
 
-    /// The oldest version so far; none before the first token with a version.
+    /// Returns the oldest version so far; none before the first token with a version.
     pub fn oldest(&self) -> Option<u64> {
         self.spans.iter().map(|s| s.version).min()
     }
 
-    /// Whether a token came without a version: the label can't be finished any more.
-    pub fn spoiled(&self) -> bool {
+    /// Whether a token came without a version, so that the label can't be finished any more.
+    pub fn has_gap(&self) -> bool {
         self.gap.is_some()
     }
 
-    /// The finished label, or the first token without a version.
+    /// Returns the finished label, or an error that names the first token without a version.
     pub fn finish(self) -> Result<Vec<Span>, Unlabelled> {
         match self.gap {
             Some(at) => Err(Unlabelled { at }),
--- a/src/decide/members/state.rs
+++ b/src/decide/members/state.rs
@@ -1,8 +1,8 @@
-//! What a node says of itself, and what others make of its silence.
+//! The state that a node reports about itself, and its liveness as other nodes see it.
 
 use serde::{Deserialize, Serialize};
 
-/// Where a node is in its life, as it says itself. It only moves downwards in
+/// The lifecycle state that a node reports about itself. It only moves downwards in
 /// this list; a node that comes back does so with a higher incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
@@ -11,19 +11,19 @@
     Starting,
     /// It serves.
     Serving,
-    /// It finishes what it has and takes nothing new.
+    /// It finishes its running work and accepts nothing new.
     Draining,
     /// It has stopped on purpose.
     Gone,
 }
 
-/// Whether a node shows signs of life, as this node sees it.
+/// Whether a node is alive, as this node sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// Its heartbeat advances.
-    Well,
-    /// Someone failed to reach it and its heartbeat has not advanced since.
-    Doubted,
-    /// It was doubted for too long: it counts as failed until its heartbeat advances.
-    Silent,
+    Alive,
+    /// Some node failed to reach it, and its heartbeat has not advanced since.
+    Suspected,
+    /// It was suspected for too long: it counts as failed until its heartbeat advances.
+    Failed,
 }
--- a/src/decide/members/table.rs
+++ b/src/decide/members/table.rs
@@ -1,9 +1,11 @@
-//! The table of nodes: merges gossip, doubts what can't be reached, forgets what is gone.
+//! The table of nodes: merges gossip, suspects nodes that can't be reached, and forgets nodes
+//! that are gone.
 //!
-//! A node that can't be reached is doubted at its last known heartbeat, and the
-//! doubt is passed on. Whoever knows a later heartbeat answers the doubt with
-//! it; the node itself raises its own. Only a doubt that nothing answers makes
-//! a node silent, so a node that is heard through others counts as alive.
+//! A node that can't be reached is suspected at its last known heartbeat, and the
+//! suspicion is passed on. Any node that knows a later heartbeat refutes the suspicion with
+//! it; the suspected node itself raises its own heartbeat. Only a suspicion that nothing
+//! refutes makes a node failed, so a node whose heartbeat arrives through others counts as
+//! alive.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
@@ -12,62 +14,67 @@
 use rand::seq::{IndexedRandom, IteratorRandom};
 use rand::{Rng, SeedableRng};
 
-use super::{Beat, Gossip, Heard, News, NodeState, Standing};
+use super::{Gossip, GossipEffect, Heartbeat, Liveness, MemberRecord, NodeState};
 use crate::{Moment, Name};
 
-/// Most news in a message. At 95 bytes each this bounds a message to 1.2 KB.
-const NEWS: usize = 8;
-/// Most heartbeats in a message, at 13 bytes each; `members-bench` shows that the
-/// oldest heartbeat at 380 nodes stays far below [`AGE`] with so many.
-const BEATS: usize = 24;
-/// Most unknown nodes that are asked for in a message.
-const WANTED: usize = 8;
-/// Most unknown nodes that are remembered.
-const UNKNOWN: usize = 256;
-/// Nodes in a page of the table, for a node that joins.
-const PAGE: usize = 64;
-/// How long a doubt may stand until the node counts as silent: news reach all of
-/// 380 nodes in about 2 s, and the answer to the doubt needs as long again.
-const DOUBT: Duration = Duration::from_secs(4);
-/// A heartbeat that has not advanced for so long is doubted without a failed
-/// contact. `members-bench`: the oldest of a living node is 14 s at 380 nodes and
+/// Maximum number of records in a message. At 95 bytes each this bounds a message to 1.2 KB.
+const MAX_RECORDS: usize = 8;
+/// Maximum number of heartbeats in a message, at 13 bytes each; `members-bench` shows that the
+/// oldest heartbeat at 380 nodes stays far below [`MAX_HEARTBEAT_AGE`] with this number.
+const MAX_HEARTBEATS: usize = 24;
+/// Maximum number of unknown nodes whose records are requested in a message.
+const MAX_WANTED: usize = 8;
+/// Maximum number of unknown nodes that are remembered.
+const MAX_UNKNOWN: usize = 256;
+/// Number of records in a page of the table, which a joining node requests.
+const PAGE_RECORDS: usize = 64;
+/// How long a suspicion may stand until the node counts as failed: a record reaches all of
+/// 380 nodes in about 2 s, and the refutation needs as long again.
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
+/// A node whose heartbeat has not advanced for this long is suspected without a failed
+/// contact. `members-bench`: the oldest heartbeat of a live node is 14 s at 380 nodes and
 /// 30 s at 1,024.
-const AGE: Duration = Duration::from_secs(60);
-/// A gap between two rounds after which this node was frozen, and can't judge others.
-const FROZEN: Duration = Duration::from_secs(2);
-/// How long a silent node is remembered: regions lose each other for an hour,
-/// and have to find each other again after it.
-const SILENT: Duration = Duration::from_secs(2 * 3600);
-/// How long a stopped node is remembered, so that old news do not bring it back.
-const STOPPED: Duration = Duration::from_secs(600);
-/// One target in so many is a silent node, so that a partition heals.
-const REVISIT: u32 = 8;
+const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(60);
+/// A longer gap between two rounds means that this node was frozen and can't judge others.
+const MAX_ROUND_GAP: Duration = Duration::from_secs(2);
+/// How long a failed node is remembered: regions lose contact with each other for an hour,
+/// and have to find each other again afterwards.
+const FAILED_RETENTION: Duration = Duration::from_secs(2 * 3600);
+/// How long a stopped node is remembered, so that old records do not bring it back.
+const STOPPED_RETENTION: Duration = Duration::from_secs(600);
+/// In one of this many rounds, a failed node is a target too, so that a partition heals.
+const FAILED_TARGET_PERIOD: u32 = 8;
 
 #[derive(Debug)]
 struct Member<C> {
-    news: News<C>,
+    record: MemberRecord<C>,
     /// When its heartbeat last advanced here.
     advanced: Moment,
-    doubted: Option<Moment>,
-    /// In how many more messages its news go out.
+    /// Since when it is suspected.
+    suspected: Option<Moment>,
+    /// Number of further messages in which its record is sent.
     sends: u32,
 }
 
-/// The table of one node.
+/// The table that one node keeps of all nodes.
 #[derive(Debug)]
-pub struct Members<C> {
-    own: News<C>,
+pub struct MemberTable<C> {
+    own: MemberRecord<C>,
+    /// Number of further messages in which the own record is sent.
     sends: u32,
     known: BTreeMap<Name, Member<C>>,
+    /// The known nodes by short id.
     names: HashMap<u32, Name>,
+    /// Short ids of nodes without a record here.
     unknown: BTreeSet<u32>,
+    /// When the last round began.
     round: Moment,
     rng: SmallRng,
 }
 
-impl<C: Clone> Members<C> {
-    /// A table that knows only its own node. The seed drives the random choices.
-    pub fn new(own: News<C>, seed: u64) -> Self {
+impl<C: Clone> MemberTable<C> {
+    /// A table that knows only its own node. The seed determines the random choices.
+    pub fn new(own: MemberRecord<C>, seed: u64) -> Self {
         Self {
             own,
             sends: 1,
@@ -79,258 +86,267 @@
         }
     }
 
-    /// This node's own news.
-    pub fn own(&self) -> &News<C> {
+    /// Returns this node's own record.
+    pub fn own(&self) -> &MemberRecord<C> {
         &self.own
     }
 
-    /// This node moves on in its life. True if that is new and should be told at once.
+    /// Advances this node's lifecycle state; an earlier state is ignored. Returns true if the
+    /// state changed and should be sent at once.
     pub fn set_state(&mut self, state: NodeState) -> bool {
         let later = state > self.own.state;
         if later {
             self.own.state = state;
-            self.sends = self.quota();
+            self.sends = self.send_quota();
         }
         later
     }
 
-    /// A bundle came into force at this node.
+    /// Records that a bundle came into force at this node.
     pub fn set_bundle(&mut self, number: u64) {
         self.own.bundle = self.own.bundle.max(number);
     }
 
-    /// A round begins: the own heartbeat advances, old ones are doubted.
-    pub fn beat(&mut self, now: Moment) {
-        self.own.beat += 1;
+    /// Begins a round: advances this node's heartbeat, suspects nodes with an old one and
+    /// forgets nodes that are gone.
+    pub fn begin_round(&mut self, now: Moment) {
+        self.own.heartbeat += 1;
         let gap = now.saturating_sub(self.round);
         self.round = now;
-        if gap > FROZEN {
-            self.excuse(gap);
+        if gap > MAX_ROUND_GAP {
+            self.excuse_all(gap);
         }
-        let quota = self.quota();
+        let quota = self.send_quota();
         for member in self.known.values_mut() {
-            if now.saturating_sub(member.advanced) >= AGE {
-                member.doubt(now, quota);
+            if now.saturating_sub(member.advanced) >= MAX_HEARTBEAT_AGE {
+                member.suspect(now, quota);
             }
         }
         self.forget(now);
     }
 
-    /// This node failed to reach another. True if that is a new doubt.
-    pub fn missed(&mut self, name: &str, now: Moment) -> bool {
-        let quota = self.quota();
-        self.known.get_mut(name).is_some_and(|m| m.doubt(now, quota))
+    /// Records that this node failed to reach another. Returns true if the other is newly
+    /// suspected.
+    pub fn report_unreachable(&mut self, name: &str, now: Moment) -> bool {
+        let quota = self.send_quota();
+        self.known.get_mut(name).is_some_and(|m| m.suspect(now, quota))
     }
 
-    /// Some nodes to talk to in this round: the one that was silent for longest,
-    /// the rest at random.
-    pub fn targets(&mut self, count: usize, now: Moment) -> Vec<Name> {
-        let standing = |silent: bool| {
+    /// Chooses the nodes to gossip with in this round: the one whose heartbeat is oldest, the
+    /// others at random, and sometimes a failed node in addition to `count`.
+    pub fn gossip_targets(&mut self, count: usize, now: Moment) -> Vec<Name> {
+        let with_failed = |failed: bool| {
             move |(name, m): (&Name, &Member<C>)| {
-                let fits = (m.standing(now) == Standing::Silent) == silent;
-                (fits && m.news.state != NodeState::Gone).then(|| name.clone())
+                let fits = (m.liveness(now) == Liveness::Failed) == failed;
+                (fits && m.record.state != NodeState::Gone).then(|| name.clone())
             }
         };
         let mut targets =
-            self.known.iter().filter_map(standing(false)).choose_multiple(&mut self.rng, count);
+            self.known.iter().filter_map(with_failed(false)).choose_multiple(&mut self.rng, count);
         if let Some(stalest) = self.stalest()
             && !targets.contains(&stalest)
             && let Some(last) = targets.last_mut()
         {
             *last = stalest;
         }
-        if self.rng.random_ratio(1, REVISIT) {
-            let silent: Vec<Name> = self.known.iter().filter_map(standing(true)).collect();
-            targets.extend(silent.choose(&mut self.rng).cloned());
+        if self.rng.random_ratio(1, FAILED_TARGET_PERIOD) {
+            let failed: Vec<Name> = self.known.iter().filter_map(with_failed(true)).collect();
+            targets.extend(failed.choose(&mut self.rng).cloned());
         }
         targets
     }
 
-    /// The message of a round, with what the other side wants to know.
-    pub fn message(&mut self, wanted: &[u32]) -> Gossip<C> {
-        let mut news = self.answers(wanted);
+    /// Returns the message of a round, with the records that the receiver asked for.
+    pub fn next_message(&mut self, wanted: &[u32]) -> Gossip<C> {
+        let mut records = self.requested_records(wanted);
         if self.sends > 0 {
             self.sends -= 1;
-            news.push(self.own.clone());
+            records.push(self.own.clone());
         }
         let mut fresh: Vec<&mut Member<C>> =
             self.known.values_mut().filter(|m| m.sends > 0).collect();
         fresh.sort_by_key(|m| std::cmp::Reverse(m.sends));
-        for member in fresh.into_iter().take(NEWS) {
+        for member in fresh.into_iter().take(MAX_RECORDS) {
             member.sends -= 1;
-            news.push(member.news.clone());
+            records.push(member.record.clone());
         }
-        let beats = self.beats();
-        let wanted = self.unknown.iter().copied().choose_multiple(&mut self.rng, WANTED);
-        Gossip { news, beats, wanted }
+        let heartbeats = self.heartbeats();
+        let wanted = self.unknown.iter().copied().choose_multiple(&mut self.rng, MAX_WANTED);
+        Gossip { records, heartbeats, wanted }
     }
 
-    /// Takes in a message.
-    pub fn receive(&mut self, gossip: Gossip<C>, now: Moment) -> Heard {
-        let mut heard = Heard::default();
-        for news in gossip.news {
-            heard.changed |= self.learn(news, now);
+    /// Merges a received message.
+    pub fn receive(&mut self, gossip: Gossip<C>, now: Moment) -> GossipEffect {
+        let mut effect = GossipEffect::default();
+        for record in gossip.records {
+            effect.changed |= self.merge_record(record, now);
         }
-        if let Some(first) = gossip.beats.first() {
-            heard.bundle = first.bundle;
-            heard.sender = Some(first.id);
+        if let Some(first) = gossip.heartbeats.first() {
+            effect.bundle = first.bundle;
+            effect.sender = Some(first.id);
         }
-        for beat in gossip.beats {
-            heard.changed |= self.hear(beat, now);
+        for heartbeat in gossip.heartbeats {
+            effect.changed |= self.merge_heartbeat(heartbeat, now);
         }
-        heard
+        effect
     }
 
-    /// Takes in news of one node. True if a node came, went or changed its state.
-    pub fn learn(&mut self, news: News<C>, now: Moment) -> bool {
-        if news.name == self.own.name {
-            self.answer(&news);
+    /// Merges the record of one node. Returns true if a node appeared, disappeared or changed
+    /// its state.
+    pub fn merge_record(&mut self, record: MemberRecord<C>, now: Moment) -> bool {
+        if record.name == self.own.name {
+            self.refute(&record);
             return false;
         }
-        let quota = self.quota();
-        self.unknown.remove(&news.id());
-        let replaced = match self.known.get_mut(&news.name) {
-            Some(known) if known.news.incarnation == news.incarnation => {
-                return known.merge(&news, now, quota);
+        let quota = self.send_quota();
+        self.unknown.remove(&record.id());
+        let replaced = match self.known.get_mut(&record.name) {
+            Some(known) if known.record.incarnation == record.incarnation => {
+                return known.merge(&record, now, quota);
             }
-            Some(known) if known.news.incarnation > news.incarnation => {
-                // The sender is behind: it is told what is known here.
+            Some(known) if known.record.incarnation > record.incarnation => {
+                // The sender is behind: the newer record is sent once more.
                 known.sends = known.sends.max(1);
                 return false;
             }
-            Some(known) => Some(known.news.id()),
+            Some(known) => Some(known.record.id()),
             None => None,
         };
         if let Some(old) = replaced {
             self.names.remove(&old);
         }
-        self.names.insert(news.id(), news.name.clone());
-        let doubted = news.doubted.then_some(now);
-        let name = news.name.clone();
-        self.known.insert(name, Member { news, advanced: now, doubted, sends: quota });
+        self.names.insert(record.id(), record.name.clone());
+        let suspected = record.suspected.then_some(now);
+        let name = record.name.clone();
+        self.known.insert(name, Member { record, advanced: now, suspected, sends: quota });
         true
     }
 
-    /// Takes in a node of a list that the others have as well: it is not passed on.
-    pub fn load(&mut self, news: News<C>, now: Moment) {
-        let name = news.name.clone();
-        if self.learn(news, now)
+    /// Merges a record of a list that the other nodes have as well: it is not passed on.
+    pub fn load_record(&mut self, record: MemberRecord<C>, now: Moment) {
+        let name = record.name.clone();
+        if self.merge_record(record, now)
             && let Some(member) = self.known.get_mut(&name)
         {
             member.sends = 0;
         }
     }
 
-    /// A page of the table after a name, for a node that joins; the own news come first.
-    pub fn page(&self, after: Option<&Name>) -> Vec<News<C>> {
+    /// Returns the page of the table after a name, for a node that joins; the own record comes
+    /// first.
+    pub fn page(&self, after: Option<&Name>) -> Vec<MemberRecord<C>> {
         use std::ops::Bound::{Excluded, Unbounded};
         let from = after.map_or(Unbounded, Excluded);
         let own = after.is_none().then(|| self.own.clone());
-        let rest = self.known.range::<Name, _>((from, Unbounded)).map(|(_, m)| m.news.clone());
-        own.into_iter().chain(rest).take(PAGE).collect()
+        let rest = self.known.range::<Name, _>((from, Unbounded)).map(|(_, m)| m.record.clone());
+        own.into_iter().chain(rest).take(PAGE_RECORDS).collect()
     }
 
-    /// Every other node, with its standing.
-    pub fn view(&self, now: Moment) -> impl Iterator<Item = (&News<C>, Standing)> {
-        self.known.values().map(move |m| (&m.news, m.standing(now)))
+    /// Returns every other node with its liveness.
+    pub fn view(&self, now: Moment) -> impl Iterator<Item = (&MemberRecord<C>, Liveness)> {
+        self.known.values().map(move |m| (&m.record, m.liveness(now)))
     }
 
-    /// Other nodes that are not known to have stopped or failed.
-    pub fn alive(&self, now: Moment) -> impl Iterator<Item = &News<C>> {
-        let there = |(news, standing): &(&News<C>, Standing)| {
-            *standing != Standing::Silent && news.state != NodeState::Gone
+    /// Returns the other nodes that are not known to have stopped or failed.
+    pub fn alive(&self, now: Moment) -> impl Iterator<Item = &MemberRecord<C>> {
+        let is_alive = |(record, liveness): &(&MemberRecord<C>, Liveness)| {
+            *liveness != Liveness::Failed && record.state != NodeState::Gone
         };
-        self.view(now).filter(there).map(|(news, _)| news)
+        self.view(now).filter(is_alive).map(|(record, _)| record)
     }
 
-    /// The news of a node.
-    pub fn get(&self, name: &str) -> Option<&News<C>> {
-        self.known.get(name).map(|m| &m.news)
+    /// Returns the record of a node.
+    pub fn get(&self, name: &str) -> Option<&MemberRecord<C>> {
+        self.known.get(name).map(|m| &m.record)
     }
 
-    /// The news of the node with this short name.
-    pub fn find(&self, id: u32) -> Option<&News<C>> {
+    /// Returns the record of the node with this short id.
+    pub fn find_by_id(&self, id: u32) -> Option<&MemberRecord<C>> {
         self.names.get(&id).and_then(|name| self.get(name))
     }
 
-    /// The longest time that a living node's heartbeat has not advanced here.
-    pub fn oldest(&self, now: Moment) -> Duration {
-        let living = self.known.values().filter(|m| m.news.state != NodeState::Gone);
-        living.map(|m| now.saturating_sub(m.advanced)).max().unwrap_or_default()
+    /// Returns the longest time that the heartbeat of a node that has not stopped has not
+    /// advanced here.
+    pub fn max_heartbeat_age(&self, now: Moment) -> Duration {
+        let not_stopped = self.known.values().filter(|m| m.record.state != NodeState::Gone);
+        not_stopped.map(|m| now.saturating_sub(m.advanced)).max().unwrap_or_default()
     }
 
-    /// The node whose heartbeat has not advanced here for the longest time.
+    /// Returns the live node whose heartbeat has not advanced here for the longest time.
     fn stalest(&self) -> Option<Name> {
-        let living = self.known.iter().filter(|(_, m)| m.lives());
-        living.min_by_key(|(_, m)| m.advanced).map(|(name, _)| name.clone())
+        let alive = self.known.iter().filter(|(_, m)| m.is_alive());
+        alive.min_by_key(|(_, m)| m.advanced).map(|(name, _)| name.clone())
     }
 
-    fn answers(&self, wanted: &[u32]) -> Vec<News<C>> {
+    fn requested_records(&self, wanted: &[u32]) -> Vec<MemberRecord<C>> {
         let own = self.own.id();
         let one = |id: &u32| {
-            if *id == own { Some(self.own.clone()) } else { self.find(*id).cloned() }
+            if *id == own { Some(self.own.clone()) } else { self.find_by_id(*id).cloned() }
         };
-        wanted.iter().take(WANTED).filter_map(one).collect()
+        wanted.iter().take(MAX_WANTED).filter_map(one).collect()
     }
 
-    fn beats(&mut self) -> Vec<Beat> {
-        let living = self.known.values().filter(|m| m.lives());
-        let some = living.choose_multiple(&mut self.rng, BEATS);
-        let own = [self.own.short()].into_iter();
-        own.chain(some.into_iter().map(|m| m.news.short())).collect()
+    fn heartbeats(&mut self) -> Vec<Heartbeat> {
+        let alive = self.known.values().filter(|m| m.is_alive());
+        let some = alive.choose_multiple(&mut self.rng, MAX_HEARTBEATS);
+        let own = [self.own.to_heartbeat()].into_iter();
+        own.chain(some.into_iter().map(|m| m.record.to_heartbeat())).collect()
     }
 
-    /// Takes in a heartbeat. True if it says that a node changed its state.
-    fn hear(&mut self, beat: Beat, now: Moment) -> bool {
-        let quota = self.quota();
-        if beat.id == self.own.id() {
+    /// Merges a heartbeat. Returns true if the node's state changed.
+    fn merge_heartbeat(&mut self, heartbeat: Heartbeat, now: Moment) -> bool {
+        let quota = self.send_quota();
+        if heartbeat.id == self.own.id() {
             return false;
         }
-        match self.names.get(&beat.id).and_then(|name| self.known.get_mut(name)) {
+        match self.names.get(&heartbeat.id).and_then(|name| self.known.get_mut(name)) {
             Some(member) => {
-                member.advance(beat.beat, beat.bundle, now, quota);
-                return member.move_on(beat.state, quota);
+                member.advance(heartbeat.heartbeat, heartbeat.bundle, now, quota);
+                return member.advance_state(heartbeat.state, quota);
             }
-            None if self.unknown.len() < UNKNOWN => {
-                self.unknown.insert(beat.id);
+            None if self.unknown.len() < MAX_UNKNOWN => {
+                self.unknown.insert(heartbeat.id);
             }
             None => {}
         }
         false
     }
 
-    /// News of this node itself: a doubt is answered, an older start outbid.
-    fn answer(&mut self, news: &News<C>) {
-        if news.incarnation > self.own.incarnation {
+    /// Handles a record of this node itself: refutes a suspicion, and takes a higher
+    /// incarnation than any seen.
+    fn refute(&mut self, record: &MemberRecord<C>) {
+        if record.incarnation > self.own.incarnation {
             // The clock went back between two starts.
-            self.own.incarnation = news.incarnation + 1;
-            self.sends = self.quota();
-        } else if news.incarnation < self.own.incarnation {
+            self.own.incarnation = record.incarnation + 1;
+            self.sends = self.send_quota();
+        } else if record.incarnation < self.own.incarnation {
             self.sends = self.sends.max(1);
-        } else if news.doubted && news.beat >= self.own.beat {
-            self.own.beat = news.beat + 1;
-            self.sends = self.quota();
+        } else if record.suspected && record.heartbeat >= self.own.heartbeat {
+            self.own.heartbeat = record.heartbeat + 1;
+            self.sends = self.send_quota();
         }
     }
 
-    /// In how many messages news go out: enough to reach all with some to spare.
-    fn quota(&self) -> u32 {
+    /// Returns the number of messages in which a record is sent: enough to reach all nodes,
+    /// with a margin.
+    fn send_quota(&self) -> u32 {
         let count = self.known.len() as u32 + 2;
         3 * (u32::BITS - count.leading_zeros())
     }
 
-    /// This node was frozen: the others get the time that it did not listen.
-    fn excuse(&mut self, gap: Duration) {
+    /// Extends all deadlines by the time that this node was frozen and received nothing.
+    fn excuse_all(&mut self, gap: Duration) {
         for member in self.known.values_mut() {
             member.advanced += gap;
-            member.doubted = member.doubted.map(|since| since + gap);
+            member.suspected = member.suspected.map(|since| since + gap);
         }
     }
 
     fn forget(&mut self, now: Moment) {
         let kept = |m: &Member<C>| {
-            let limit = if m.news.state == NodeState::Gone { STOPPED } else { SILENT };
-            now.saturating_sub(m.advanced) < limit
+            let stopped = m.record.state == NodeState::Gone;
+            let retention = if stopped { STOPPED_RETENTION } else { FAILED_RETENTION };
+            now.saturating_sub(m.advanced) < retention
         };
         self.known.retain(|_, m| kept(m));
         let known = &self.known;
@@ -339,64 +355,64 @@
 }
 
 impl<C> Member<C> {
-    fn standing(&self, now: Moment) -> Standing {
-        match self.doubted {
-            None => Standing::Well,
-            Some(since) if now.saturating_sub(since) < DOUBT => Standing::Doubted,
-            Some(_) => Standing::Silent,
+    fn liveness(&self, now: Moment) -> Liveness {
+        match self.suspected {
+            None => Liveness::Alive,
+            Some(since) if now.saturating_sub(since) < SUSPICION_TIMEOUT => Liveness::Suspected,
+            Some(_) => Liveness::Failed,
         }
     }
 
-    fn lives(&self) -> bool {
-        self.news.state != NodeState::Gone && self.doubted.is_none()
+    fn is_alive(&self) -> bool {
+        self.record.state != NodeState::Gone && self.suspected.is_none()
     }
 
-    /// True if the doubt is new.
-    fn doubt(&mut self, now: Moment, quota: u32) -> bool {
-        if self.doubted.is_some() || self.news.state == NodeState::Gone {
+    /// Suspects the node, unless it has stopped. Returns true if the suspicion is new.
+    fn suspect(&mut self, now: Moment, quota: u32) -> bool {
+        if self.suspected.is_some() || self.record.state == NodeState::Gone {
             return false;
         }
-        self.doubted = Some(now);
-        self.news.doubted = true;
+        self.suspected = Some(now);
+        self.record.suspected = true;
         self.sends = quota;
         true
     }
 
-    /// A heartbeat was heard; a later one answers a doubt.
-    fn advance(&mut self, beat: u32, bundle: u64, now: Moment, quota: u32) {
-        if beat <= self.news.beat {
+    /// Merges a heartbeat; a later one than known clears a suspicion.
+    fn advance(&mut self, heartbeat: u32, bundle: u64, now: Moment, quota: u32) {
+        if heartbeat <= self.record.heartbeat {
             return;
         }
-        self.news.beat = beat;
-        self.news.bundle = self.news.bundle.max(bundle);
+        self.record.heartbeat = heartbeat;
+        self.record.bundle = self.record.bundle.max(bundle);
         self.advanced = now;
-        if self.doubted.take().is_some() {
-            self.news.doubted = false;
+        if self.suspected.take().is_some() {
+            self.record.suspected = false;
             self.sends = quota;
         }
     }
 
-    /// It says so of itself. True if that is new.
-    fn move_on(&mut self, state: NodeState, quota: u32) -> bool {
-        let moved = state > self.news.state;
-        if moved {
-            self.news.state = state;
+    /// Merges the state that the node reports about itself. Returns true if it is new.
+    fn advance_state(&mut self, state: NodeState, quota: u32) -> bool {
+        let advanced = state > self.record.state;
+        if advanced {
+            self.record.state = state;
             self.sends = quota;
         }
-        moved
+        advanced
     }
 
-    /// News of the same incarnation. True if its state changed.
-    fn merge(&mut self, news: &News<C>, now: Moment, quota: u32) -> bool {
-        let moved = self.move_on(news.state, quota);
-        let behind = news.beat < self.news.beat;
-        self.advance(news.beat, news.bundle, now, quota);
-        if news.doubted && behind {
-            // What is known here answers the doubt.
+    /// Merges a record of the same incarnation. Returns true if the state changed.
+    fn merge(&mut self, record: &MemberRecord<C>, now: Moment, quota: u32) -> bool {
+        let advanced = self.advance_state(record.state, quota);
+        let behind = record.heartbeat < self.record.heartbeat;
+        self.advance(record.heartbeat, record.bundle, now, quota);
+        if record.suspected && behind {
+            // The later heartbeat that is known here refutes the suspicion.
             self.sends = self.sends.max(quota / 3);
-        } else if news.doubted {
-            self.doubt(now, quota);
+        } else if record.suspected {
+            self.suspect(now, quota);
         }
-        moved
+        advanced
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -3,27 +3,26 @@
 //! Each takes its state, an event and the present moment, and returns typed
 //! actions. The daemon turns sockets and timers into events, and actions into I/O.
 
-mod address;
 mod admission;
 pub mod affinity;
 mod ahead;
 mod call;
 pub mod claim;
-pub mod comeback;
+mod client_nodes;
 mod deadlines;
 mod demand;
-pub mod detour;
+mod departures;
 mod dispatch;
 mod drag;
 mod eject;
+mod fair_queue;
+pub mod fallback;
 mod fleet;
 mod freshness;
 pub mod job;
 mod label;
-mod leaving;
 mod limit;
 pub mod members;
-pub mod moves;
 mod open;
 mod organisations;
 mod outcome;
@@ -34,35 +33,37 @@
 mod ranges;
 mod rendezvous;
 mod retry;
+pub mod retry_after;
 mod ring;
 mod rollout;
-mod route;
 mod routes;
+mod sample_order;
 pub mod scale;
 mod step;
-mod straggler;
 mod subset;
 mod transfer;
-mod turns;
+mod upstream_choice;
 pub mod usage;
+pub mod weight_loads;
 
-pub use address::{ANSWER, Site, sites_of};
 pub use admission::{Outlook, Returns};
 pub use ahead::ahead;
 pub use call::{Call, Class, Repeat};
+pub use client_nodes::{CandidateNode, MAX_CLIENT_NODES, nodes_for_client};
 pub use deadlines::Deadlines;
 pub use demand::Demand;
+pub use departures::{Departure, Departures};
 pub use dispatch::{
     Action, Dispatch, Limits, LoadReport, Report, Shares, Ticket, UpstreamKey, UpstreamView,
 };
 pub use drag::Drag;
 pub use eject::{Failures, most_out};
+pub use fair_queue::FairQueue;
 pub use fleet::{
     AttemptRequest, Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition,
 };
-pub use freshness::{Prospect, Served, floor};
+pub use freshness::{EngineVersions, StartDecision, min_fresh_version};
 pub use label::{Label, Span, Unlabelled};
-pub use leaving::{Departure, Leaving};
 pub use limit::Limit;
 pub use open::Open;
 pub use organisations::{
@@ -77,10 +78,11 @@
 pub use retry::Budget;
 pub use ring::Ring;
 pub use rollout::{Cause, Chains, Rollout, Sight, Stage, StoreShare, Turn, Wanted};
-pub use route::{Others, bounded, expected, two};
-pub use routes::{Again, Bounds, Route, Routes};
-pub use step::{Fill, Group, Prompt, Sample, Slot, Spec, Step};
-pub use straggler::{ORDINARY, RAISED, order, priority, window};
+pub use routes::{RequestLimits, RetryPolicy, Route, Routes};
+pub use sample_order::{
+    NORMAL_PRIORITY, RAISED_PRIORITY, max_running, order_slots, sample_priority,
+};
+pub use step::{FillOutcome, Group, GroupSpec, Sample, Slot, Step, StepSpec};
 pub use subset::subset;
 pub use transfer::Transfer;
-pub use turns::Turns;
+pub use upstream_choice::{OtherLoad, expected_latency, two_random, within_load_bound};
--- a/src/decide/organisations.rs
+++ b/src/decide/organisations.rs
@@ -1,6 +1,7 @@
 //! Organisations and their API keys.
 //!
-//! Keys are held as SHA-256 digests: neither logs nor messages between nodes can show one.
+//! Only SHA-256 digests of keys are stored, so neither logs nor messages between nodes can
+//! reveal a key.
 
 use std::collections::HashMap;
 
@@ -9,18 +10,18 @@
 
 use crate::Name;
 
-/// The longest organisation name that is part of a job's id as it is, in bytes. With its id the job
-/// has to fit a key of the store.
-const LONGEST_PLAIN: usize = 40;
-/// Bytes of the digest that stands for a longer name.
-const SHORTENED: usize = 16;
+/// Maximum length of an organisation name, in bytes, that is part of a job's id without being
+/// shortened: the name and the caller's id together have to fit into a key of the store.
+const MAX_PLAIN_NAME_BYTES: usize = 40;
+/// Bytes of the digest that replaces a longer name.
+const NAME_DIGEST_BYTES: usize = 16;
 
 /// The digest of an API key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key's bytes.
+    /// Returns the digest of a key's bytes.
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
@@ -35,21 +36,21 @@
 /// One organisation of a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name, as replicas are told.
+    /// Its name, which is sent to replicas.
     pub name: Name,
-    /// Its rank, which goes before that of a route; 0 first.
+    /// Its priority, which overrides that of a route; 0 is highest.
     pub priority: Option<u8>,
-    /// The keys that act for it.
+    /// Its keys. A request with one of them acts for the organisation.
     pub keys: Vec<KeyDigest>,
 }
 
-/// A part of the organisations that can't be used. The rest is.
+/// A part of the organisations that can't be used. The other parts are used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OrganisationFault {
-    /// Two organisations hold one key: it acts for neither.
+    /// Two organisations hold the same key, which acts for neither.
     #[error("organisations {0:?} and {1:?} hold the same key")]
     SharedKey(Name, Name),
-    /// The name can't be sent in a header: its keys act for nobody.
+    /// The name can't be sent in a header; the organisation's keys act for nobody.
     #[error("the name {0:?} is empty or not visible ASCII")]
     BadName(Name),
 }
@@ -63,7 +64,8 @@
 }
 
 impl Organisations {
-    /// The organisations of a configuration, and what of them can't be used.
+    /// Builds the table of a configuration's organisations. Also returns the parts that can't be
+    /// used.
     pub fn new(organisations: Vec<Organisation>) -> (Self, Vec<OrganisationFault>) {
         let (mut table, mut faults) = (Self::default(), Vec::new());
         for organisation in organisations {
@@ -91,30 +93,30 @@
         (table, faults)
     }
 
-    /// Whom a key acts for.
+    /// Returns the organisation that a key acts for.
     pub fn holder(&self, key: KeyDigest) -> Option<&Name> {
         self.by_key.get(&key)?.as_ref()
     }
 
-    /// The rank of an organisation that has one of its own.
+    /// Returns the priority of an organisation, if it has one of its own.
     pub fn priority(&self, organisation: &str) -> Option<u8> {
         self.priorities.get(organisation).copied()
     }
 }
 
-/// Whom a request acts for, by one version of the configuration.
+/// The organisation that a request acts for, by one version of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Caller {
-    /// The configuration has no organisations: anybody may call.
+    /// The configuration has no organisations, so anybody may call.
     Anyone,
-    /// No organisation holds its key, or it has none.
+    /// The request has no key, or one that no organisation holds.
     Unknown,
-    /// This organisation.
+    /// The organisation that holds the request's key.
     Organisation(Name),
 }
 
 impl Caller {
-    /// The organisation that replicas are told.
+    /// Returns the organisation whose name is sent to replicas.
     pub fn organisation(&self) -> Option<&Name> {
         match self {
             Self::Organisation(name) => Some(name),
@@ -122,28 +124,30 @@
         }
     }
 
-    /// The id under which this service keeps a caller's job.
+    /// Returns the id under which this service stores a caller's job.
     ///
-    /// Each organisation has ids of its own, so no lookup of another organisation can find the job. Only
-    /// the first colon matters: an encoded name has none.
-    pub fn job(&self, id: &str) -> Name {
+    /// Each organisation has ids of its own, so no lookup by another organisation can find the
+    /// job. Only the first colon separates: an encoded name has none.
+    pub fn job_id(&self, id: &str) -> Name {
         match self {
             Self::Anyone => id.into(),
             Self::Unknown => public_job(id),
-            Self::Organisation(name) => format!("{}:{id}", scope(name)).into(),
+            Self::Organisation(name) => format!("{}:{id}", id_scope(name)).into(),
         }
     }
 }
 
-/// The id under which a job that came without an organisation is kept, where there are organisations.
+/// Returns the id under which a job without an organisation is stored, in a configuration that
+/// has organisations.
 pub fn public_job(id: &str) -> Name {
     format!(":{id}").into()
 }
 
-fn scope(organisation: &str) -> String {
-    if organisation.len() <= LONGEST_PLAIN {
+/// Returns the prefix that separates the job ids of an organisation from those of others.
+fn id_scope(organisation: &str) -> String {
+    if organisation.len() <= MAX_PLAIN_NAME_BYTES {
         return utf8_percent_encode(organisation, NON_ALPHANUMERIC).to_string();
     }
     let digest = Sha256::digest(organisation.as_bytes());
-    format!("~{}", hex::encode(&digest[..SHORTENED]))
+    format!("~{}", hex::encode(&digest[..NAME_DIGEST_BYTES]))
 }
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -9,7 +9,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Call, Class, Turns};
+use super::{Call, Class, FairQueue};
 use crate::Name;
 
 /// Where an item waits; it finds the item again.
@@ -24,13 +24,13 @@
 
 #[derive(Debug, Clone)]
 struct Caller<T> {
-    turns: Turns<u64>,
+    turns: FairQueue<u64>,
     items: HashMap<u64, BTreeMap<i64, T>>,
 }
 
 #[derive(Debug, Clone)]
 struct Line<T> {
-    turns: Turns<Name>,
+    turns: FairQueue<Name>,
     callers: HashMap<Name, Caller<T>>,
     len: usize,
     cost: u64,
@@ -38,7 +38,7 @@
 
 impl<T> Default for Line<T> {
     fn default() -> Self {
-        Self { turns: Turns::default(), callers: HashMap::new(), len: 0, cost: 0 }
+        Self { turns: FairQueue::default(), callers: HashMap::new(), len: 0, cost: 0 }
     }
 }
 
@@ -133,11 +133,11 @@
         let key = key(call);
         // Of its own caller's requests, those of other keys go before it only in turn.
         let own = line.callers.get(&call.caller).map_or(0.0, |caller| {
-            let keys = caller.turns.weights_with(&key, 1) as f64;
+            let keys = caller.turns.total_weight_with(&key, 1) as f64;
             let fair = caller.turns.backlog(&key) as f64 * keys;
             fair.min(line.turns.backlog(&call.caller) as f64)
         });
-        let weights = line.turns.weights_with(&call.caller, weight) as f64;
+        let weights = line.turns.total_weight_with(&call.caller, weight) as f64;
         (own * weights / f64::from(weight.max(1))).min(line.cost as f64)
     }
 
@@ -154,7 +154,7 @@
     fn insert(&mut self, call: &Call, weight: u32, number: i64, item: T) -> Place {
         let key = key(call);
         let line = self.line_mut(call.class);
-        let fresh = || Caller { turns: Turns::default(), items: HashMap::new() };
+        let fresh = || Caller { turns: FairQueue::default(), items: HashMap::new() };
         let caller = line.callers.entry(call.caller.clone()).or_insert_with(fresh);
         caller.turns.add(&key, 1, call.cost);
         caller.items.entry(key).or_default().insert(number, item);
--- a/src/decide/ranges.rs
+++ b/src/decide/ranges.rs
@@ -1,31 +1,31 @@
-//! A set of group numbers as ranges: small on the wire, whatever a step's size.
+//! A set of group numbers as ranges: small on the wire, whatever the size of a step.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
 
 use serde::{Deserialize, Serialize};
 
-/// Numbers as ranges, each from its first number to the one after its last.
+/// A set of numbers as ranges, each from its first number to the one after its last.
 ///
-/// A trainer that has all of a step but some stragglers names a few ranges
-/// where a list would name thousands of groups.
+/// A trainer that has all groups of a step but a few late ones sends a few ranges,
+/// where a list would have thousands of groups.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Ranges(Vec<(u32, u32)>);
 
 impl Ranges {
-    /// The numbers below `end`. What others send may name any number.
+    /// Returns the numbers below `end`. A received set may contain any number.
     pub fn below(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
-        let cut = move |(from, to): &(u32, u32)| Range { start: *from, end: (*to).min(end) };
-        self.0.iter().flat_map(cut)
+        let clip = move |(from, to): &(u32, u32)| Range { start: *from, end: (*to).min(end) };
+        self.0.iter().flat_map(clip)
     }
 
-    /// How many ranges there are.
+    /// Returns the number of ranges.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is none.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/src/decide/routes.rs
+++ b/src/decide/routes.rs
@@ -1,4 +1,4 @@
-//! Which service a request goes to, by host and path.
+//! Selects the service of a request by its host and path.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 use super::{Caller, KeyDigest, Organisations, public_job};
 use crate::Name;
 
-/// What may be done again of a request of a route.
+/// Whether and how a route's requests may be repeated after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Again {
-    /// It may run any number of times.
-    Whole,
-    /// It runs at most once.
+pub enum RetryPolicy {
+    /// A request may run any number of times.
+    Rerun,
+    /// A request runs at most once.
     Never,
-    /// Its stream may go on elsewhere after the last event that came.
+    /// The stream of a request may be resumed at another replica after the last event received.
     Resume,
 }
 
@@ -24,37 +24,38 @@
 pub struct Route {
     /// Its name.
     pub name: Name,
-    /// The host it belongs to.
+    /// The host that its requests are sent to.
     pub host: Name,
-    /// What a path begins with; begins and ends with a slash.
+    /// The prefix of its paths; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be repeated.
-    pub again: Again,
+    /// Whether and how its requests may be repeated.
+    pub retry_policy: RetryPolicy,
     /// Whether answers are streams of events.
     pub streaming: bool,
-    /// Whether it takes batch jobs instead of requests.
+    /// Whether it accepts batch jobs instead of single requests.
     pub batch: bool,
-    /// The longest that a client is kept waiting; none for no bound.
+    /// Maximum time that a client waits for an answer; none for no limit.
     pub timeout: Option<Duration>,
-    /// The time within which an answer is worth most.
-    pub objective: Duration,
-    /// Rank among routes, 0 first.
+    /// The latency within which answers should arrive.
+    pub target_latency: Duration,
+    /// Priority among routes; 0 is highest.
     pub priority: u8,
     /// The services and their weights.
     pub services: Vec<(Name, u32)>,
-    /// The most replicas that one request is sent to.
-    pub attempts: u32,
-    /// How long after its submission a batch job's items may be given up.
+    /// Maximum number of replicas that one request is sent to.
+    pub max_attempts: u32,
+    /// How long after the submission of a batch job its unfinished items may be given up.
     pub retention: Duration,
-    /// Whether a text must come from one version of the weights.
-    pub one_version: bool,
-    /// Whether it takes requests without an organisation's key, where there are organisations.
+    /// Whether all of a text must come from one version of the weights.
+    pub single_version: bool,
+    /// Whether it accepts requests without an organisation's key, in a configuration that has
+    /// organisations.
     pub public: bool,
 }
 
 impl Route {
-    /// The service at a point drawn evenly from all the weights.
-    pub fn service(&self, draw: u32) -> Option<&Name> {
+    /// Picks a service in proportion to the weights. `draw` is a random number.
+    pub fn pick_service(&self, draw: u32) -> Option<&Name> {
         let total: u32 = self.services.iter().map(|(_, weight)| weight).sum();
         let mut left = draw % total.max(1);
         for (service, weight) in &self.services {
@@ -67,37 +68,37 @@
     }
 }
 
-/// The limits on what a client may send.
+/// Limits on the requests that clients send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// The largest body, in bytes.
-    pub body: usize,
+pub struct RequestLimits {
+    /// Maximum size of a body, in bytes.
+    pub max_body: usize,
 }
 
-impl Default for Bounds {
+impl Default for RequestLimits {
     fn default() -> Self {
-        Self { body: 32 << 20 }
+        Self { max_body: 32 << 20 }
     }
 }
 
 /// All routes of one version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Routes {
-    /// The version.
+    /// Version of the configuration.
     pub version: u64,
-    /// The limits.
-    pub bounds: Bounds,
-    /// Who may call; none where anybody may.
+    /// Limits on requests.
+    pub limits: RequestLimits,
+    /// The organisations that may call; none if anybody may.
     organisations: Option<Organisations>,
-    /// The services whose replicas may be ordered.
+    /// Autoscaling limits of the services whose replicas may be ordered.
     autoscales: Vec<Autoscale>,
-    /// By host, the longest prefix first.
+    /// Routes by host, the longest prefix first.
     hosts: HashMap<Name, Vec<Arc<Route>>>,
 }
 
 impl Routes {
-    /// The table of these routes.
-    pub fn new(version: u64, bounds: Bounds, routes: Vec<Route>) -> Self {
+    /// Builds a table of these routes, without organisations or autoscaling.
+    pub fn new(version: u64, limits: RequestLimits, routes: Vec<Route>) -> Self {
         let mut hosts: HashMap<Name, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
             hosts.entry(route.host.clone()).or_default().push(Arc::new(route));
@@ -105,25 +106,25 @@
         for routes in hosts.values_mut() {
             routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
-        Self { version, bounds, organisations: None, autoscales: Vec::new(), hosts }
+        Self { version, limits, organisations: None, autoscales: Vec::new(), hosts }
     }
 
-    /// The same routes, for these organisations.
+    /// Sets the organisations that may call.
     pub fn for_organisations(self, organisations: Organisations) -> Self {
         Self { organisations: Some(organisations), ..self }
     }
 
-    /// The same routes, where replicas of these services may be ordered.
+    /// Sets the autoscaling limits of the services whose replicas may be ordered.
     pub fn with_autoscales(self, autoscales: Vec<Autoscale>) -> Self {
         Self { autoscales, ..self }
     }
 
-    /// The services whose replicas may be ordered.
+    /// Returns the autoscaling limits of the services whose replicas may be ordered.
     pub fn autoscales(&self) -> &[Autoscale] {
         &self.autoscales
     }
 
-    /// Whom a request with this key acts for.
+    /// Returns the caller of a request with this key.
     pub fn caller(&self, key: Option<KeyDigest>) -> Caller {
         let Some(organisations) = &self.organisations else { return Caller::Anyone };
         let holder = key.and_then(|key| organisations.holder(key));
@@ -135,16 +136,17 @@
         route.public || *caller != Caller::Unknown
     }
 
-    /// The rank of a request: that of its organisation, or of its route.
+    /// Returns the priority of a request: that of its organisation if set, otherwise that of its
+    /// route.
     pub fn priority(&self, route: &Route, organisation: Option<&Name>) -> u8 {
         let own =
             organisation.zip(self.organisations.as_ref()).and_then(|(name, t)| t.priority(name));
         own.unwrap_or(route.priority)
     }
 
-    /// The ids under which a job that a caller asks for may be kept.
+    /// Returns the ids under which a job that a caller asks for may be stored.
     pub fn job_ids(&self, caller: &Caller, id: &str) -> Vec<Name> {
-        let mut ids = vec![caller.job(id)];
+        let mut ids = vec![caller.job_id(id)];
         let public = || self.hosts.values().flatten().any(|r| r.batch && r.public);
         if matches!(caller, Caller::Organisation(_)) && public() {
             ids.push(public_job(id));
@@ -152,18 +154,19 @@
         ids
     }
 
-    /// Whether a route wants texts of one version only.
-    pub fn any_one_version(&self) -> bool {
-        self.hosts.values().flatten().any(|r| r.one_version)
+    /// Whether some route requires texts of a single version of the weights.
+    pub fn any_single_version(&self) -> bool {
+        self.hosts.values().flatten().any(|r| r.single_version)
     }
 
-    /// The names of the routes that take batch jobs.
-    pub fn batch(&self) -> Vec<Name> {
+    /// Returns the names of the routes that accept batch jobs.
+    pub fn batch_routes(&self) -> Vec<Name> {
         let routes = self.hosts.values().flatten().filter(|r| r.batch);
         routes.map(|r| r.name.clone()).collect()
     }
 
-    /// The route of a request: the longest prefix of that host that begins the path.
+    /// Returns the route of a request: the one of its host with the longest prefix that the path
+    /// begins with.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.hosts.get(host)?.iter().find(|r| path.starts_with(&*r.prefix))
     }
--- a/src/decide/scale/autoscale.rs
+++ b/src/decide/scale/autoscale.rs
@@ -1,46 +1,46 @@
-//! What operators allow to be ordered.
+//! The limits within which operators allow replicas to be ordered.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::Name;
 
-/// The limits of one service.
+/// The autoscaling limits of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Autoscale {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The fewest replicas in each availability zone.
-    pub least: u32,
-    /// The most.
-    pub most: u32,
+    /// Minimum number of replicas in each availability zone.
+    pub min: u32,
+    /// Maximum number of replicas in each availability zone.
+    pub max: u32,
     /// How long a new replica takes until it serves.
-    pub boot: Duration,
-    /// Whether replicas are to be had for less that may be taken back at short notice.
+    pub boot_time: Duration,
+    /// Whether to order spot replicas, which cost less and may be taken back at short notice.
     pub spot: bool,
-    /// The price of a replica, by availability zone. Others have none of its replicas.
+    /// The price of a replica, by availability zone. Nothing is ordered in other zones.
     pub prices: BTreeMap<Name, f64>,
 }
 
-/// Limits that can't be used: nothing is ordered for the service.
+/// Why limits can't be used; nothing is ordered for the service then.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum AutoscaleFault {
-    /// There is no number between the limits.
+    /// The minimum is larger than the maximum.
     #[error("at least {0} and at most {1} replicas")]
     Limits(u32, u32),
     /// No availability zone has a price.
     #[error("no availability zone has a price")]
     NoZone,
-    /// A price is not one.
+    /// The price in an availability zone is negative or not finite.
     #[error("the price in {0:?} is {1}")]
     Price(Name, f64),
 }
 
 impl Autoscale {
-    /// The same, if it can be used.
+    /// Returns the limits unchanged if they can be used.
     pub fn checked(self) -> Result<Self, AutoscaleFault> {
-        if self.most < self.least {
-            return Err(AutoscaleFault::Limits(self.least, self.most));
+        if self.max < self.min {
+            return Err(AutoscaleFault::Limits(self.min, self.max));
         }
         if self.prices.is_empty() {
             return Err(AutoscaleFault::NoZone);
--- a/src/decide/scale/mod.rs
+++ b/src/decide/scale/mod.rs
@@ -1,9 +1,9 @@
-//! How many replicas of a service are ordered in each availability zone.
+//! Decides how many replicas of a service are ordered in each availability zone.
 
 mod autoscale;
-mod load;
+mod demand_estimator;
 mod planner;
 
 pub use autoscale::{Autoscale, AutoscaleFault};
-pub use load::Load;
-pub use planner::{Plan, Planner};
+pub use demand_estimator::DemandEstimator;
+pub use planner::{Planner, ReplicaCounts};
--- a/src/decide/step.rs
+++ b/src/decide/step.rs
@@ -1,6 +1,7 @@
-//! One step of a trainer: its slots, what fills them and what is handed over.
+//! One step of a trainer: its sample slots, the samples that fill them, and the groups that are
+//! handed over.
 //!
-//! A sample is a named slot: step, group and index. Attempts compete for the
+//! A sample slot is identified by step, group and index. Attempts compete for the
 //! slot; the trainer's own list of the groups that it has is the acknowledgement,
 //! so nothing about a handover needs to be written to the platform.
 
@@ -8,30 +9,30 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Ranges, Span, floor, order, priority};
+use super::{Ranges, Span, min_fresh_version, order_slots, sample_priority};
 use crate::Name;
 
-/// What a trainer asks for in a step.
+/// The step that a trainer requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spec {
-    /// The version that the trainer is at.
+pub struct StepSpec {
+    /// The weight version that the trainer is at.
     pub version: u64,
     /// The groups, by their number in the step.
-    pub groups: Vec<Prompt>,
+    pub groups: Vec<GroupSpec>,
 }
 
-/// One group's prompt.
+/// The group of samples that a trainer requests for one prompt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Prompt {
+pub struct GroupSpec {
     /// The text that every sample continues.
     pub prompt: String,
-    /// How many samples the group has.
+    /// Number of samples in the group.
     pub samples: u32,
-    /// The most tokens of one sample.
+    /// Maximum number of tokens of one sample.
     pub max_tokens: u32,
 }
 
-/// The name of one sample in its step.
+/// The position of one sample in its step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Slot {
     /// Number of the group.
@@ -45,7 +46,7 @@
 pub struct Sample {
     /// Index in the group.
     pub index: u32,
-    /// The text.
+    /// The generated text.
     pub text: String,
     /// Which version produced which tokens.
     pub label: Vec<Span>,
@@ -54,23 +55,23 @@
 }
 
 impl Sample {
-    /// The oldest version in the label; a sample without tokens has none.
+    /// Returns the oldest version in the label; none for a sample without tokens.
     pub fn oldest(&self) -> Option<u64> {
         self.label.iter().map(|s| s.version).min()
     }
 
-    /// Whether its label covers every token from the first on, without a hole.
-    pub fn touching(&self) -> bool {
+    /// Whether the label covers every token from the first on, without a gap.
+    pub fn is_contiguous(&self) -> bool {
         let mut next = 0;
         self.label.iter().all(|span| {
-            let touches = span.from == next && span.to > span.from;
+            let adjacent = span.from == next && span.to > span.from;
             next = span.to;
-            touches
+            adjacent
         })
     }
 }
 
-/// A whole group, handed over at once.
+/// The samples of a group. Complete groups are handed over at once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
     /// Number of the group.
@@ -79,33 +80,36 @@
     pub samples: Vec<Sample>,
 }
 
-/// What became of a finished sample.
+/// The result of offering a finished sample to its slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fill {
-    /// It fills its slot.
+pub enum FillOutcome {
+    /// The sample fills its slot.
     Kept,
-    /// The slot was filled already, or the trainer has the group.
+    /// The slot was already filled, or the trainer has the group.
     Late,
-    /// It is older than the bound: the slot has to be started again.
+    /// The sample is older than the bound, and the slot has to be started again.
     Stale,
 }
 
 /// The state of one step.
 #[derive(Debug, Clone)]
 pub struct Step {
-    spec: Spec,
+    spec: StepSpec,
+    /// The staleness bound, in versions.
     bound: u64,
+    /// The latest weight version of the trainer.
     version: u64,
     filled: BTreeMap<Slot, Sample>,
     /// Slots that have not begun, in the order in which they will.
     waiting: VecDeque<Slot>,
     running: BTreeSet<Slot>,
-    taken: BTreeSet<u32>,
+    /// Numbers of the groups that the trainer has.
+    delivered: BTreeSet<u32>,
 }
 
 impl Step {
-    /// A step with nothing filled. `bound` is the staleness bound in versions.
-    pub fn new(spec: Spec, bound: u64) -> Self {
+    /// A step without samples. `bound` is the staleness bound in versions.
+    pub fn new(spec: StepSpec, bound: u64) -> Self {
         let version = spec.version;
         let waiting = slots(&spec.groups).into();
         Self {
@@ -115,15 +119,15 @@
             version,
             filled: BTreeMap::new(),
             running: BTreeSet::new(),
-            taken: BTreeSet::new(),
+            delivered: BTreeSet::new(),
         }
     }
 
-    /// The slots to start now, so that at most `most` run; they count as running
-    /// from here on.
-    pub fn start(&mut self, most: usize) -> Vec<Slot> {
+    /// Returns the slots to start now, so that at most `max_running` run; they count as running
+    /// from now on.
+    pub fn start(&mut self, max_running: usize) -> Vec<Slot> {
         let mut begun = Vec::new();
-        while self.running.len() < most
+        while self.running.len() < max_running
             && let Some(slot) = self.waiting.pop_front()
         {
             if self.wanted(slot) && self.running.insert(slot) {
@@ -133,51 +137,52 @@
         begun
     }
 
-    /// The same before the trainer asks for the step: no more samples than `early` in all.
-    pub fn start_early(&mut self, most: usize, early: usize) -> Vec<Slot> {
-        self.start(most.min(early.saturating_sub(self.filled.len())))
+    /// Returns the slots to start before the trainer asks for the step: as [`Step::start`], but
+    /// at most `early` samples in total.
+    pub fn start_early(&mut self, max_running: usize, early: usize) -> Vec<Slot> {
+        self.start(max_running.min(early.saturating_sub(self.filled.len())))
     }
 
-    /// Samples of all groups together.
-    pub fn samples(&self) -> u32 {
-        self.spec.groups.iter().map(|prompt| prompt.samples).sum()
+    /// Returns the number of samples of all groups.
+    pub fn sample_count(&self) -> u32 {
+        self.spec.groups.iter().map(|group| group.samples).sum()
     }
 
-    /// The priority of a slot that begins now.
+    /// Returns the priority of a slot that begins now.
     pub fn priority(&self, slot: Slot) -> i32 {
-        let size = self.prompt(slot).map_or(1, |p| p.samples);
+        let size = self.group(slot).map_or(1, |g| g.samples);
         let open = (0..size).filter(|&index| self.wanted(Slot { index, ..slot })).count();
-        priority(open, size as usize, self.waiting.len())
+        sample_priority(open, size as usize, self.waiting.len())
     }
 
-    /// The prompt of a slot.
-    pub fn prompt(&self, slot: Slot) -> Option<&Prompt> {
+    /// Returns the requested group of a slot.
+    pub fn group(&self, slot: Slot) -> Option<&GroupSpec> {
         self.spec.groups.get(slot.group as usize)
     }
 
-    /// The sample of a slot is there.
-    pub fn fill(&mut self, slot: Slot, sample: Sample) -> Fill {
-        if self.taken.contains(&slot.group) || self.filled.contains_key(&slot) {
+    /// Offers a finished sample to its slot.
+    pub fn fill(&mut self, slot: Slot, sample: Sample) -> FillOutcome {
+        if self.delivered.contains(&slot.group) || self.filled.contains_key(&slot) {
             self.running.remove(&slot);
-            return Fill::Late;
+            return FillOutcome::Late;
         }
         if !self.fresh(&sample) {
-            return Fill::Stale;
+            return FillOutcome::Stale;
         }
         self.running.remove(&slot);
         self.filled.insert(slot, sample);
-        Fill::Kept
+        FillOutcome::Kept
     }
 
-    /// Takes in samples that another node finished before it let the step go.
-    /// Returns how many were of use.
+    /// Adds samples that another node finished before it handed the step over.
+    /// Returns how many of them fill a slot.
     pub fn adopt(&mut self, parts: Vec<Group>) -> usize {
         let mut adopted = 0;
         for Group { group, samples } in parts {
             for sample in samples {
                 let slot = Slot { group, index: sample.index };
-                let known = self.prompt(slot).is_some_and(|p| slot.index < p.samples);
-                if known && sample.touching() && self.fill(slot, sample) == Fill::Kept {
+                let known = self.group(slot).is_some_and(|g| slot.index < g.samples);
+                if known && sample.is_contiguous() && self.fill(slot, sample) == FillOutcome::Kept {
                     adopted += 1;
                 }
             }
@@ -185,9 +190,9 @@
         adopted
     }
 
-    /// The samples of groups that are not whole, for the node that goes on: those of
-    /// whole groups go to the trainer.
-    pub fn parts(&self) -> Vec<Group> {
+    /// Returns the samples of incomplete groups, for the node that continues the step: those of
+    /// complete groups go to the trainer.
+    pub fn partial_groups(&self) -> Vec<Group> {
         let groups = 0..self.spec.groups.len() as u32;
         let part = |group| {
             let slots = Slot { group, index: 0 }..=Slot { group, index: u32::MAX };
@@ -196,40 +201,43 @@
             Group { group, samples }
         };
         groups
-            .filter(|&group| !self.taken.contains(&group) && self.whole(group).is_none())
+            .filter(|&group| {
+                !self.delivered.contains(&group) && self.complete_group(group).is_none()
+            })
             .map(part)
             .filter(|part| !part.samples.is_empty())
             .collect()
     }
 
-    /// The oldest version that a sample may have now.
-    pub fn floor(&self) -> u64 {
-        floor(self.version, self.bound)
+    /// Returns the oldest version that a sample may contain now.
+    pub fn min_version(&self) -> u64 {
+        min_fresh_version(self.version, self.bound)
     }
 
-    /// The staleness bound, in versions.
+    /// Returns the staleness bound, in versions.
     pub fn bound(&self) -> u64 {
         self.bound
     }
 
     /// Whether a sample for this slot is still wanted.
     pub fn wanted(&self, slot: Slot) -> bool {
-        !self.taken.contains(&slot.group) && !self.filled.contains_key(&slot)
+        !self.delivered.contains(&slot.group) && !self.filled.contains_key(&slot)
     }
 
-    /// What the trainer asked for.
-    pub fn spec(&self) -> &Spec {
+    /// Returns the step that the trainer requested.
+    pub fn spec(&self) -> &StepSpec {
         &self.spec
     }
 
-    /// The trainer says where it is: its version, and the groups that it has.
+    /// Records the trainer's progress: its version, and the groups that it has. Samples that are
+    /// too old by then are discarded and begin again first.
     ///
-    /// Groups that the step does not have count for nothing.
+    /// Groups that the step does not have are ignored.
     pub fn acknowledge(&mut self, version: u64, have: &Ranges) {
         self.version = self.version.max(version);
-        self.taken.extend(have.below(self.spec.groups.len() as u32));
-        let taken = &self.taken;
-        self.filled.retain(|slot, _| !taken.contains(&slot.group));
+        self.delivered.extend(have.below(self.spec.groups.len() as u32));
+        let delivered = &self.delivered;
+        self.filled.retain(|slot, _| !delivered.contains(&slot.group));
         let stale: Vec<Slot> =
             self.filled.iter().filter(|(_, s)| !self.fresh(s)).map(|(slot, _)| *slot).collect();
         for slot in stale {
@@ -238,22 +246,23 @@
         }
     }
 
-    /// The whole groups that the trainer does not have yet, at most `most`.
-    pub fn ready(&self, most: usize) -> Vec<Group> {
+    /// Returns the complete groups that the trainer does not have yet, at most `max`.
+    pub fn ready_groups(&self, max: usize) -> Vec<Group> {
         let groups = 0..self.spec.groups.len() as u32;
         groups
-            .filter(|g| !self.taken.contains(g))
-            .filter_map(|g| self.whole(g))
-            .take(most)
+            .filter(|g| !self.delivered.contains(g))
+            .filter_map(|g| self.complete_group(g))
+            .take(max)
             .collect()
     }
 
     /// Whether the trainer has every group.
-    pub fn complete(&self) -> bool {
-        self.taken.len() == self.spec.groups.len()
+    pub fn all_delivered(&self) -> bool {
+        self.delivered.len() == self.spec.groups.len()
     }
 
-    fn whole(&self, group: u32) -> Option<Group> {
+    /// Returns a group if all its samples are there.
+    fn complete_group(&self, group: u32) -> Option<Group> {
         let count = self.spec.groups[group as usize].samples;
         let samples: Option<Vec<Sample>> =
             (0..count).map(|index| self.filled.get(&Slot { group, index }).cloned()).collect();
@@ -261,16 +270,16 @@
     }
 
     fn fresh(&self, sample: &Sample) -> bool {
-        sample.oldest().is_none_or(|oldest| oldest >= self.floor())
+        sample.oldest().is_none_or(|oldest| oldest >= self.min_version())
     }
 }
 
-/// Every slot of a step, in the order in which they begin.
-fn slots(prompts: &[Prompt]) -> Vec<Slot> {
-    let groups = prompts.iter().zip(0..);
-    let mut slots: Vec<Slot> = groups
-        .flat_map(|(prompt, group)| (0..prompt.samples).map(move |index| Slot { group, index }))
+/// Returns every slot of a step, in the order in which they begin.
+fn slots(groups: &[GroupSpec]) -> Vec<Slot> {
+    let numbered = groups.iter().zip(0..);
+    let mut slots: Vec<Slot> = numbered
+        .flat_map(|(spec, group)| (0..spec.samples).map(move |index| Slot { group, index }))
         .collect();
-    order(&mut slots, prompts);
+    order_slots(&mut slots, groups);
     slots
 }
--- a/src/decide/transfer.rs
+++ b/src/decide/transfer.rs
@@ -1,64 +1,66 @@
-//! How long a message may be on its way, by what has come of it.
+//! How long a message may be in transit, given how much of its reply has arrived.
 //!
 //! Load pattern: a change of several hundred kilobytes concerns every node at the same moment,
 //! and each of a few nodes passes it on to a dozen or more over one link, of which each gets a
-//! share. With one limit for messages of any size, those that ask give up shortly before the
-//! end and ask another node for the whole: links stay full of what nobody takes, for no bounded
-//! time. Here who is silent is given up as soon as before, and what comes is waited for.
+//! share. With one timeout for messages of any size, the receivers give up shortly before the
+//! end and ask another node for the whole message: the links stay full of data that nobody
+//! uses, for an unbounded time. Here a silent sender is given up as early as before, and a
+//! reply that keeps arriving is waited for.
 
 use std::time::Duration;
 
 use crate::Moment;
 
-/// The longest silence in the middle of a message: several turns on a link that two dozen
+/// The longest pause in the middle of a message: several turns on a link that two dozen
 /// messages share.
-const SILENCE: Duration = Duration::from_millis(400);
-/// The least bytes a second of a message that is waited for: the largest value of the platform's
-/// service takes four seconds, and a sender that goes on byte by byte holds nobody up.
-const LEAST: u64 = 256 << 10;
-/// The pace of a request that is allowed for, in bytes a second: a quarter of the narrowest link.
-/// Fewer share the way out of the node that asks, and whether the other one is there shows only
-/// once all is sent.
-const SENT: u64 = 2 << 20;
+const MAX_PAUSE: Duration = Duration::from_millis(400);
+/// The lowest rate at which a reply may arrive: the largest value of the platform's
+/// service takes four seconds, and a sender that sends byte by byte holds up nobody.
+const MIN_REPLY_BYTES_PER_SECOND: u64 = 256 << 10;
+/// The assumed rate at which a request is sent: a quarter of the narrowest link. Fewer messages
+/// share the outgoing link of the requesting node than share the link of the replies, and
+/// whether the other node is there shows only once the whole request is sent.
+const REQUEST_BYTES_PER_SECOND: u64 = 2 << 20;
 
-/// A message that is sent and its reply, by the time since it was begun.
+/// The progress of a request and its reply. All times are relative to its start.
 #[derive(Debug, Clone, Copy)]
 pub struct Transfer {
     /// How long the reply may take to begin.
     limit: Duration,
-    came: u64,
-    /// When the first and the last bytes of the reply came.
-    seen: Option<(Moment, Moment)>,
+    received: u64,
+    /// When the first and the last bytes of the reply arrived.
+    arrivals: Option<(Moment, Moment)>,
 }
 
 impl Transfer {
-    /// A request of so many bytes, whose reply may take so long to begin beside the time that
-    /// the request is on its way.
+    /// A request of `sent` bytes. Its reply may take `limit` to begin, plus the time for
+    /// sending the request.
     pub fn new(limit: Duration, sent: usize) -> Self {
-        Self { limit: limit + taken(sent as u64, SENT), came: 0, seen: None }
+        let limit = limit + duration(sent as u64, REQUEST_BYTES_PER_SECOND);
+        Self { limit, received: 0, arrivals: None }
     }
 
-    /// So many bytes of the reply came.
-    pub fn come(&mut self, bytes: usize, now: Moment) {
-        self.came += bytes as u64;
-        let first = self.seen.map_or(now, |(first, _)| first);
-        self.seen = Some((first, now));
+    /// Records the arrival of `bytes` bytes of the reply.
+    pub fn record_received(&mut self, bytes: usize, now: Moment) {
+        self.received += bytes as u64;
+        let first = self.arrivals.map_or(now, |(first, _)| first);
+        self.arrivals = Some((first, now));
     }
 
-    /// Bytes of the reply so far.
-    pub fn came(&self) -> u64 {
-        self.came
+    /// Returns the number of bytes of the reply that have arrived.
+    pub fn received_bytes(&self) -> u64 {
+        self.received
     }
 
-    /// When it is given up if nothing more comes.
-    pub fn due(&self) -> Moment {
-        let Some((first, last)) = self.seen else { return self.limit };
-        let least = first + taken(self.came, LEAST);
-        self.limit.max(least.min(last) + SILENCE)
+    /// Returns when the transfer is given up if nothing more arrives.
+    pub fn deadline(&self) -> Moment {
+        let Some((first, last)) = self.arrivals else { return self.limit };
+        let slowest = first + duration(self.received, MIN_REPLY_BYTES_PER_SECOND);
+        self.limit.max(slowest.min(last) + MAX_PAUSE)
     }
 }
 
-/// How long bytes take at a pace in bytes a second.
-fn taken(bytes: u64, pace: u64) -> Duration {
-    Duration::from_micros(bytes * 1_000_000 / pace)
+/// Returns the time that `bytes` bytes take at a rate in bytes per second.
+fn duration(bytes: u64, rate: u64) -> Duration {
+    Duration::from_micros(bytes * 1_000_000 / rate)
 }
--- a/src/decide/usage/ledger.rs
+++ b/src/decide/usage/ledger.rs
@@ -1,68 +1,70 @@
-//! What the nodes have counted together.
+//! The usage that all nodes have counted.
 
 use std::collections::{BTreeMap, HashMap};
 
 use super::{Counts, WindowNote};
 use crate::Name;
 
-/// Windows around the present one that are kept.
-const KEPT: u64 = 8;
+/// Number of windows before and after the present one that are kept.
+const KEPT_WINDOWS: u64 = 8;
 
 /// The counts of all nodes, by window and by incarnation of a node.
 ///
-/// Each node's counts only grow, so that notes may come twice, late and in any order.
+/// The counts of an incarnation only grow, so notes may arrive twice, late and in any order.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    windows: BTreeMap<u64, HashMap<Name, Noted>>,
+    windows: BTreeMap<u64, HashMap<Name, RecordedCounts>>,
 }
 
+/// What one incarnation has counted in one window.
 #[derive(Debug, Default)]
-struct Noted {
+struct RecordedCounts {
     closed: bool,
     counts: Counts,
 }
 
-/// What a window comes to.
+/// The total of one window.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Total {
-    /// The requests that began in it.
+pub struct WindowTotal {
+    /// The requests that began in the window.
     pub counts: Counts,
-    /// The incarnations that may have more.
-    pub missing: Vec<Name>,
+    /// The incarnations that may still add to it.
+    pub unclosed: Vec<Name>,
 }
 
 impl Ledger {
-    /// Takes over what a node has counted. Windows far from the present one are a fault of
-    /// its clock: they are left out, and returned.
-    pub fn note(&mut self, life: &Name, notes: &[WindowNote], present: u64) -> Vec<u64> {
-        self.windows = self.windows.split_off(&present.saturating_sub(KEPT));
-        let mut strange = Vec::new();
+    /// Records what an incarnation of a node has counted. A window far from the present one
+    /// comes from a wrong clock of that node: such windows are left out and returned.
+    pub fn record(&mut self, incarnation: &Name, notes: &[WindowNote], present: u64) -> Vec<u64> {
+        self.windows = self.windows.split_off(&present.saturating_sub(KEPT_WINDOWS));
+        let mut rejected = Vec::new();
         for note in notes {
-            if note.window.abs_diff(present) > KEPT {
-                strange.push(note.window);
+            if note.window.abs_diff(present) > KEPT_WINDOWS {
+                rejected.push(note.window);
                 continue;
             }
             let window = self.windows.entry(note.window).or_default();
-            let noted = window.entry(life.clone()).or_default();
-            noted.closed |= note.closed;
+            let recorded = window.entry(incarnation.clone()).or_default();
+            recorded.closed |= note.closed;
             for (organisation, count) in &note.counts {
-                let known = noted.counts.entry(organisation.clone()).or_default();
+                let known = recorded.counts.entry(organisation.clone()).or_default();
                 *known = (*known).max(*count);
             }
         }
-        strange
+        rejected
     }
 
-    /// What a window comes to, where these incarnations may count.
-    pub fn total(&self, window: u64, lives: &[Name]) -> Total {
-        let noted = self.windows.get(&window);
+    /// Returns the total of a window. `incarnations` are those that may count requests.
+    pub fn total(&self, window: u64, incarnations: &[Name]) -> WindowTotal {
+        let recorded = self.windows.get(&window);
         let mut counts = Counts::new();
-        for (organisation, count) in noted.iter().flat_map(|w| w.values()).flat_map(|n| &n.counts) {
+        let all = recorded.iter().flat_map(|w| w.values()).flat_map(|r| &r.counts);
+        for (organisation, count) in all {
             let sum = counts.entry(organisation.clone()).or_default();
             *sum = sum.saturating_add(*count);
         }
-        let closed = |life: &Name| noted.and_then(|w| w.get(life)).is_some_and(|n| n.closed);
-        let missing = lives.iter().filter(|life| !closed(life)).cloned().collect();
-        Total { counts, missing }
+        let closed = |name: &Name| recorded.and_then(|w| w.get(name)).is_some_and(|r| r.closed);
+        let unclosed = incarnations.iter().filter(|name| !closed(name)).cloned().collect();
+        WindowTotal { counts, unclosed }
     }
 }
--- a/src/decide/usage/mod.rs
+++ b/src/decide/usage/mod.rs
@@ -1,20 +1,20 @@
-//! How many requests of each organisation began to run, by windows of the time of day.
+//! Counts the requests of each organisation that began to run, by windows of the time of day.
 
-mod agreed;
+mod agreed_clock;
 mod ledger;
 mod meter;
-mod steady;
+mod steady_clock;
 mod windows;
 
-pub use agreed::Agreed;
-pub use ledger::{Ledger, Total};
+pub use agreed_clock::AgreedClock;
+pub use ledger::{Ledger, WindowTotal};
 pub use meter::{Meter, WindowNote};
-pub use steady::Steady;
+pub use steady_clock::SteadyClock;
 pub use windows::Windows;
 
 use std::collections::BTreeMap;
 
 use crate::Name;
 
-/// Requests by organisation.
+/// Number of requests by organisation.
 pub type Counts = BTreeMap<Name, u64>;
--- a/src/decide/usage/steady.rs
+++ b/src/decide/usage/steady_clock.rs
@@ -1,4 +1,4 @@
-//! The time of day without steps.
+//! The time of day without jumps.
 //!
 //! Load pattern: the clocks of a third of the VMs jump by seconds and back again. Requests
 //! that are counted meanwhile would fall into windows that have ended or have not begun.
@@ -6,31 +6,31 @@
 use std::time::Duration;
 
 /// A difference up to this is followed at once: clocks that are slewed.
-const SLEW: Duration = Duration::from_millis(200);
-/// A step counts as a correction once it has lasted so long.
-const LASTING: Duration = Duration::from_secs(60);
+const MAX_SLEW: Duration = Duration::from_millis(200);
+/// A jump counts as a correction once it has lasted this long.
+const JUMP_ACCEPTANCE_DELAY: Duration = Duration::from_secs(60);
 
-/// The time of day, from a clock that only runs and one that may jump.
+/// The time of day, from a monotonic clock and a wall clock that may jump.
 #[derive(Debug, Clone, Default)]
-pub struct Steady {
-    /// The time of day when the running clock stood at zero; none before the first reading.
+pub struct SteadyClock {
+    /// The time of day when the monotonic clock was zero; none before the first reading.
     origin: Option<Duration>,
-    /// When the time of day was first seen to have jumped.
+    /// When the wall clock was first seen to have jumped, by the monotonic clock.
     jumped: Option<Duration>,
 }
 
-impl Steady {
-    /// The time of day as both clocks are read together.
+impl SteadyClock {
+    /// Returns the time of day, given the monotonic clock and the wall clock read together.
     pub fn read(&mut self, running: Duration, wall: Duration) -> Duration {
         let seen = wall.saturating_sub(running);
         let origin = *self.origin.get_or_insert(seen);
-        if seen.abs_diff(origin) <= SLEW {
+        if seen.abs_diff(origin) <= MAX_SLEW {
             self.jumped = None;
             self.origin = Some(seen);
             return wall;
         }
         let since = *self.jumped.get_or_insert(running);
-        if running.saturating_sub(since) >= LASTING {
+        if running.saturating_sub(since) >= JUMP_ACCEPTANCE_DELAY {
             self.jumped = None;
             self.origin = Some(seen);
             return wall;
--- a/src/edge/http/gather.rs
+++ b/src/edge/http/gather.rs
@@ -39,12 +39,12 @@
 ) -> Result<Bytes, GatherError> {
     let mut all = BytesMut::new();
     loop {
-        let piece = tokio::time::timeout_at(begun + transfer.due(), pieces.next()).await;
-        let Some(piece) = piece.map_err(|_| GatherError::Late(transfer.came()))? else {
+        let piece = tokio::time::timeout_at(begun + transfer.deadline(), pieces.next()).await;
+        let Some(piece) = piece.map_err(|_| GatherError::Late(transfer.received_bytes()))? else {
             return Ok(all.freeze());
         };
         let piece = piece.map_err(GatherError::Broken)?;
-        transfer.come(piece.len(), begun.elapsed());
+        transfer.record_received(piece.len(), begun.elapsed());
         add(&mut all, &piece).map_err(GatherError::Broken)?;
     }
 }
--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -129,15 +129,16 @@
     ) -> Result<BytesMut, PeerError> {
         let begun = Instant::now();
         let mut transfer = Transfer::new(limit, bytes.len());
-        let late = |transfer: Transfer| PeerError::Late { to, limit, came: transfer.came() };
-        let head = tokio::time::timeout_at(begun + transfer.due(), self.send(to, bytes)).await;
+        let late =
+            |transfer: Transfer| PeerError::Late { to, limit, came: transfer.received_bytes() };
+        let head = tokio::time::timeout_at(begun + transfer.deadline(), self.send(to, bytes)).await;
         let mut body = head.map_err(|_| late(transfer))??;
         let mut reply = BytesMut::new();
         loop {
             let piece =
-                tokio::time::timeout_at(begun + transfer.due(), take(&mut body, &mut reply));
+                tokio::time::timeout_at(begun + transfer.deadline(), take(&mut body, &mut reply));
             match piece.await {
-                Ok(Some(Ok(piece))) => transfer.come(piece, begun.elapsed()),
+                Ok(Some(Ok(piece))) => transfer.record_received(piece, begun.elapsed()),
                 Ok(Some(Err(reason))) => return Err(PeerError::Broken { to, reason }),
                 Ok(None) => return Ok(reply),
                 Err(_) => return Err(late(transfer)),
--- a/src/edge/peer/message.rs
+++ b/src/edge/peer/message.rs
@@ -9,7 +9,7 @@
 use crate::bundle::Envelope;
 use crate::decide::Departure;
 use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
-use crate::decide::members::{Gossip, News, NodeState};
+use crate::decide::members::{Gossip, MemberRecord, NodeState};
 use crate::decide::quarantine::Notice;
 use crate::metrics::Purpose;
 
@@ -57,17 +57,17 @@
     pub peers: SocketAddr,
 }
 
-impl From<&NodeInfo> for News<Place> {
+impl From<&NodeInfo> for MemberRecord<Place> {
     fn from(info: &NodeInfo) -> Self {
         let NodeInfo { name, region, zone, callers, peers, incarnation, state, bundle } = info;
         Self {
             name: name.clone(),
             incarnation: *incarnation,
             state: *state,
-            beat: 0,
+            heartbeat: 0,
             bundle: *bundle,
-            doubted: false,
-            card: Place {
+            suspected: false,
+            contact: Place {
                 region: region.clone(),
                 zone: zone.clone(),
                 callers: *callers,
@@ -77,9 +77,9 @@
     }
 }
 
-impl From<&News<Place>> for NodeInfo {
-    fn from(news: &News<Place>) -> Self {
-        let Place { region, zone, callers, peers } = &news.card;
+impl From<&MemberRecord<Place>> for NodeInfo {
+    fn from(news: &MemberRecord<Place>) -> Self {
+        let Place { region, zone, callers, peers } = &news.contact;
         Self {
             name: news.name.clone(),
             region: region.clone(),
@@ -159,7 +159,7 @@
     /// What the other knows.
     Gossip(Gossip<Place>),
     /// A page of the nodes that it knows; empty after the last.
-    Nodes(Vec<News<Place>>),
+    Nodes(Vec<MemberRecord<Place>>),
     /// The bundle in force, if there is one.
     Bundle(Option<Envelope>),
     /// Taken, or not needed.
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -22,8 +22,8 @@
 use super::remote_jobs::RemoteJobs;
 use super::slots::Slots;
 use super::usage::Usage;
-use crate::decide::comeback::come_back;
-use crate::decide::scale::Load;
+use crate::decide::retry_after::retry_after;
+use crate::decide::scale::DemandEstimator;
 use crate::decide::{Demand, Routes};
 use crate::edge::duty::Duties;
 use crate::edge::notice::Notices;
@@ -60,7 +60,7 @@
     /// What steps bring, here and, at who gives orders, at other homes.
     pub(super) demand: Mutex<Demand>,
     /// What the samples of all homes want, at the holder of duties.
-    pub(super) load: Mutex<Load>,
+    pub(super) load: Mutex<DemandEstimator>,
     pub(super) slots: Slots,
     pub(super) membership: Mutex<Live>,
     pub(super) owned_jobs: Homes,
@@ -219,7 +219,7 @@
 
     /// When a client that is refused now is to come back.
     pub fn retry_after(&self) -> Duration {
-        come_back(self.fallback_store.outage_duration(), self.draw())
+        retry_after(self.fallback_store.outage_duration(), self.draw())
     }
 
     /// Whether the node may give orders: it has renewed its lease within half of its time.
--- a/src/entry/home.rs
+++ b/src/entry/home.rs
@@ -45,7 +45,7 @@
         let Kept { listed, texts, saves } = kept;
         let id = spec.id.clone();
         if let Some(model) = &spec.model {
-            self.demand.lock().note(model, spec.estimated_work(), self.now());
+            self.demand.lock().record(model, spec.estimated_work(), self.now());
         }
         let turn = self.owned_jobs.turn(&spec);
         let job = Job::new(spec, listed);
--- a/src/entry/mover.rs
+++ b/src/entry/mover.rs
@@ -15,8 +15,8 @@
 use super::scale::run_autoscaling;
 use super::usage::report_usage;
 use crate::Name;
-use crate::decide::moves::{self, Move, Standing};
 use crate::decide::rank;
+use crate::decide::weight_loads::{self, ReplicaWeights, WeightLoad};
 use crate::edge::replica::{Order, OrderEnd, Target};
 use crate::edge::store::{Txn, TxnEnd};
 
@@ -139,31 +139,35 @@
     }
 }
 
-fn wanted(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
+fn wanted(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<WeightLoad> {
     let named = app.versions.lock().clone();
     let demand = app.demand.lock().by_model(app.now());
     let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
-    let mut standings: Vec<Standing> = Vec::new();
+    let mut standings: Vec<ReplicaWeights> = Vec::new();
     let fleet = app.slots.fleet.lock();
     for model in models {
         for (target, version) in fleet.serving(model) {
             let found = standings.iter().position(|s| s.id == target.id);
             let index = found.unwrap_or_else(|| {
                 let loading = busy.get(&target.id).cloned();
-                standings.push(Standing { id: target.id, versions: Default::default(), loading });
+                standings.push(ReplicaWeights {
+                    id: target.id,
+                    versions: Default::default(),
+                    loading,
+                });
                 standings.len() - 1
             });
             standings[index].versions.insert(model.clone(), version);
         }
     }
-    moves::next(&named, &demand, &standings)
+    weight_loads::next_loads(&named, &demand, &standings)
 }
 
 fn target(app: &App, id: &str) -> Option<Target> {
     app.slots.fleet.lock().get(id).map(|l| l.target.clone())
 }
 
-async fn carry_out(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> Moved {
+async fn carry_out(app: &Arc<App>, target: Target, wanted: WeightLoad, fence: u64) -> Moved {
     let Ok(stance) = app.replicas.stance(&target, CALL).await else { return Moved::Failed };
     if stance.is_of_another(&target) {
         // It started again; its entry will say so.
@@ -179,7 +183,7 @@
     if stance.busy || !app.holds_term(fence) {
         return Moved::Failed;
     }
-    let one_version = app.routes().is_some_and(|r| r.any_one_version());
+    let one_version = app.routes().is_some_and(|r| r.any_single_version());
     let order = Order {
         model: wanted.model.clone(),
         version: wanted.version,
@@ -212,7 +216,7 @@
 }
 
 /// Waits until a replica has loaded what it was ordered to.
-async fn wait(app: &App, target: &Target, wanted: &Move) -> Moved {
+async fn wait(app: &App, target: &Target, wanted: &WeightLoad) -> Moved {
     tokio::time::sleep(LOAD).await;
     for _ in 0..ASKS {
         let Ok(stance) = app.replicas.stance(target, CALL).await else { return Moved::Failed };
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -12,7 +12,7 @@
 use super::messages::{PeerReply, PeerRequest, StoreReply, StoreRequest};
 use super::peers::Peers;
 use crate::Moment;
-use crate::decide::detour::{self, Way};
+use crate::decide::fallback::{self, CallPath};
 use crate::edge::peer::PeerError;
 use crate::edge::store::{Answer, Store, StoreError, Watched};
 
@@ -49,7 +49,7 @@
 
 #[derive(Debug)]
 struct State {
-    way: detour::Detour,
+    way: fallback::FallbackState,
     /// Who can be asked, the one that helped last first.
     nodes: Vec<SocketAddr>,
     /// The most that were known: an outage ends the leases of many that look on.
@@ -90,8 +90,11 @@
         peers: Arc<dyn Peers>,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        let mut way = detour::Detour::default();
-        way.set_pace(detour::pace(seeds.len() + 1, rand::random()), rand::random());
+        let mut way = fallback::FallbackState::default();
+        way.set_probe_interval(
+            fallback::probe_interval(seeds.len() + 1, rand::random()),
+            rand::random(),
+        );
         let state = State {
             way,
             most: seeds.len(),
@@ -112,26 +115,26 @@
 
     /// Whether the store answers this node, as far as is known.
     pub(in crate::entry) fn is_direct(&self) -> bool {
-        self.state.lock().way.open()
+        self.state.lock().way.direct_works()
     }
 
     /// Whether the store is away from everybody, as far as is known.
     pub(in crate::entry) fn is_down(&self) -> bool {
-        self.state.lock().way.nobody()
+        self.state.lock().way.is_down_for_all()
     }
 
     /// How long the store has been away from everybody; none while it is not.
     pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
         let away = self.begun.elapsed().saturating_sub(state.heard);
-        state.way.nobody().then_some(away)
+        state.way.is_down_for_all().then_some(away)
     }
 
     /// The present on a clock that stands while the store is away from everybody: nobody can be
     /// listed meanwhile, so that time says nothing of who is missing.
     pub(in crate::entry) fn store_time(&self) -> Moment {
         let state = self.state.lock();
-        let now = if state.way.nobody() { state.heard } else { self.begun.elapsed() };
+        let now = if state.way.is_down_for_all() { state.heard } else { self.begun.elapsed() };
         now.saturating_sub(state.lost)
     }
 
@@ -150,8 +153,8 @@
         let first = state.nodes.first().copied();
         if nodes.len() > state.most {
             state.most = nodes.len();
-            let pace = detour::pace(nodes.len() + 1, rand::random());
-            state.way.set_pace(pace, rand::random());
+            let pace = fallback::probe_interval(nodes.len() + 1, rand::random());
+            state.way.set_probe_interval(pace, rand::random());
         }
         state.nodes = nodes;
         if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
@@ -168,12 +171,12 @@
         open: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
         let mut way = self.way(again);
-        if way == Way::Peer {
+        if way == CallPath::ViaPeer {
             match self.clone().ask(ask.clone(), again, None, open).await {
                 Err(e) if again || matches!(e, StoreError::Refused(_)) => {
                     // Nobody can help: the own way may have opened meanwhile.
                     way = self.way(again);
-                    if way != Way::Alone {
+                    if way != CallPath::DirectOnly {
                         return Err(e);
                     }
                 }
@@ -181,10 +184,12 @@
             }
         }
         let tried = match way {
-            Way::Peer | Way::Not => return Err(StoreError::Refused("away from all".to_owned())),
-            Way::Probe => look(direct).await,
-            Way::Alone if again => look(direct).await,
-            Way::Direct | Way::Alone => self.until_opened(direct).await,
+            CallPath::ViaPeer | CallPath::NoCall => {
+                return Err(StoreError::Refused("away from all".to_owned()));
+            }
+            CallPath::DirectProbe => look(direct).await,
+            CallPath::DirectOnly if again => look(direct).await,
+            CallPath::Direct | CallPath::DirectOnly => self.until_opened(direct).await,
         };
         let failed = match tried {
             Ok(answer) => {
@@ -202,7 +207,7 @@
                     return Err(e);
                 }
                 self.failed(&e);
-                if way == Way::Alone || (!again && matches!(e, StoreError::Unknown(_))) {
+                if way == CallPath::DirectOnly || (!again && matches!(e, StoreError::Unknown(_))) {
                     return Err(e);
                 }
                 e
@@ -225,8 +230,8 @@
         }
     }
 
-    fn way(&self, again: bool) -> Way {
-        self.state.lock().way.way(again, self.begun.elapsed())
+    fn way(&self, again: bool) -> CallPath {
+        self.state.lock().way.choose_path(again, self.begun.elapsed())
     }
 
     async fn ask<T>(
@@ -242,8 +247,8 @@
             match self.help(node, ask.clone(), open).await {
                 Helped::Answered(answer) => {
                     let mut state = self.state.lock();
-                    let nobody = state.way.nobody();
-                    let news = state.way.helped();
+                    let nobody = state.way.is_down_for_all();
+                    let news = state.way.peer_answered();
                     state.hear(news, nobody, self.begun.elapsed());
                     return answer;
                 }
@@ -253,7 +258,7 @@
             // The next call asks another one first.
             self.state.lock().nodes.rotate_left(1);
         }
-        self.state.lock().way.alone(self.begun.elapsed());
+        self.state.lock().way.peers_failed(self.begun.elapsed());
         Err(last)
     }
 
@@ -311,8 +316,8 @@
     fn answered(&self) {
         let (nobody, news) = {
             let mut state = self.state.lock();
-            let nobody = state.way.nobody();
-            let news = state.way.answered();
+            let nobody = state.way.is_down_for_all();
+            let news = state.way.direct_answered();
             state.hear(news, nobody, self.begun.elapsed());
             (nobody, news)
         };
@@ -339,10 +344,10 @@
     pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
-            if !state.way.nobody() {
+            if !state.way.is_down_for_all() {
                 return;
             }
-            state.way.told();
+            state.way.on_recovery_notice();
             state.hear(true, true, self.begun.elapsed());
         }
         self.opened.send_modify(|n| *n += 1);
@@ -356,7 +361,7 @@
     }
 
     fn failed(&self, e: &StoreError) {
-        if self.state.lock().way.failed(self.begun.elapsed()) {
+        if self.state.lock().way.direct_failed(self.begun.elapsed()) {
             self.closed.send_modify(|n| *n += 1);
             tracing::info!(event = "store_not_reached", way = "direct", error = %e);
         }
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -74,7 +74,7 @@
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.membership.lock().peers();
         let names: Vec<Name> = nodes.keys().cloned().collect();
-        let homes = affinity::preferred(&routes.batch(), &names);
+        let homes = affinity::preferred(&routes.batch_routes(), &names);
         let home = homes.get(&route.name).filter(|home| **home != self.settings.name)?;
         let to = *nodes.get(home)?;
         (!self.is_unreachable(to)).then_some(to)
@@ -147,7 +147,7 @@
             return vec![(life, to)];
         }
         let names: Vec<Name> = live.peers().keys().cloned().collect();
-        let routes = self.routes().map(|routes| routes.batch()).unwrap_or_default();
+        let routes = self.routes().map(|routes| routes.batch_routes()).unwrap_or_default();
         let homes = affinity::preferred(&routes, &names);
         let others = homes.values().filter(|name| **name != self.settings.name);
         let mut likely: Vec<_> = others.filter_map(|name| live.life(name)).collect();
@@ -168,12 +168,12 @@
             let now = self.now();
             let (mut demand, mut load) = (self.demand.lock(), self.load.lock());
             let mut note = |life: &Name, wanted: Vec<(Name, u64)>| {
-                wanted.iter().for_each(|(service, total)| load.note(life, service, *total, now));
+                wanted.iter().for_each(|(service, total)| load.record(life, service, *total, now));
             };
             note(&self.incarnation, self.slots.wanted.totals());
             for reply in heard {
                 let Ok(PeerReply::Demand { steps, life, wanted }) = reply else { continue };
-                steps.iter().for_each(|(model, work)| demand.note(model, *work, now));
+                steps.iter().for_each(|(model, work)| demand.record(model, *work, now));
                 note(&life, wanted);
             }
         }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -9,8 +9,8 @@
 use super::app::App;
 use super::slots::Held;
 use super::stream;
-use crate::decide::comeback::SOON;
-use crate::decide::{Again, AttemptRequest, History, Outcome, ReplicaOutcome, Route};
+use crate::decide::retry_after::DEFAULT_RETRY_AFTER;
+use crate::decide::{AttemptRequest, History, Outcome, ReplicaOutcome, RetryPolicy, Route};
 use crate::edge::http::gather;
 use crate::edge::replica::{Call, Failure, Pieces, Reply};
 use crate::error::{Kind, Refusal};
@@ -144,10 +144,10 @@
         if left.is_zero() {
             return Came::Over(refused(Kind::DeadlinePassed, "no time is left"));
         }
-        if course.made >= course.route.attempts {
+        if course.made >= course.route.max_attempts {
             return Came::Over(refused(Kind::RetriesSpent, "no attempt is left"));
         }
-        let Some(service) = course.route.service(self.draw()).cloned() else {
+        let Some(service) = course.route.pick_service(self.draw()).cloned() else {
             return Came::Over(refused(Kind::NoUpstream, "the route names no service"));
         };
         let wish = AttemptRequest {
@@ -203,7 +203,7 @@
         }
         if failed {
             held.ended(ReplicaOutcome::Failed);
-            if course.may_repeat() && course.made < course.route.attempts {
+            if course.may_repeat() && course.made < course.route.max_attempts {
                 course.history.note(Outcome::Unknown);
                 course.avoid.push(held.target.id.clone());
                 return Came::Next;
@@ -222,9 +222,9 @@
 
 impl Course {
     pub(super) fn may_repeat(&self) -> bool {
-        match self.route.again {
-            Again::Whole | Again::Resume => true,
-            Again::Never => false,
+        match self.route.retry_policy {
+            RetryPolicy::Rerun | RetryPolicy::Resume => true,
+            RetryPolicy::Never => false,
         }
     }
 
@@ -246,7 +246,7 @@
 
     /// How long one attempt may take.
     fn limit(&self, left: Duration) -> Duration {
-        if !self.may_repeat() || self.made >= self.route.attempts {
+        if !self.may_repeat() || self.made >= self.route.max_attempts {
             return left;
         }
         (left * PART / 100).max(LEAST).min(left)
@@ -275,7 +275,7 @@
         if failure.not_run() {
             self.history.note(Outcome::Refused);
             // It ran nowhere, so it does not count among the replicas that it may run on.
-            if self.avoid.len() < 2 * self.route.attempts.max(1) as usize {
+            if self.avoid.len() < 2 * self.route.max_attempts.max(1) as usize {
                 self.made -= 1;
             }
             return Came::Next;
@@ -289,7 +289,7 @@
 }
 
 fn refused(kind: Kind, detail: &str) -> Refusal {
-    Refusal::new(kind, detail).after(SOON)
+    Refusal::new(kind, detail).after(DEFAULT_RETRY_AFTER)
 }
 
 fn log(app: &App, course: &Course, given: &Given) {
--- a/src/entry/run.rs
+++ b/src/entry/run.rs
@@ -184,7 +184,7 @@
         self.home.text(&self.item.id, |text| {
             for event in events {
                 let known = text.versions();
-                let fits = |v| !self.route.one_version || known.iter().all(|k| *k == v);
+                let fits = |v| !self.route.single_version || known.iter().all(|k| *k == v);
                 text.push(event, |v| v >= self.spec.min_version && fits(v))?;
             }
             Ok(text.current_version().filter(|_| !events.is_empty()))
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -80,7 +80,7 @@
             tracing::info!(event = "sample_given_up", item = %item.id, reason = "retention");
             return false;
         }
-        let Some(service) = route.service(app.draw()).cloned() else {
+        let Some(service) = route.pick_service(app.draw()).cloned() else {
             tokio::time::sleep(ABSENT).await;
             continue;
         };
@@ -111,7 +111,7 @@
             Tried::Failed => {
                 failed += 1;
                 tracing::info!(event = "sample_failed", item = %item.id, %replica, failed);
-                if failed >= route.attempts {
+                if failed >= route.max_attempts {
                     return false;
                 }
             }
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -101,7 +101,9 @@
     /// Updates the plan of one service. True if it has changed.
     fn plan(&mut self, limits: &Autoscale) -> bool {
         let now = self.app.now();
-        let Some(wanted) = self.app.load.lock().wanted(&limits.service, now) else { return false };
+        let Some(wanted) = self.app.load.lock().mean_slots(&limits.service, now) else {
+            return false;
+        };
         let (base, slots) = {
             let fleet = self.app.slots.fleet.lock();
             (fleet.count_by_zone(&limits.service, false), fleet.slots_per_replica(&limits.service))
@@ -151,7 +153,7 @@
             if end == DutyEnd::Refused
                 && let Some(planner) = self.planners.get_mut(&limits.service)
             {
-                planner.refused(zone, there.saturating_sub(base), sent_at);
+                planner.zone_refused(zone, there.saturating_sub(base), sent_at);
             }
         }
     }
@@ -163,7 +165,7 @@
         let Some(sent) = self.sent.get(&subject) else { return order.desired != there };
         let elapsed = self.app.now().saturating_sub(sent.sent_at);
         let unsent = sent.desired != order.desired || !sent.accepted;
-        unsent || (there != order.desired && elapsed > limits.boot + REORDER_DELAY)
+        unsent || (there != order.desired && elapsed > limits.boot_time + REORDER_DELAY)
     }
 
     /// Sends an order to the platform.
--- a/src/entry/score.rs
+++ b/src/entry/score.rs
@@ -57,7 +57,7 @@
                 tracing::info!(event = "score_refused", %item, request = %scorer.id, kind = %refusal.kind);
             }
         }
-        if failed >= route.attempts {
+        if failed >= route.max_attempts {
             tracing::info!(event = "score_given_up", %item, request = %scorer.id, reason = "failed", failed);
             return None;
         }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -13,7 +13,7 @@
 use super::relay::Course;
 use super::slots::Held;
 use crate::decide::job::EventReader;
-use crate::decide::{Again, AttemptRequest, ReplicaOutcome};
+use crate::decide::{AttemptRequest, ReplicaOutcome, RetryPolicy};
 use crate::edge::replica::{Pieces, Reply, Target};
 
 /// How long the next event may take before the replica counts as silent.
@@ -51,8 +51,8 @@
         leaves: course.leaves,
         service: listed,
         avoid: course.avoid.clone(),
-        resume: course.route.again == Again::Resume,
-        left: course.route.attempts.saturating_sub(course.made),
+        resume: course.route.retry_policy == RetryPolicy::Resume,
+        left: course.route.max_attempts.saturating_sub(course.made),
         last: course.ask.after,
         version: reply.version,
         app: app.clone(),
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 
 use crate::Name;
-use crate::decide::usage::{Agreed, Ledger, Meter, Windows};
+use crate::decide::usage::{AgreedClock, Ledger, Meter, Windows};
 use crate::edge::clock::Clock;
 
 /// The counts of this node, and the counts that other nodes have sent it.
@@ -22,7 +22,7 @@
     /// Notified when a count of this node changes.
     pub changed: Notify,
     clock: Arc<dyn Clock>,
-    agreed: Mutex<Agreed>,
+    agreed: Mutex<AgreedClock>,
 }
 
 impl Usage {
@@ -46,12 +46,12 @@
     /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
         let running = self.clock.read().running;
-        self.agreed.lock().hear(node, time, running);
+        self.agreed.lock().record_peer(node, time, running);
     }
 
     /// Returns the number of the window that contains the present.
     pub(in crate::entry) fn current_window(&self) -> u64 {
-        self.windows.at(self.time())
+        self.windows.index_at(self.time())
     }
 
     /// Meters a request that is about to be sent. It counts in the window of this moment, unless
@@ -59,7 +59,7 @@
     pub(in crate::entry) fn begin(self: &Arc<Self>, organisation: &Option<Name>) -> MeteredRequest {
         let Some(organisation) = organisation.clone() else { return MeteredRequest::default() };
         let window = self.current_window();
-        self.meter.lock().sent(window);
+        self.meter.lock().request_sent(window);
         MeteredRequest { pending: Some(PendingCount { usage: self.clone(), window, organisation }) }
     }
 }
@@ -91,7 +91,7 @@
     /// Records the outcome: the request is counted if it ran.
     fn settle(self, ran: bool) {
         let ran = ran.then_some(&self.organisation);
-        self.usage.meter.lock().settled(self.window, ran);
+        self.usage.meter.lock().request_settled(self.window, ran);
         self.usage.changed.notify_one();
     }
 }
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::meter::Usage;
-use crate::decide::usage::{Counts, Total};
+use crate::decide::usage::{Counts, WindowTotal};
 use crate::edge::duty::{DutyEnd, Term, UsageReport};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
@@ -102,7 +102,7 @@
             }
             Written::NotHolder => return Ok(TermState::Over),
         }
-        let missing = total.missing.len();
+        let missing = total.unclosed.len();
         let requests: u64 = fixed.counts.values().sum();
         tracing::info!(event = "usage_fixed", window, requests, missing, fence = self.fence);
         Ok(self.send(fixed).await)
@@ -110,20 +110,20 @@
 
     /// Waits until every node has closed a window or the time for that is over, and returns its
     /// total. None if the window is too old to be reported.
-    async fn wait_until_closed(&self, window: u64) -> Option<Total> {
+    async fn wait_until_closed(&self, window: u64) -> Option<WindowTotal> {
         let windows = self.usage.windows;
-        if self.usage.time() > windows.due(window) {
+        if self.usage.time() > windows.report_deadline(window) {
             return None;
         }
-        let latest = windows.end(window) + windows.late / 10 * CLOSE_DEADLINE_TENTHS;
+        let latest = windows.end_of(window) + windows.report_grace / 10 * CLOSE_DEADLINE_TENTHS;
         loop {
             let now = self.usage.time();
             let lives = self.app.membership.lock().able();
             let total = self.usage.ledger.lock().total(window, &lives);
-            if now > latest || (now > windows.end(window) && total.missing.is_empty()) {
+            if now > latest || (now > windows.end_of(window) && total.unclosed.is_empty()) {
                 return Some(total);
             }
-            let left = windows.end(window).saturating_sub(now);
+            let left = windows.end_of(window).saturating_sub(now);
             tokio::time::sleep(left.max(POLL_INTERVAL)).await;
         }
     }
@@ -132,7 +132,7 @@
     async fn send(&self, fixed: FixedReport) -> TermState {
         let window = fixed.window;
         let mut retry_delay = INITIAL_RETRY_DELAY;
-        while self.usage.time() <= self.usage.windows.due(window) {
+        while self.usage.time() <= self.usage.windows.report_deadline(window) {
             if !self.app.holds_term(self.fence) {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -30,14 +30,14 @@
     let mut view_changes = app.view_changes.subscribe();
     let mut acknowledged: HashMap<SocketAddr, Vec<WindowNote>> = HashMap::new();
     loop {
-        let left = usage.windows.end(usage.current_window()).saturating_sub(usage.time());
+        let left = usage.windows.end_of(usage.current_window()).saturating_sub(usage.time());
         tokio::select! {
             () = usage.changed.notified() => {}
             _ = view_changes.changed() => {}
             () = tokio::time::sleep(left) => {}
         }
         tokio::time::sleep(BATCH_INTERVAL).await;
-        let mut notes = usage.meter.lock().notes(usage.current_window());
+        let mut notes = usage.meter.lock().window_notes(usage.current_window());
         app.record_counts(&usage, &app.incarnation, &notes);
         notes.retain(|note| !note.counts.is_empty());
         if notes.is_empty() {
@@ -83,7 +83,7 @@
         notes: &[WindowNote],
     ) {
         let present = usage.current_window();
-        let rejected = usage.ledger.lock().note(incarnation, notes, present);
+        let rejected = usage.ledger.lock().record(incarnation, notes, present);
         if !rejected.is_empty() {
             tracing::warn!(event = "usage_of_other_times", life = %incarnation, windows = ?rejected, present);
         }
--- a/src/node/addresses.rs
+++ b/src/node/addresses.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::app::App;
-use crate::decide::{ANSWER, Site, rank, sites_of};
+use crate::decide::{CandidateNode, MAX_CLIENT_NODES, nodes_for_client, rank};
 use crate::edge::peer::{NodeInfo, NodeState};
 
 /// The addresses that a caller may use.
@@ -26,8 +26,8 @@
 /// The addresses for a client: its own few, the same at every node of the region.
 pub(super) fn for_client(app: &App, client: &str) -> Addresses {
     let nodes = with_own(app, app.members.reached(app.clock.now()));
-    let sites: Vec<Site<'_>> = nodes.iter().map(site).collect();
-    let names = sites_of(client, &app.settings.node.region, &sites);
+    let sites: Vec<CandidateNode<'_>> = nodes.iter().map(site).collect();
+    let names = nodes_for_client(client, &app.settings.node.region, &sites);
     answer(app, &names, &nodes)
 }
 
@@ -36,7 +36,7 @@
 pub(super) fn for_trainer(app: &App, trainer: &str) -> Addresses {
     let nodes = with_own(app, app.members.serving(app.clock.now()));
     let mut names = rank(trainer, nodes.iter().map(|n| &*n.name));
-    names.truncate(ANSWER);
+    names.truncate(MAX_CLIENT_NODES);
     answer(app, &names, &nodes)
 }
 
@@ -49,8 +49,8 @@
     nodes
 }
 
-fn site(info: &NodeInfo) -> Site<'_> {
-    Site { name: &info.name, region: &info.region, zone: &info.zone }
+fn site(info: &NodeInfo) -> CandidateNode<'_> {
+    CandidateNode { name: &info.name, region: &info.region, zone: &info.zone }
 }
 
 fn answer(app: &App, names: &[&str], nodes: &[NodeInfo]) -> Addresses {
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -18,7 +18,7 @@
 use super::{Clock, identity};
 use crate::Name;
 use crate::bundle::Adopted;
-use crate::decide::{Served, rank};
+use crate::decide::{EngineVersions, rank};
 use crate::edge::peer::{NodeInfo, NodeState, PeerClient, Request};
 use crate::edge::platform::Platform;
 use crate::edge::upstream::{EngineClient, PlainClient};
@@ -44,7 +44,7 @@
     pub(super) claims: Claims,
     pub(super) suspects: Arc<Suspects>,
     /// The versions that engines were last seen to serve.
-    pub(super) served: Mutex<Served>,
+    pub(super) served: Mutex<EngineVersions>,
     /// Cancelled when the node has stopped: ends every background task.
     pub(super) cancel: CancellationToken,
     dispatchers: RwLock<HashMap<Name, Arc<Dispatcher>>>,
--- a/src/node/complete.rs
+++ b/src/node/complete.rs
@@ -246,7 +246,7 @@
 /// Only the engine knows what it serves: each chunk says so.
 fn noted(app: &App, turn: &Turn, version: Option<u64>) {
     if let Some(version) = version {
-        app.served.lock().note(&turn.upstream, version, app.clock.now());
+        app.served.lock().record(&turn.upstream, version, app.clock.now());
     }
 }
 
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -6,13 +6,13 @@
 use tokio::sync::Notify;
 
 use super::identity::Identity;
-use crate::decide::members::{Gossip, Heard, News, NodeState, Standing};
+use crate::decide::members::{Gossip, GossipEffect, Liveness, MemberRecord, NodeState};
 use crate::decide::score;
 use crate::edge::peer::{NodeInfo, Place};
 use crate::settings::NodeSettings;
 use crate::{Moment, Name};
 
-type Table = crate::decide::members::Members<Place>;
+type Table = crate::decide::members::MemberTable<Place>;
 
 /// A node to talk to.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -33,14 +33,14 @@
 impl Members {
     /// A table that knows only its own node.
     pub(super) fn new(node: &NodeSettings, identity: &Identity) -> Self {
-        let own = News {
+        let own = MemberRecord {
             name: node.name.clone(),
             incarnation: identity.incarnation,
             state: NodeState::Starting,
-            beat: 0,
+            heartbeat: 0,
             bundle: 0,
-            doubted: false,
-            card: Place {
+            suspected: false,
+            contact: Place {
                 region: node.region.clone(),
                 zone: node.zone.clone(),
                 callers: identity.callers,
@@ -75,15 +75,15 @@
 
     /// A round begins.
     pub(super) fn beat(&self, now: Moment) {
-        self.table.lock().beat(now);
+        self.table.lock().begin_round(now);
     }
 
     /// Nodes to talk to in this round.
     pub(super) fn targets(&self, count: usize, now: Moment) -> Vec<Target> {
         let mut table = self.table.lock();
-        let names = table.targets(count, now).into_iter();
+        let names = table.gossip_targets(count, now).into_iter();
         let target = |name: Name| {
-            let address = table.get(&name)?.card.peers;
+            let address = table.get(&name)?.contact.peers;
             Some(Target { name: Some(name), address })
         };
         names.filter_map(target).collect()
@@ -91,11 +91,11 @@
 
     /// The message of a round, with what the other side wants to know.
     pub(super) fn message(&self, wanted: &[u32]) -> Gossip<Place> {
-        self.table.lock().message(wanted)
+        self.table.lock().next_message(wanted)
     }
 
     /// Takes in a message.
-    pub(super) fn receive(&self, gossip: Gossip<Place>, now: Moment) -> Heard {
+    pub(super) fn receive(&self, gossip: Gossip<Place>, now: Moment) -> GossipEffect {
         let heard = self.table.lock().receive(gossip, now);
         if heard.changed {
             self.urgent.notify_one();
@@ -104,29 +104,29 @@
     }
 
     /// Another node, or the platform, told of some nodes.
-    pub(super) fn told(&self, news: impl IntoIterator<Item = News<Place>>, now: Moment) {
+    pub(super) fn told(&self, news: impl IntoIterator<Item = MemberRecord<Place>>, now: Moment) {
         let mut table = self.table.lock();
         for news in news {
-            table.load(news, now);
+            table.load_record(news, now);
         }
     }
 
     /// This node failed to reach another.
     pub(super) fn missed(&self, name: &str, now: Moment) {
-        if self.table.lock().missed(name, now) {
+        if self.table.lock().report_unreachable(name, now) {
             tracing::info!(event = "node_doubted", node = name);
             self.urgent.notify_one();
         }
     }
 
     /// A page of the table, for a node that joins.
-    pub(super) fn page(&self, after: Option<&Name>) -> Vec<News<Place>> {
+    pub(super) fn page(&self, after: Option<&Name>) -> Vec<MemberRecord<Place>> {
         self.table.lock().page(after)
     }
 
     /// Where the node with this short name listens for peers.
     pub(super) fn find(&self, id: u32) -> Option<SocketAddr> {
-        self.table.lock().find(id).map(|news| news.card.peers)
+        self.table.lock().find_by_id(id).map(|news| news.contact.peers)
     }
 
     /// The other nodes that are not known to have stopped or failed.
@@ -145,7 +145,7 @@
     pub(super) fn reached(&self, now: Moment) -> Vec<NodeInfo> {
         let table = self.table.lock();
         let well = table.view(now).filter(|(news, standing)| {
-            *standing == Standing::Well && news.state == NodeState::Serving
+            *standing == Liveness::Alive && news.state == NodeState::Serving
         });
         well.map(|(news, _)| NodeInfo::from(news)).collect()
     }
@@ -166,6 +166,6 @@
 
     /// Where a node listens for peers, also if it was not heard lately.
     pub(super) fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.table.lock().get(name).map(|news| news.card.peers)
+        self.table.lock().get(name).map(|news| news.contact.peers)
     }
 }
--- a/src/node/orders/follow.rs
+++ b/src/node/orders/follow.rs
@@ -156,7 +156,7 @@
     match result {
         Ok(load) => {
             if let Some(version) = load.version.filter(|_| !load.swapping) {
-                app.served.lock().note(engine, version, app.clock.now());
+                app.served.lock().record(engine, version, app.clock.now());
             }
             Sight::Report { version: load.version, swapping: load.swapping }
         }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -12,7 +12,7 @@
 use super::members::Target;
 use crate::Name;
 use crate::bundle::Envelope;
-use crate::decide::members::{Heard, News};
+use crate::decide::members::{GossipEffect, MemberRecord};
 use crate::edge::peer::{NodeInfo, PeerError, PeerHandler, Place, Reply, Request};
 use crate::metrics::{PlatformUse, Task, Traffic};
 
@@ -167,7 +167,7 @@
 }
 
 /// Asks a peer for its bundle if that is later than ours.
-async fn catch_up(app: Arc<App>, from: SocketAddr, heard: Heard) {
+async fn catch_up(app: Arc<App>, from: SocketAddr, heard: GossipEffect) {
     if heard.bundle <= app.bundles.number() {
         return;
     }
@@ -203,7 +203,11 @@
     app.bundles.asked(app);
 }
 
-async fn page(app: &App, from: SocketAddr, after: Option<Name>) -> Option<Vec<News<Place>>> {
+async fn page(
+    app: &App,
+    from: SocketAddr,
+    after: Option<Name>,
+) -> Option<Vec<MemberRecord<Place>>> {
     match app.peers.ask(from, &Request::Join(after), LIMIT).await {
         Ok(Reply::Nodes(page)) if !page.is_empty() => Some(page),
         Ok(_) | Err(_) => None,
@@ -232,7 +236,7 @@
 async fn others(app: &App) {
     let Ok((kept, _)) = app.platform.list(NODES, PlatformUse::Node).await else { return };
     let infos = kept.iter().filter_map(|k| serde_json::from_slice::<NodeInfo>(&k.value).ok());
-    let news: Vec<News<Place>> = infos.map(|info| News::from(&info)).collect();
+    let news: Vec<MemberRecord<Place>> = infos.map(|info| MemberRecord::from(&info)).collect();
     app.members.told(news, app.clock.now());
 }
 
--- a/src/node/train/fill.rs
+++ b/src/node/train/fill.rs
@@ -7,7 +7,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::held::{Held, leaving};
-use crate::decide::{Call, Class, Fill, Prompt, Prospect, Repeat, Sample, Slot, ahead, window};
+use crate::decide::{
+    Call, Class, FillOutcome, GroupSpec, Repeat, Sample, Slot, StartDecision, ahead, max_running,
+};
 use crate::edge::upstream::Completion;
 use crate::error::Refusal;
 use crate::node::app::App;
@@ -24,13 +26,13 @@
     if leaving(app) {
         return;
     }
-    let most = window(places(app, held));
+    let most = max_running(places(app, held));
     let slots = if held.asked.load(Ordering::Relaxed) {
         held.step.lock().start(most)
     } else {
         let weight = app.bundles.current().map_or(0.0, |a| a.bundle.idle_weight);
         let mut step = held.step.lock();
-        let early = ahead(weight, step.samples(), step.bound());
+        let early = ahead(weight, step.sample_count(), step.bound());
         step.start_early(most, early as usize)
     };
     for slot in slots {
@@ -61,7 +63,7 @@
             progress = Progress::default();
             attempt += 1;
         }
-        if prospect(app, held) == Prospect::Wait {
+        if prospect(app, held) == StartDecision::Wait {
             tokio::time::sleep(PAUSE).await;
             continue;
         }
@@ -86,11 +88,11 @@
 fn keep(held: &Held, slot: Slot, sample: Sample) -> bool {
     let fill = held.step.lock().fill(slot, sample);
     match fill {
-        Fill::Kept | Fill::Late => {
+        FillOutcome::Kept | FillOutcome::Late => {
             held.filled.notify_waiters();
             true
         }
-        Fill::Stale => false,
+        FillOutcome::Stale => false,
     }
 }
 
@@ -99,22 +101,22 @@
     tracing::info!(event = "sample_discarded", trainer = %held.trainer, ?slot);
 }
 
-fn wanted(held: &Held, slot: Slot) -> Option<Prompt> {
+fn wanted(held: &Held, slot: Slot) -> Option<GroupSpec> {
     let step = held.step.lock();
-    if step.wanted(slot) { step.prompt(slot).cloned() } else { None }
+    if step.wanted(slot) { step.group(slot).cloned() } else { None }
 }
 
 /// Whether what is there of a sample can't be handed over any more.
 fn useless(held: &Held, progress: &Progress) -> bool {
     let floor = held.floor.load(Ordering::Relaxed);
-    progress.label.spoiled() || progress.label.oldest().is_some_and(|oldest| oldest < floor)
+    progress.label.has_gap() || progress.label.oldest().is_some_and(|oldest| oldest < floor)
 }
 
-fn prospect(app: &App, held: &Held) -> Prospect {
+fn prospect(app: &App, held: &Held) -> StartDecision {
     let engines = app.upstreams.of(&held.spec.service);
     let names = engines.iter().map(|vm| &*vm.name);
     let floor = held.floor.load(Ordering::Relaxed);
-    app.served.lock().prospect(names, floor, app.clock.now())
+    app.served.lock().start_decision(names, floor, app.clock.now())
 }
 
 /// One try at a sample; none if its label is not certain.
@@ -122,7 +124,7 @@
     app: &App,
     held: &Held,
     slot: Slot,
-    prompt: Prompt,
+    prompt: GroupSpec,
     attempt: u32,
     progress: &mut Progress,
 ) -> Result<Option<Sample>, Refusal> {
--- a/src/node/train/held.rs
+++ b/src/node/train/held.rs
@@ -49,7 +49,7 @@
     pub(super) fn acknowledge(&self, version: u64, have: &Ranges) {
         let mut step = self.step.lock();
         step.acknowledge(version, have);
-        self.floor.store(step.floor(), Ordering::Relaxed);
+        self.floor.store(step.min_version(), Ordering::Relaxed);
     }
 
     /// The trainer asked for the step just now.
@@ -137,7 +137,7 @@
         trainer,
         number,
         spec: rules.clone(),
-        floor: AtomicU64::new(step.floor()),
+        floor: AtomicU64::new(step.min_version()),
         step: Mutex::new(step),
         drag: Mutex::default(),
         filled: Notify::new(),
--- a/src/node/train/message.rs
+++ b/src/node/train/message.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::{Group, Ranges, Spec};
+use crate::decide::{Group, Ranges, StepSpec};
 
 /// A trainer's step, with what it has of it when it goes on at another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Submit {
     /// The step.
     #[serde(flatten)]
-    pub spec: Spec,
+    pub spec: StepSpec,
     /// The groups that the trainer has: they are not made again.
     #[serde(default)]
     pub have: Ranges,
--- a/src/node/train/pull.rs
+++ b/src/node/train/pull.rs
@@ -62,11 +62,11 @@
     // What is whole goes along at once when the node leaves: there is no next pull.
     let most = if leaving { usize::MAX } else { pull.most.max(1) };
     let pulled = Pulled {
-        groups: step.ready(most),
-        complete: step.complete(),
+        groups: step.ready_groups(most),
+        complete: step.all_delivered(),
         bound: step.bound(),
         leaving,
-        parts: if leaving { step.parts() } else { Vec::new() },
+        parts: if leaving { step.partial_groups() } else { Vec::new() },
     };
     drop(step);
     if !leaving {
--- a/src/node/upstreams.rs
+++ b/src/node/upstreams.rs
@@ -10,7 +10,7 @@
 
 use super::app::App;
 use super::subsets::Subsets;
-use crate::decide::{Departure, Leaving, UpstreamView};
+use crate::decide::{Departure, Departures, UpstreamView};
 use crate::edge::peer::Request;
 use crate::edge::platform::{Vm, VmState};
 
@@ -35,7 +35,7 @@
     vms: RwLock<Arc<[Vm]>>,
     /// How many of them the dispatchers of a bundle in force were told of.
     routed: AtomicUsize,
-    leaving: Mutex<Leaving>,
+    leaving: Mutex<Departures>,
     /// There is a new list.
     fresh: Notify,
     /// There is a departure that peers should know at once.
@@ -71,7 +71,7 @@
     pub(super) fn left(&self, app: &App, departures: Vec<Departure>) {
         let now = app.clock.now();
         let mut leaving = self.leaving.lock();
-        let news = departures.into_iter().filter(|d| leaving.note(d.clone(), now)).count();
+        let news = departures.into_iter().filter(|d| leaving.record(d.clone(), now)).count();
         drop(leaving);
         if news > 0 {
             self.set(self.list().to_vec(), app);
@@ -87,7 +87,7 @@
         for vm in &mut vms {
             if vm.state == VmState::Leaving {
                 let departure = Departure { name: vm.name.clone(), incarnation: vm.incarnation };
-                news |= leaving.note(departure, now);
+                news |= leaving.record(departure, now);
             } else if !leaving.admits(&vm.name, vm.incarnation) {
                 vm.state = VmState::Leaving;
             }
@@ -143,7 +143,7 @@
 /// Tells some peers of departures, until all have been told often enough.
 fn tell(app: &Arc<App>) {
     let now = app.clock.now();
-    let departures = app.upstreams.leaving.lock().tell(now);
+    let departures = app.upstreams.leaving.lock().next_message(now);
     if departures.is_empty() {
         return;
     }
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -158,7 +158,7 @@
         let text = section.text("window").unwrap_or_default();
         return Err(section.bad("window", text, "shorter than a second".to_owned()));
     }
-    Ok(Windows { length, late: section.duration("late", length)? })
+    Ok(Windows { length, report_grace: section.duration("late", length)? })
 }
 
 /// An address that may be left out or empty.
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::Trainer;
-use mulberrycourse::decide::{Prompt, Spec};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
 use tokio::time::Instant;
@@ -41,9 +41,9 @@
     bundle(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
 }
 
-fn spec(version: u64) -> Spec {
-    let prompt = |g| Prompt { prompt: format!("fan {version} {g}"), samples: 4, max_tokens: 64 };
-    Spec { version, groups: (0..24).map(prompt).collect() }
+fn spec(version: u64) -> StepSpec {
+    let prompt = |g| GroupSpec { prompt: format!("fan {version} {g}"), samples: 4, max_tokens: 64 };
+    StepSpec { version, groups: (0..24).map(prompt).collect() }
 }
 
 async fn run(weight: f64) -> Result<String, Failure> {
@@ -55,7 +55,7 @@
     let trainer = Trainer::new("coach".into(), fleet.callers());
     let began = Instant::now();
     let (mut idle, mut behind, mut samples, mut doubled) = (Duration::ZERO, 0, 0_u64, 0);
-    let mut specs: Vec<Spec> = (1..=STEPS + 1).map(spec).collect();
+    let mut specs: Vec<StepSpec> = (1..=STEPS + 1).map(spec).collect();
     // The next step is submitted at the version before its own.
     specs.iter_mut().skip(1).for_each(|s| s.version -= 1);
     let mut now = trainer.resume(1, &specs[0], BTreeMap::new());
--- a/standins/src/bin/members-bench.rs
+++ b/standins/src/bin/members-bench.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use mulberrycourse::decide::members::{Gossip, Members, News, NodeState};
+use mulberrycourse::decide::members::{Gossip, MemberRecord, MemberTable, NodeState};
 use mulberrycourse::edge::peer::{CodecError, Place, Request, decode, encode};
 
 /// Time between two rounds, as in the daemon.
@@ -35,7 +35,7 @@
     seed: u64,
 }
 
-type Table = Members<Place>;
+type Table = MemberTable<Place>;
 
 /// The tables, and what their messages cost.
 struct Run {
@@ -99,12 +99,12 @@
 impl Run {
     /// Tables that all know each other.
     fn new(size: usize, seed: u64) -> Self {
-        let all: Vec<News<Place>> = (0..size).map(news).collect();
+        let all: Vec<MemberRecord<Place>> = (0..size).map(news).collect();
         let now = Duration::from_secs(1);
-        let table = |(index, own): (usize, &News<Place>)| {
-            let mut table = Members::new(own.clone(), seed.wrapping_add(index as u64));
+        let table = |(index, own): (usize, &MemberRecord<Place>)| {
+            let mut table = MemberTable::new(own.clone(), seed.wrapping_add(index as u64));
             for other in &all {
-                table.load(other.clone(), now);
+                table.load_record(other.clone(), now);
             }
             table
         };
@@ -118,11 +118,11 @@
             if self.dead == Some(index) {
                 continue;
             }
-            self.tables[index].beat(self.now);
-            for target in self.tables[index].targets(FANOUT, self.now) {
+            self.tables[index].begin_round(self.now);
+            for target in self.tables[index].gossip_targets(FANOUT, self.now) {
                 let to = number(&target);
                 if self.dead == Some(to) {
-                    self.tables[index].missed(&target, self.now);
+                    self.tables[index].report_unreachable(&target, self.now);
                 } else {
                     self.exchange(index, to)?;
                 }
@@ -132,11 +132,11 @@
     }
 
     fn exchange(&mut self, from: usize, to: usize) -> Result<(), CodecError> {
-        let message = self.tables[from].message(&[]);
+        let message = self.tables[from].next_message(&[]);
         let wanted = message.wanted.clone();
         let message = self.sent(message)?;
         self.tables[to].receive(message, self.now);
-        let reply = self.tables[to].message(&wanted);
+        let reply = self.tables[to].next_message(&wanted);
         let reply = self.sent(reply)?;
         self.tables[from].receive(reply, self.now);
         Ok(())
@@ -153,7 +153,7 @@
     }
 
     fn oldest(&self) -> Duration {
-        self.tables.iter().map(|t| t.oldest(self.now)).max().unwrap_or_default()
+        self.tables.iter().map(|t| t.max_heartbeat_age(self.now)).max().unwrap_or_default()
     }
 
     /// Until all know that a node drains, by rounds alone.
@@ -188,18 +188,18 @@
     }
 }
 
-fn news(index: usize) -> News<Place> {
+fn news(index: usize) -> MemberRecord<Place> {
     let zones = ["gloshaugen", "elgeseter", "heimdal"];
     let octet = (index % 250 + 1) as u8;
     let address = |port| ([10, (index / 250) as u8, 1, octet], port).into();
-    News {
+    MemberRecord {
         name: format!("node-{index}").into(),
         incarnation: 1_764_700_000_000 + index as u64,
         state: NodeState::Serving,
-        beat: 100_000,
+        heartbeat: 100_000,
         bundle: 20_000,
-        doubted: false,
-        card: Place {
+        suspected: false,
+        contact: Place {
             region: "trondheim".into(),
             zone: zones[index % zones.len()].into(),
             callers: address(7000),
--- a/standins/src/bin/mulberry-demo.rs
+++ b/standins/src/bin/mulberry-demo.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{Caller, Trainer};
-use mulberrycourse::decide::{Prompt, Spec};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::caller::{completion, expected};
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
@@ -52,8 +52,8 @@
     check(ran == 1, format!("the sync ran {ran} times"))?;
 
     let trainer = Trainer::new("coach".into(), fleet.callers());
-    let prompt = |g| Prompt { prompt: format!("force card {g}"), samples: 4, max_tokens: 64 };
-    let spec = Spec { version: 1, groups: (0..8).map(prompt).collect() };
+    let prompt = |g| GroupSpec { prompt: format!("force card {g}"), samples: 4, max_tokens: 64 };
+    let spec = StepSpec { version: 1, groups: (0..8).map(prompt).collect() };
     let request = completion("patter for a double lift", 7, 96);
     let step = trainer.step(1, &spec);
     let session = shop.stream(&request, WAIT);
--- a/standins/src/bin/standin.rs
+++ b/standins/src/bin/standin.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use mulberrycourse::Name;
 use mulberrycourse::client::{Caller, Received, Trainer};
-use mulberrycourse::decide::Prompt;
+use mulberrycourse::decide::GroupSpec;
 use mulberrycourse::edge::platform::{Vm, VmState};
 use standins::caller::completion;
 use standins::engine::{Engine, EngineSettings};
@@ -184,7 +184,7 @@
             Ok(())
         }
         Command::Trainer { name, nodes, first, steps, groups, samples } => {
-            let prompt = Prompt { prompt: format!("{name} practises"), samples, max_tokens: 32 };
+            let prompt = GroupSpec { prompt: format!("{name} practises"), samples, max_tokens: 32 };
             let client = Trainer::new(name, nodes);
             let train = Duration::from_millis(100);
             let tally = trainer::run(&client, first, steps, &prompt, groups, train).await?;
--- a/standins/src/bin/training-bench.rs
+++ b/standins/src/bin/training-bench.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Parser, Subcommand};
-use mulberrycourse::decide::{Prompt, Slot, Spec, Step, Wanted};
+use mulberrycourse::decide::{GroupSpec, Slot, Step, StepSpec, Wanted};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use standins::rollout::{TICK, World};
@@ -135,9 +135,9 @@
     let limits = [256, 256, 512, 512, 512, 1_024, 1_024, 4_096];
     let prompt = |rng: &mut SmallRng| {
         let max_tokens = limits[rng.random_range(0..limits.len() * 2).min(limits.len() - 1)];
-        Prompt { prompt: String::new(), samples: SAMPLES + surplus, max_tokens }
+        GroupSpec { prompt: String::new(), samples: SAMPLES + surplus, max_tokens }
     };
-    let prompts: Vec<Prompt> = (0..GROUPS).map(|_| prompt(&mut rng)).collect();
+    let prompts: Vec<GroupSpec> = (0..GROUPS).map(|_| prompt(&mut rng)).collect();
     let lengths: Vec<Vec<u32>> = prompts
         .iter()
         .map(|p| (0..p.samples).map(|_| length(&mut rng, p.max_tokens)).collect())
@@ -192,13 +192,14 @@
 }
 
 /// The slots, the first to begin last.
-fn begin(policy: Policy, prompts: Vec<Prompt>) -> Vec<Slot> {
+fn begin(policy: Policy, prompts: Vec<GroupSpec>) -> Vec<Slot> {
     let mut slots = match policy {
-        Policy::Longest => Step::new(Spec { version: 1, groups: prompts }, 1).start(usize::MAX),
+        Policy::Longest => Step::new(StepSpec { version: 1, groups: prompts }, 1).start(usize::MAX),
         Policy::Number | Policy::Surplus => {
             let groups = (0..).zip(prompts);
-            let all =
-                |(group, p): (u32, Prompt)| (0..p.samples).map(move |index| Slot { group, index });
+            let all = |(group, p): (u32, GroupSpec)| {
+                (0..p.samples).map(move |index| Slot { group, index })
+            };
             groups.flat_map(all).collect()
         }
     };
--- a/standins/src/slope/serving.rs
+++ b/standins/src/slope/serving.rs
@@ -4,7 +4,7 @@
 
 use futures_util::StreamExt;
 use mulberrycourse::client::{Caller, Trainer};
-use mulberrycourse::decide::Prompt;
+use mulberrycourse::decide::GroupSpec;
 use mulberrycourse::edge::http::Fetch;
 use tokio::time::Instant;
 
@@ -139,7 +139,7 @@
     let one = One::spawn(exe, 16, engines).await?;
     let (before, at_rest) = one.spent().await?;
     let client = Trainer::new("coach".into(), vec![one.daemon.callers]);
-    let prompt = Prompt { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
+    let prompt = GroupSpec { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
     let began = Instant::now();
     let run = trainer::run(&client, 1, 1, &prompt, size / GROUP, Duration::ZERO);
     tokio::pin!(run);
--- a/standins/src/trainer/mod.rs
+++ b/standins/src/trainer/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{Trainer, TrainerError};
-use mulberrycourse::decide::{Prompt, Spec};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
 use tokio::time::Instant;
 
 /// What a run of steps came to.
@@ -35,7 +35,7 @@
     trainer: &Trainer,
     first: u64,
     steps: u64,
-    prompt: &Prompt,
+    prompt: &GroupSpec,
     groups: u32,
     train: Duration,
 ) -> Result<Tally, TrainerError> {
@@ -43,8 +43,8 @@
     let began = Instant::now();
     for step in 0..steps {
         let version = first + step;
-        let one = |g| Prompt { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
-        let spec = Spec { version, groups: (0..groups).map(one).collect() };
+        let one = |g| GroupSpec { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
+        let spec = StepSpec { version, groups: (0..groups).map(one).collect() };
         let waited = Instant::now();
         let report = trainer.step(version, &spec).await?;
         tally.idle += waited.elapsed();
--- a/tests/address.rs
+++ b/tests/address.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use mulberrycourse::decide::{ANSWER, Site, sites_of};
+use mulberrycourse::decide::{CandidateNode, MAX_CLIENT_NODES, nodes_for_client};
 use proptest::prelude::*;
 
 /// A node's name, region and zone.
@@ -16,13 +16,13 @@
     (0..count).map(node).collect()
 }
 
-fn sites(nodes: &[Node]) -> Vec<Site<'_>> {
-    nodes.iter().map(|(name, region, zone)| Site { name, region, zone }).collect()
+fn sites(nodes: &[Node]) -> Vec<CandidateNode<'_>> {
+    nodes.iter().map(|(name, region, zone)| CandidateNode { name, region, zone }).collect()
 }
 
 /// What each of `clients` clients of the first region is told.
-fn told<'a>(clients: usize, sites: &[Site<'a>]) -> Vec<Vec<&'a str>> {
-    (0..clients).map(|client| sites_of(&format!("c{client}"), "r0", sites)).collect()
+fn told<'a>(clients: usize, sites: &[CandidateNode<'a>]) -> Vec<Vec<&'a str>> {
+    (0..clients).map(|client| nodes_for_client(&format!("c{client}"), "r0", sites)).collect()
 }
 
 /// How many clients each node has.
@@ -91,7 +91,7 @@
     nodes[0].2 = "z2".to_owned();
     for names in told(500, &sites(&nodes)) {
         assert!(names.contains(&&*nodes[0].0));
-        assert_eq!(names.len(), ANSWER);
+        assert_eq!(names.len(), MAX_CLIENT_NODES);
     }
 }
 
@@ -110,10 +110,10 @@
             .map(|(i, (region, zone))| (format!("n{i}"), format!("r{region}"), format!("z{zone}")))
             .collect();
         let mut sites = sites(&nodes);
-        let told = sites_of(&client, "r0", &sites);
+        let told = nodes_for_client(&client, "r0", &sites);
         let near = sites.iter().filter(|s| s.region == "r0").count();
         let possible = if near > 0 { near } else { sites.len() };
-        prop_assert_eq!(told.len(), possible.min(ANSWER));
+        prop_assert_eq!(told.len(), possible.min(MAX_CLIENT_NODES));
         prop_assert_eq!(told.iter().collect::<BTreeSet<_>>().len(), told.len());
         let regions = told.iter().map(|n| sites.iter().find(|s| s.name == *n).unwrap().region);
         prop_assert!(near == 0 || regions.into_iter().all(|r| r == "r0"));
@@ -121,6 +121,6 @@
             let by = turn % sites.len();
             sites.rotate_left(by);
         }
-        prop_assert_eq!(sites_of(&client, "r0", &sites), told);
+        prop_assert_eq!(nodes_for_client(&client, "r0", &sites), told);
     }
 }
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::decide::comeback::{SOON, come_back};
+use mulberrycourse::decide::retry_after::{DEFAULT_RETRY_AFTER, retry_after};
 use proptest::prelude::*;
 
 const fn ms(millis: u64) -> Duration {
@@ -18,14 +18,14 @@
         if at >= outage {
             return (count, true);
         }
-        at += come_back(Some(at), count * 317);
+        at += retry_after(Some(at), count * 317);
     }
     (count, false)
 }
 
 #[test]
 fn without_an_outage_clients_come_back_at_once() {
-    assert_eq!(come_back(None, 7), SOON);
+    assert_eq!(retry_after(None, 7), DEFAULT_RETRY_AFTER);
 }
 
 /// Guards: told to come back after 0.1 s, a client spent 60 tries in an outage of six seconds.
@@ -42,7 +42,7 @@
     /// Clients that are refused in one moment do not come back in one.
     #[test]
     fn clients_are_spread(away in 0_u64..20_000, draws in proptest::collection::vec(0_u32..1_000, 20)) {
-        let waits: Vec<Duration> = draws.iter().map(|d| come_back(Some(ms(away)), *d)).collect();
+        let waits: Vec<Duration> = draws.iter().map(|d| retry_after(Some(ms(away)), *d)).collect();
         let (least, most) = (waits.iter().min().unwrap(), waits.iter().max().unwrap());
         prop_assert!(*least >= ms(250) && *most <= ms(1_250));
         let apart = draws.iter().max().unwrap() - draws.iter().min().unwrap();
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -99,8 +99,8 @@
                 let _turn = way.lock().await;
                 tokio::time::sleep(Duration::from_micros(piece as u64 * 1_000_000 / rate)).await;
             };
-            tokio::time::timeout_at(begun + transfer.due(), sent).await?;
-            transfer.come(piece, begun.elapsed());
+            tokio::time::timeout_at(begun + transfer.deadline(), sent).await?;
+            transfer.record_received(piece, begun.elapsed());
             left -= piece;
         }
         Ok(())
@@ -144,11 +144,12 @@
                     let begun = Instant::now();
                     let mut transfer = Transfer::new(limit, pack(&ask).unwrap().len());
                     let door = PeerResponder::new(app);
-                    let answer = tokio::time::timeout_at(begun + transfer.due(), door.answer(ask));
+                    let answer =
+                        tokio::time::timeout_at(begun + transfer.deadline(), door.answer(ask));
                     let Ok(reply) = answer.await else { return Err(late) };
                     let carried = links.carry(to, &reply, &mut transfer, begun).await;
                     carried.map(|()| reply).map_err(|_| {
-                        links.given_up.lock().push(transfer.came());
+                        links.given_up.lock().push(transfer.received_bytes());
                         late
                     })
                 }
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -9,7 +9,7 @@
 use mulberrycourse::decide::job::{ItemResult, ItemSpec, ItemState, JobSpec, Scorer};
 use mulberrycourse::decide::scale::Autoscale;
 use mulberrycourse::decide::usage::Windows;
-use mulberrycourse::decide::{Again, Bounds, Route, Routes};
+use mulberrycourse::decide::{RequestLimits, RetryPolicy, Route, Routes};
 use mulberrycourse::edge::notice::Notice;
 use mulberrycourse::entry::{
     App, Ask, EntryNode, PeerReply, PeerRequest, Peers, Ports, Read, Submitted,
@@ -67,7 +67,7 @@
 
     /// The same, where usage is reported by windows of this length.
     pub(crate) fn with_usage(self, length: Duration) -> Self {
-        Self { usage: Some(Windows { length, late: length * 2 }), ..self }
+        Self { usage: Some(Windows { length, report_grace: length * 2 }), ..self }
     }
 
     /// The same, where replicas may be ordered.
@@ -91,20 +91,21 @@
     /// The same, with the text of further routes.
     pub(crate) fn configure_beside(&self, version: u64, others: &str) {
         let routes = vec![
-            route("/jobs/", "engines", Again::Never),
-            route("/plain/", "plain", Again::Whole),
-            route("/once/", "plain", Again::Never),
-            route("/text/", "engines", Again::Resume),
+            route("/jobs/", "engines", RetryPolicy::Never),
+            route("/plain/", "plain", RetryPolicy::Rerun),
+            route("/once/", "plain", RetryPolicy::Never),
+            route("/text/", "engines", RetryPolicy::Resume),
         ];
-        let routes =
-            Routes::new(version, Bounds::default(), routes).with_autoscales(vec![Autoscale {
+        let routes = Routes::new(version, RequestLimits::default(), routes).with_autoscales(vec![
+            Autoscale {
                 service: "engines".into(),
-                least: 1,
-                most: 9,
-                boot: Duration::from_secs(4),
+                min: 1,
+                max: 9,
+                boot_time: Duration::from_secs(4),
                 spot: false,
                 prices: [("z".into(), 1.0)].into(),
-            }]);
+            },
+        ]);
         self.words.write_long(&self.kv, "config", Notice::Routes(routes), others);
     }
 
@@ -286,21 +287,21 @@
     EntrySettings::read(&Document::parse("test", &text).unwrap()).unwrap()
 }
 
-fn route(prefix: &str, service: &str, again: Again) -> Route {
+fn route(prefix: &str, service: &str, again: RetryPolicy) -> Route {
     Route {
         name: prefix.into(),
         host: HOST.into(),
         prefix: prefix.into(),
-        again,
+        retry_policy: again,
         streaming: prefix == "/text/",
         batch: prefix == "/jobs/",
         timeout: Some(Duration::from_secs(4)),
-        objective: Duration::from_millis(150),
+        target_latency: Duration::from_millis(150),
         priority: 1,
         services: vec![(service.into(), 1)],
-        attempts: 3,
+        max_attempts: 3,
         retention: Duration::from_secs(40),
-        one_version: false,
+        single_version: false,
         public: false,
     }
 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{StepReport, Trainer};
-use mulberrycourse::decide::{Prompt, Spec};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
 use mulberrycourse::edge::upstream::{EngineClient, Order};
 use standins::engine::{Engine, EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
@@ -19,9 +19,9 @@
     EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() }
 }
 
-fn spec(version: u64) -> Spec {
-    let prompt = |g| Prompt { prompt: format!("palm {g}"), samples: 4, max_tokens: 160 };
-    Spec { version, groups: (0..3).map(prompt).collect() }
+fn spec(version: u64) -> StepSpec {
+    let prompt = |g| GroupSpec { prompt: format!("palm {g}"), samples: 4, max_tokens: 160 };
+    StepSpec { version, groups: (0..3).map(prompt).collect() }
 }
 
 /// Pulls the step while `disturb` runs, and checks each label against the ledgers.
--- a/tests/leaving.rs
+++ b/tests/leaving.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::Caller;
-use mulberrycourse::decide::{Departure, Leaving};
+use mulberrycourse::decide::{Departure, Departures};
 use mulberrycourse::edge::http::Fetch;
 use mulberrycourse::edge::platform::VmState;
 use mulberrycourse::node::{Node, UpstreamState};
@@ -83,11 +83,11 @@
     fn leaving_equals_the_whole_history(
         heard in proptest::collection::vec((0..3_u8, 0..4_u64), 0..24),
     ) {
-        let mut leaving = Leaving::default();
+        let mut leaving = Departures::default();
         let mut all: BTreeMap<u8, Vec<u64>> = BTreeMap::new();
         for (vm, incarnation) in heard {
             let departure = Departure { name: format!("vm-{vm}").into(), incarnation };
-            leaving.note(departure, Duration::ZERO);
+            leaving.record(departure, Duration::ZERO);
             all.entry(vm).or_default().push(incarnation);
             for vm in 0..3_u8 {
                 for start in 0..5_u64 {
@@ -102,13 +102,13 @@
 /// Departures are told a bounded number of times, in bounded messages.
 #[test]
 fn telling_ends() {
-    let mut leaving = Leaving::default();
+    let mut leaving = Departures::default();
     for vm in 0..300 {
         let departure = Departure { name: format!("vm-{vm}").into(), incarnation: 1 };
-        assert!(leaving.note(departure.clone(), Duration::ZERO));
-        assert!(!leaving.note(departure, Duration::ZERO));
+        assert!(leaving.record(departure.clone(), Duration::ZERO));
+        assert!(!leaving.record(departure, Duration::ZERO));
     }
-    let messages: Vec<_> = (0..500).map(|_| leaving.tell(Duration::ZERO).len()).collect();
+    let messages: Vec<_> = (0..500).map(|_| leaving.next_message(Duration::ZERO).len()).collect();
     assert!(messages.iter().all(|m| *m <= 64));
     assert_eq!(messages.last(), Some(&0));
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -5,20 +5,20 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::members::{Members, News, NodeState, Standing};
+use mulberrycourse::decide::members::{Liveness, MemberRecord, MemberTable, NodeState};
 use proptest::prelude::*;
 
 const ROUND: Duration = Duration::from_millis(500);
 
-fn news(name: &str, incarnation: u64) -> News<u16> {
-    News {
+fn news(name: &str, incarnation: u64) -> MemberRecord<u16> {
+    MemberRecord {
         name: name.into(),
         incarnation,
         state: NodeState::Serving,
-        beat: 0,
+        heartbeat: 0,
         bundle: 0,
-        doubted: false,
-        card: 1,
+        suspected: false,
+        contact: 1,
     }
 }
 
@@ -28,7 +28,7 @@
 
 /// Tables, and who can reach whom.
 struct Net {
-    tables: Vec<Members<u16>>,
+    tables: Vec<MemberTable<u16>>,
     frozen: Vec<bool>,
     cut: Vec<(usize, usize)>,
     now: Duration,
@@ -38,9 +38,9 @@
     /// Each node knows only the first one.
     fn new(size: usize) -> Self {
         let table = |i| {
-            let mut table = Members::new(news(&name(i), 1), i as u64);
+            let mut table = MemberTable::new(news(&name(i), 1), i as u64);
             if i > 0 {
-                table.learn(news("n0", 1), Duration::ZERO);
+                table.merge_record(news("n0", 1), Duration::ZERO);
             }
             table
         };
@@ -58,17 +58,17 @@
             if self.frozen[from] {
                 continue;
             }
-            self.tables[from].beat(self.now);
-            for target in self.tables[from].targets(2, self.now) {
+            self.tables[from].begin_round(self.now);
+            for target in self.tables[from].gossip_targets(2, self.now) {
                 let to: usize = target[1..].parse().unwrap();
                 if !self.reaches(from, to) {
-                    self.tables[from].missed(&target, self.now);
+                    self.tables[from].report_unreachable(&target, self.now);
                     continue;
                 }
-                let message = self.tables[from].message(&[]);
+                let message = self.tables[from].next_message(&[]);
                 let wanted = message.wanted.clone();
                 self.tables[to].receive(message, self.now);
-                let reply = self.tables[to].message(&wanted);
+                let reply = self.tables[to].next_message(&wanted);
                 self.tables[from].receive(reply, self.now);
             }
         }
@@ -139,12 +139,12 @@
 /// it goes on, it does not count out the others for its own pause.
 #[test]
 fn a_thawed_node_does_not_judge_its_own_pause() {
-    let mut table = Members::new(news("a", 1), 1);
-    table.beat(Duration::from_secs(1));
-    (0..300).for_each(|i| table.load(news(&name(i), 1), Duration::from_secs(1)));
+    let mut table = MemberTable::new(news("a", 1), 1);
+    table.begin_round(Duration::from_secs(1));
+    (0..300).for_each(|i| table.load_record(news(&name(i), 1), Duration::from_secs(1)));
     let thawed = Duration::from_secs(300);
-    table.beat(thawed);
-    assert!(table.view(thawed).all(|(_, standing)| standing == Standing::Well));
+    table.begin_round(thawed);
+    assert!(table.view(thawed).all(|(_, standing)| standing == Liveness::Alive));
 }
 
 /// A zone is cut off for an hour: each side counts the other out, keeps its own,
@@ -169,15 +169,16 @@
 /// nothing, whatever the order in which they come.
 #[test]
 fn a_later_start_replaces_an_earlier_one() {
-    let mut table = Members::new(news("a", 1), 1);
-    let old = News { state: NodeState::Draining, beat: 99, doubted: true, ..news("b", 5) };
+    let mut table = MemberTable::new(news("a", 1), 1);
+    let old =
+        MemberRecord { state: NodeState::Draining, heartbeat: 99, suspected: true, ..news("b", 5) };
     let new = news("b", 6);
     for order in [[&old, &new], [&new, &old]] {
         for news in order {
-            table.learn(news.clone(), ROUND);
+            table.merge_record(news.clone(), ROUND);
         }
         let seen = table.get("b").unwrap();
-        assert_eq!((seen.incarnation, seen.state, seen.doubted), (6, NodeState::Serving, false));
+        assert_eq!((seen.incarnation, seen.state, seen.suspected), (6, NodeState::Serving, false));
     }
 }
 
@@ -187,8 +188,8 @@
 fn a_start_with_an_older_clock_outbids_the_former() {
     let mut net = Net::new(3);
     net.run(Duration::from_secs(5));
-    net.tables[2] = Members::new(news("n2", 0), 9);
-    net.tables[2].learn(news("n0", 1), net.now);
+    net.tables[2] = MemberTable::new(news("n2", 0), 9);
+    net.tables[2].merge_record(news("n0", 1), net.now);
     net.run(Duration::from_secs(10));
     assert!(net.tables[0].get("n2").unwrap().incarnation > 1);
     assert!(net.all_see(&range(0, 3), &range(0, 3), true));
@@ -202,15 +203,15 @@
 /// heartbeats, kept it alive as what it had been.
 #[test]
 fn a_change_of_state_is_learnt_though_all_news_of_it_are_lost() {
-    let mut a = Members::new(News { state: NodeState::Starting, ..news("a", 1) }, 1);
-    let mut b = Members::new(news("b", 1), 2);
-    b.load(a.own().clone(), Duration::ZERO);
+    let mut a = MemberTable::new(MemberRecord { state: NodeState::Starting, ..news("a", 1) }, 1);
+    let mut b = MemberTable::new(news("b", 1), 2);
+    b.load_record(a.own().clone(), Duration::ZERO);
     assert!(a.set_state(NodeState::Serving));
     for _ in 0..100 {
-        drop(a.message(&[]));
+        drop(a.next_message(&[]));
     }
-    a.beat(ROUND);
-    assert!(b.receive(a.message(&[]), ROUND).changed, "it is passed on");
+    a.begin_round(ROUND);
+    assert!(b.receive(a.next_message(&[]), ROUND).changed, "it is passed on");
     assert_eq!(b.get("a").unwrap().state, NodeState::Serving);
 }
 
@@ -220,7 +221,7 @@
     net.run(Duration::from_secs(10));
     net.tables[5].set_state(NodeState::Draining);
     net.run(Duration::from_secs(6));
-    net.tables[0].learn(news("n5", 1), net.now);
+    net.tables[0].merge_record(news("n5", 1), net.now);
     let states = net.tables.iter().filter_map(|t| t.get("n5")).map(|n| n.state);
     assert!(states.into_iter().all(|s| s == NodeState::Draining));
 }
@@ -228,32 +229,34 @@
 /// A doubt about a heartbeat that is not the last one known is answered, not believed.
 #[test]
 fn an_old_doubt_is_answered() {
-    let mut table = Members::new(news("a", 1), 1);
-    table.learn(News { beat: 9, ..news("b", 1) }, ROUND);
-    while !table.message(&[]).news.is_empty() {}
-    table.learn(News { beat: 8, doubted: true, ..news("b", 1) }, ROUND);
-    assert!(table.view(ROUND).all(|(_, standing)| standing == Standing::Well));
-    let answer = table.message(&[]).news;
-    assert_eq!(answer[0].beat, 9);
+    let mut table = MemberTable::new(news("a", 1), 1);
+    table.merge_record(MemberRecord { heartbeat: 9, ..news("b", 1) }, ROUND);
+    while !table.next_message(&[]).records.is_empty() {}
+    table.merge_record(MemberRecord { heartbeat: 8, suspected: true, ..news("b", 1) }, ROUND);
+    assert!(table.view(ROUND).all(|(_, standing)| standing == Liveness::Alive));
+    let answer = table.next_message(&[]).records;
+    assert_eq!(answer[0].heartbeat, 9);
 }
 
 /// A message stays small whatever the number of nodes, and its news run out.
 #[test]
 fn messages_are_bounded() {
-    let mut table = Members::new(news("a", 1), 1);
+    let mut table = MemberTable::new(news("a", 1), 1);
     (0..1024).for_each(|i| {
-        table.learn(news(&name(i), 1), ROUND);
+        table.merge_record(news(&name(i), 1), ROUND);
     });
-    let message = table.message(&[1; 400]);
-    assert!(message.news.len() <= 9 && message.beats.len() <= 25 && message.wanted.len() <= 8);
-    let until = (0..20_000).find(|_| table.message(&[]).news.is_empty());
+    let message = table.next_message(&[1; 400]);
+    assert!(
+        message.records.len() <= 9 && message.heartbeats.len() <= 25 && message.wanted.len() <= 8
+    );
+    let until = (0..20_000).find(|_| table.next_message(&[]).records.is_empty());
     assert!(until.is_some());
 }
 
 /// What a node hears, in any order.
 #[derive(Debug, Clone)]
 enum Step {
-    Learn(News<u16>),
+    Learn(MemberRecord<u16>),
     Miss(u8),
     Wait(u16),
 }
@@ -269,7 +272,7 @@
     prop_oneof![
         4 => learn.prop_map(|(n, incarnation, state, beat, doubted)| {
             let name = name(n.into());
-            Step::Learn(News { state, beat, doubted, ..news(&name, incarnation) })
+            Step::Learn(MemberRecord { state, heartbeat: beat, suspected: doubted, ..news(&name, incarnation) })
         }),
         1 => (0..3_u8).prop_map(Step::Miss),
         1 => (0..3000_u16).prop_map(Step::Wait),
@@ -279,7 +282,7 @@
 /// The obvious version: all that was ever heard is kept, and read from the start.
 #[derive(Default)]
 struct Naive {
-    heard: Vec<(News<u16>, Duration)>,
+    heard: Vec<(MemberRecord<u16>, Duration)>,
 }
 
 impl Naive {
@@ -288,8 +291,9 @@
         let incarnation = of().map(|(n, _)| n.incarnation).max()?;
         let last = || of().filter(move |(n, _)| n.incarnation == incarnation);
         let state = last().map(|(n, _)| n.state).max()?;
-        let beat = last().map(|(n, _)| n.beat).max()?;
-        let doubt = last().filter(|(n, _)| n.doubted && n.beat == beat).map(|(_, at)| *at).min();
+        let beat = last().map(|(n, _)| n.heartbeat).max()?;
+        let doubt =
+            last().filter(|(n, _)| n.suspected && n.heartbeat == beat).map(|(_, at)| *at).min();
         let silent = doubt.is_some_and(|at| now - at >= Duration::from_secs(4));
         Some((incarnation, state, beat, silent))
     }
@@ -300,7 +304,7 @@
     /// table says what a reader of the whole history says.
     #[test]
     fn table_equals_the_whole_history(steps in proptest::collection::vec(step(), 0..60)) {
-        let mut table = Members::new(news("own", 1), 1);
+        let mut table = MemberTable::new(news("own", 1), 1);
         let mut naive = Naive::default();
         let mut now = Duration::from_secs(1);
         for step in steps {
@@ -310,20 +314,20 @@
                     let stopped = naive
                         .read(&news.name, now)
                         .is_some_and(|s| s.0 == news.incarnation && s.1 == NodeState::Gone);
-                    let news = News {
-                        doubted: news.doubted && !stopped && news.state != NodeState::Gone,
+                    let news = MemberRecord {
+                        suspected: news.suspected && !stopped && news.state != NodeState::Gone,
                         ..news
                     };
                     naive.heard.push((news.clone(), now));
-                    table.learn(news, now);
+                    table.merge_record(news, now);
                 }
                 Step::Miss(n) => {
                     let name = name(n.into());
-                    table.missed(&name, now);
+                    table.report_unreachable(&name, now);
                     if let Some((incarnation, state, beat, _)) = naive.read(&name, now)
                         && state != NodeState::Gone
                     {
-                        let doubt = News { state, beat, doubted: true, ..news(&name, incarnation) };
+                        let doubt = MemberRecord { state, heartbeat: beat, suspected: true, ..news(&name, incarnation) };
                         naive.heard.push((doubt, now));
                     }
                 }
@@ -332,8 +336,8 @@
             let seen: BTreeMap<Name, _> = table
                 .view(now)
                 .map(|(n, s)| {
-                    let silent = s == Standing::Silent;
-                    (n.name.clone(), (n.incarnation, n.state, n.beat, silent))
+                    let silent = s == Liveness::Failed;
+                    (n.name.clone(), (n.incarnation, n.state, n.heartbeat, silent))
                 })
                 .collect();
             for n in 0..3 {
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -41,7 +41,7 @@
 fn a_job_fits_a_key_of_the_store_whatever_its_organisation_is_called() {
     for length in [1, 40, 41, 5_000] {
         let name = "%".repeat(length);
-        let id = Caller::Organisation(name.as_str().into()).job("7c41e09b52d6a3f8");
+        let id = Caller::Organisation(name.as_str().into()).job_id("7c41e09b52d6a3f8");
         assert!(id.len() < 150 && !id.contains('/'), "{id}");
     }
 }
@@ -49,7 +49,7 @@
 proptest! {
     #[test]
     fn no_two_callers_share_a_job(a in "[ -~]{1,50}", b in "[ -~]{1,50}", i in "[ -~]{1,20}", j in "[ -~]{1,20}") {
-        let job = |organisation: &str, id: &str| Caller::Organisation(organisation.into()).job(id);
+        let job = |organisation: &str, id: &str| Caller::Organisation(organisation.into()).job_id(id);
         prop_assert_eq!(job(&a, &i) == job(&b, &j), a == b && i == j);
         prop_assert_ne!(job(&a, &i), public_job(&j));
     }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{Caller, CallerError, Trainer};
-use mulberrycourse::decide::{Prompt, Spec};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
 use mulberrycourse::edge::http::Fetch;
 use mulberrycourse::error::Run;
 use mulberrycourse::node::Addresses;
@@ -35,8 +35,8 @@
     assert_eq!(answer.body, expected(&request));
 
     let trainer = Trainer::new("coach".into(), fleet.callers());
-    let prompt = Prompt { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
-    let spec = Spec { version: 1, groups: vec![prompt; 5] };
+    let prompt = GroupSpec { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
+    let spec = StepSpec { version: 1, groups: vec![prompt; 5] };
     let report = trainer.step(1, &spec).await.unwrap();
     assert_eq!(report.groups.len(), 5);
     assert_eq!(report.doubled, 0);
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -3,23 +3,23 @@
 
 use std::time::Duration;
 
-use mulberrycourse::decide::{Again, Bounds, Route, Routes};
+use mulberrycourse::decide::{RequestLimits, RetryPolicy, Route, Routes};
 
 fn route(host: &str, prefix: &str, services: &[(&str, u32)]) -> Route {
     Route {
         name: prefix.into(),
         host: host.into(),
         prefix: prefix.into(),
-        again: Again::Whole,
+        retry_policy: RetryPolicy::Rerun,
         streaming: false,
         batch: false,
         timeout: None,
-        objective: Duration::ZERO,
+        target_latency: Duration::ZERO,
         priority: 0,
         services: services.iter().map(|(name, weight)| ((*name).into(), *weight)).collect(),
-        attempts: 1,
+        max_attempts: 1,
         retention: Duration::ZERO,
-        one_version: false,
+        single_version: false,
         public: false,
     }
 }
@@ -27,7 +27,7 @@
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
     let routes = ["/", "/a/", "/a/b/"].map(|p| route("h", p, &[("s", 1)]));
-    let table = Routes::new(1, Bounds::default(), routes.into_iter().collect());
+    let table = Routes::new(1, RequestLimits::default(), routes.into_iter().collect());
     for (path, prefix) in [("/a/b/c", "/a/b/"), ("/a/bc", "/a/"), ("/ab", "/"), ("/a/b/", "/a/b/")]
     {
         assert_eq!(&*table.find("h", path).unwrap().prefix, prefix, "{path}");
@@ -38,9 +38,9 @@
 #[test]
 fn draws_follow_the_weights() {
     let route = route("h", "/", &[("a", 90), ("b", 10), ("c", 0)]);
-    let drawn: Vec<&str> = (0..100).map(|d| &**route.service(d).unwrap()).collect();
+    let drawn: Vec<&str> = (0..100).map(|d| &**route.pick_service(d).unwrap()).collect();
     assert_eq!(drawn.iter().filter(|s| **s == "a").count(), 90);
     assert_eq!(drawn.iter().filter(|s| **s == "b").count(), 10);
-    assert_eq!(self::route("h", "/", &[]).service(3), None);
-    assert!(self::route("h", "/", &[("a", 0)]).service(3).is_some());
+    assert_eq!(self::route("h", "/", &[]).pick_service(3), None);
+    assert!(self::route("h", "/", &[("a", 0)]).pick_service(3).is_some());
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::scale::{Autoscale, AutoscaleFault, Load, Plan, Planner};
+use mulberrycourse::decide::scale::{
+    Autoscale, AutoscaleFault, DemandEstimator, Planner, ReplicaCounts,
+};
 use proptest::prelude::*;
 
 const SLOTS: u32 = 6;
@@ -13,9 +15,9 @@
 fn limits(least: u32, most: u32, prices: &[(&str, f64)]) -> Autoscale {
     Autoscale {
         service: "engines".into(),
-        least,
-        most,
-        boot: Duration::from_secs(4),
+        min: least,
+        max: most,
+        boot_time: Duration::from_secs(4),
         spot: false,
         prices: prices.iter().map(|(zone, price)| (Name::from(*zone), *price)).collect(),
     }
@@ -25,12 +27,12 @@
     limits(1, 24, &[("a", 1.0), ("b", 1.2), ("c", 0.85)])
 }
 
-fn plan(counts: &[(&str, u32)]) -> Plan {
+fn plan(counts: &[(&str, u32)]) -> ReplicaCounts {
     counts.iter().map(|(zone, count)| (Name::from(*zone), *count)).collect()
 }
 
 /// All replicas, by zone.
-fn whole(planner: &Planner) -> Plan {
+fn whole(planner: &Planner) -> ReplicaCounts {
     let mut whole = planner.base().clone();
     for (zone, extra) in planner.extra() {
         *whole.entry(zone.clone()).or_default() += extra;
@@ -75,7 +77,7 @@
 fn a_zone_that_has_none_is_left_out_for_a_while() {
     let mut planner = Planner::new(plan(&[("a", 3), ("b", 3), ("c", 3)]));
     planner.update(&three(), 96.0, SLOTS, START);
-    planner.refused(&"c".into(), 0, START);
+    planner.zone_refused(&"c".into(), 0, START);
     assert_eq!(whole(&planner)["c"], 3);
     assert!(planner.update(&three(), 96.0, SLOTS, START + Duration::from_secs(1)));
     assert_eq!((whole(&planner)["c"], total(&planner)), (3, 16));
@@ -120,36 +122,37 @@
 
 #[test]
 fn the_mean_of_what_is_wanted_needs_some_seconds_and_survives_a_new_node() {
-    let (mut load, service) = (Load::default(), Name::from("engines"));
+    let (mut load, service) = (DemandEstimator::default(), Name::from("engines"));
     let node = |n: &str| Name::from(n);
     let at = |seconds| START + Duration::from_secs(seconds);
-    assert_eq!(load.wanted("engines", START), None);
+    assert_eq!(load.mean_slots("engines", START), None);
     // Ten places all the time at one node; another comes with a total of its own.
     for second in 0..=20 {
-        load.note(&node("a"), &service, second * 10_000, at(second));
+        load.record(&node("a"), &service, second * 10_000, at(second));
         if second >= 10 {
-            load.note(&node("b"), &service, 7_000_000 + (second - 10) * 5_000, at(second));
+            load.record(&node("b"), &service, 7_000_000 + (second - 10) * 5_000, at(second));
         }
-        match load.wanted("engines", at(second)) {
+        match load.mean_slots("engines", at(second)) {
             None => assert!(second < 4, "{second}"),
             Some(wanted) if second <= 10 => assert!((9.0..=11.5).contains(&wanted), "{wanted}"),
             Some(wanted) => assert!((9.0..=17.0).contains(&wanted), "{wanted}"),
         }
     }
     // A node that begins anew tells less than before.
-    load.note(&node("a"), &service, 0, at(21));
-    assert!(load.wanted("engines", at(21)).unwrap() < 17.0);
+    load.record(&node("a"), &service, 0, at(21));
+    assert!(load.mean_slots("engines", at(21)).unwrap() < 17.0);
 }
 
 /// A holder that lost its term and has it again hears of all that was wanted meanwhile at once.
 /// Played on a deployment of 36 replicas it ordered 36 more.
 #[test]
 fn what_was_wanted_while_nobody_asked_is_left_out() {
-    let (mut load, node, service) = (Load::default(), Name::from("a"), Name::from("engines"));
+    let (mut load, node, service) =
+        (DemandEstimator::default(), Name::from("a"), Name::from("engines"));
     let at = |seconds| START + Duration::from_secs(seconds);
     for second in (0..10).chain(17..30) {
-        load.note(&node, &service, second * 100_000, at(second));
-        if let Some(wanted) = load.wanted("engines", at(second)) {
+        load.record(&node, &service, second * 100_000, at(second));
+        if let Some(wanted) = load.mean_slots("engines", at(second)) {
             assert!(wanted < 120.0, "{second}: {wanted}");
         }
     }
@@ -168,12 +171,12 @@
             now += Duration::from_secs(pause);
             planner.update(&limits, wanted, SLOTS, now);
             for (zone, count) in whole(&planner) {
-                prop_assert!(count <= limits.most.max(base[&zone]), "{:?}", whole(&planner));
+                prop_assert!(count <= limits.max.max(base[&zone]), "{:?}", whole(&planner));
             }
             if let Some((zone, there)) = refused {
                 let zone = Name::from(["a", "b", "c"][zone]);
                 let before = whole(&planner)[&zone];
-                planner.refused(&zone, there, now);
+                planner.zone_refused(&zone, there, now);
                 prop_assert!((base[&zone]..=before).contains(&whole(&planner)[&zone]));
             }
         }
--- a/tests/sessions_processes.rs
+++ b/tests/sessions_processes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{Caller, StepReport, Trainer};
-use mulberrycourse::decide::{Prompt, Spec, rank};
+use mulberrycourse::decide::{GroupSpec, StepSpec, rank};
 use mulberrycourse::edge::peer::NodeState;
 use standins::caller::{completion, expected};
 use standins::daemon::Daemon;
@@ -86,9 +86,9 @@
     }
 }
 
-fn spec() -> Spec {
-    let prompt = |g| Prompt { prompt: format!("glide {g}"), samples: 2, max_tokens: 40 };
-    Spec { version: 1, groups: (0..4).map(prompt).collect() }
+fn spec() -> StepSpec {
+    let prompt = |g| GroupSpec { prompt: format!("glide {g}"), samples: 2, max_tokens: 40 };
+    StepSpec { version: 1, groups: (0..4).map(prompt).collect() }
 }
 
 fn whole(report: &StepReport) {
--- a/tests/step.rs
+++ b/tests/step.rs
@@ -6,11 +6,11 @@
 
 use proptest::prelude::*;
 
-use mulberrycourse::decide::{Fill, Prompt, Ranges, Sample, Slot, Span, Spec, Step};
+use mulberrycourse::decide::{FillOutcome, GroupSpec, Ranges, Sample, Slot, Span, Step, StepSpec};
 
 fn step(groups: u32, samples: u32, bound: u64) -> Step {
-    let prompt = Prompt { prompt: "deal".to_owned(), samples, max_tokens: 4 };
-    Step::new(Spec { version: 5, groups: vec![prompt; groups as usize] }, bound)
+    let prompt = GroupSpec { prompt: "deal".to_owned(), samples, max_tokens: 4 };
+    Step::new(StepSpec { version: 5, groups: vec![prompt; groups as usize] }, bound)
 }
 
 fn sample(index: u32, version: u64) -> Sample {
@@ -23,7 +23,7 @@
 fn unknown_groups_complete_nothing() {
     let mut step = step(2, 1, 1);
     step.acknowledge(5, &Ranges::from_iter([7, 8]));
-    assert!(!step.complete());
+    assert!(!step.all_delivered());
     assert_eq!(step.start(usize::MAX).len(), 2);
 }
 
@@ -33,11 +33,11 @@
     let mut step = step(1, 1, 1);
     let slot = Slot { group: 0, index: 0 };
     assert_eq!(step.start(usize::MAX), [slot]);
-    assert_eq!(step.fill(slot, sample(0, 4)), Fill::Kept);
+    assert_eq!(step.fill(slot, sample(0, 4)), FillOutcome::Kept);
     step.acknowledge(5, &Ranges::from_iter([]));
-    assert_eq!(step.ready(1).len(), 1);
+    assert_eq!(step.ready_groups(1).len(), 1);
     step.acknowledge(6, &Ranges::from_iter([]));
-    assert_eq!(step.ready(1).len(), 0);
+    assert_eq!(step.ready_groups(1).len(), 0);
     assert_eq!(step.start(usize::MAX), [slot]);
 }
 
@@ -48,15 +48,15 @@
     step.start(usize::MAX);
     step.acknowledge(7, &Ranges::from_iter([]));
     let slot = Slot { group: 0, index: 0 };
-    assert_eq!(step.fill(slot, sample(0, 5)), Fill::Stale);
-    assert_eq!(step.fill(slot, sample(0, 6)), Fill::Kept);
+    assert_eq!(step.fill(slot, sample(0, 5)), FillOutcome::Stale);
+    assert_eq!(step.fill(slot, sample(0, 6)), FillOutcome::Kept);
 }
 
 /// Long samples begin first, and a group together; the last of a group is raised.
 #[test]
 fn long_prompts_begin_first() {
-    let prompt = |max_tokens| Prompt { prompt: "deal".to_owned(), samples: 2, max_tokens };
-    let spec = Spec { version: 1, groups: vec![prompt(4), prompt(90), prompt(30)] };
+    let prompt = |max_tokens| GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens };
+    let spec = StepSpec { version: 1, groups: vec![prompt(4), prompt(90), prompt(30)] };
     let mut step = Step::new(spec, 1);
     let begun: Vec<u32> = step.start(5).iter().map(|slot| slot.group).collect();
     assert_eq!(begun, [1, 1, 2, 2, 0]);
@@ -104,8 +104,8 @@
                     let slot = running[which];
                     let fill = step.fill(slot, sample(slot.index, made));
                     let stale = made + BOUND < version && !taken.contains_key(&slot.group);
-                    prop_assert_eq!(fill == Fill::Stale, stale);
-                    if fill != Fill::Stale {
+                    prop_assert_eq!(fill == FillOutcome::Stale, stale);
+                    if fill != FillOutcome::Stale {
                         running.remove(which);
                     }
                 }
@@ -113,7 +113,7 @@
                 Event::Pull(at, takes) => {
                     version = version.max(at);
                     step.acknowledge(version, &taken.keys().copied().collect());
-                    for group in step.ready(takes) {
+                    for group in step.ready_groups(takes) {
                         let fresh = group.samples.iter().all(|s| s.oldest() >= Some(version - BOUND));
                         prop_assert!(fresh);
                         prop_assert_eq!(group.samples.len() as u32, samples);
@@ -123,13 +123,13 @@
                 }
                 Event::Move => {
                     step.acknowledge(version, &taken.keys().copied().collect());
-                    for group in step.ready(usize::MAX) {
+                    for group in step.ready_groups(usize::MAX) {
                         let made = group.samples.iter().filter_map(|s| s.oldest()).collect();
                         prop_assert!(taken.insert(group.group, made).is_none(), "doubled");
                     }
-                    let parts = step.parts();
+                    let parts = step.partial_groups();
                     prop_assert!(parts.iter().all(|part| !taken.contains_key(&part.group)));
-                    let spec = Spec { version, ..step.spec().clone() };
+                    let spec = StepSpec { version, ..step.spec().clone() };
                     step = Step::new(spec, BOUND);
                     step.acknowledge(version, &taken.keys().copied().collect());
                     let kept: usize = parts.iter().map(|g| g.samples.len()).sum();
@@ -142,8 +142,8 @@
             let open: BTreeSet<Slot> = running.iter().copied().collect();
             prop_assert_eq!(open.len(), running.len(), "a slot runs twice");
             let left = (0..groups).filter(|g| !taken.contains_key(g)).count();
-            prop_assert_eq!(step.complete(), left == 0);
-            let ready = step.ready(usize::MAX).len();
+            prop_assert_eq!(step.all_delivered(), left == 0);
+            let ready = step.ready_groups(usize::MAX).len();
             prop_assert!(ready == left || !running.is_empty(), "nothing runs and groups are missing");
         }
     }
@@ -163,8 +163,8 @@
 #[test]
 fn training_session() {
     let mut log = String::new();
-    let prompt = |samples, max_tokens| Prompt { prompt: "deal".to_owned(), samples, max_tokens };
-    let spec = Spec { version: 5, groups: vec![prompt(2, 8), prompt(2, 64)] };
+    let prompt = |samples, max_tokens| GroupSpec { prompt: "deal".to_owned(), samples, max_tokens };
+    let spec = StepSpec { version: 5, groups: vec![prompt(2, 8), prompt(2, 64)] };
     let mut step = Step::new(spec.clone(), 1);
     let at = |group, index| Slot { group, index };
     writeln!(log, "submitted at 5: starts {:?}", names(&step.start(3))).unwrap();
@@ -181,9 +181,9 @@
     pulled(&mut log, &mut step, 6, &[1]);
     writeln!(log, "starts {:?}", names(&step.start(3))).unwrap();
     writeln!(log, "0/1 by 6: {:?}", step.fill(at(0, 1), sample(1, 6))).unwrap();
-    let parts = step.parts();
+    let parts = step.partial_groups();
     writeln!(log, "leaves with {:?}", held(&parts)).unwrap();
-    let mut next = Step::new(Spec { version: 6, ..spec }, 1);
+    let mut next = Step::new(StepSpec { version: 6, ..spec }, 1);
     next.acknowledge(6, &Ranges::from_iter([1]));
     writeln!(log, "the next adopts {}, starts {:?}", next.adopt(parts), names(&next.start(3)))
         .unwrap();
@@ -204,7 +204,7 @@
 
 fn pulled(log: &mut String, step: &mut Step, version: u64, have: &[u32]) {
     step.acknowledge(version, &have.iter().copied().collect());
-    let ready = held(&step.ready(9));
-    writeln!(log, "pull at {version} with {have:?}: {ready:?}, complete: {}", step.complete())
+    let ready = held(&step.ready_groups(9));
+    writeln!(log, "pull at {version} with {have:?}: {ready:?}, complete: {}", step.all_delivered())
         .unwrap();
 }
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -7,7 +7,7 @@
 
 use http::Method;
 use mulberrycourse::client::{AddressBook, StepReport, Trainer};
-use mulberrycourse::decide::{Group, Prompt, Ranges, Spec};
+use mulberrycourse::decide::{Group, GroupSpec, Ranges, StepSpec};
 use mulberrycourse::edge::http::{Fetch, FetchError};
 use mulberrycourse::node::{Pull, Pulled, Submit};
 use standins::engine::{EngineSettings, Faults};
@@ -22,12 +22,12 @@
     EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() }
 }
 
-fn spec(groups: u32, samples: u32, max_tokens: u32) -> Spec {
-    let prompt = |g| Prompt { prompt: format!("count {g}"), samples, max_tokens };
-    Spec { version: 1, groups: (0..groups).map(prompt).collect() }
+fn spec(groups: u32, samples: u32, max_tokens: u32) -> StepSpec {
+    let prompt = |g| GroupSpec { prompt: format!("count {g}"), samples, max_tokens };
+    StepSpec { version: 1, groups: (0..groups).map(prompt).collect() }
 }
 
-fn whole(report: &StepReport, spec: &Spec) {
+fn whole(report: &StepReport, spec: &StepSpec) {
     assert_eq!(report.doubled, 0);
     assert_eq!(report.thin, 0);
     assert!(report.groups.keys().copied().eq(0..spec.groups.len() as u32));
@@ -74,7 +74,7 @@
     Fetch::default().call(at, method, &path, value, GUARD).await
 }
 
-async fn submit(at: SocketAddr, step: u64, spec: &Spec, have: Ranges) {
+async fn submit(at: SocketAddr, step: u64, spec: &StepSpec, have: Ranges) {
     let submit = Submit { spec: spec.clone(), have, parts: Vec::new() };
     let _: serde_json::Value = send(at, Method::PUT, &step.to_string(), &submit).await.unwrap();
 }
@@ -285,7 +285,7 @@
     let at = fleet.nodes[0].callers();
     submit(at, 1, &spec(1, 1, 16), Ranges::default()).await;
     unacknowledged(at, 1, 1).await;
-    let newer = Spec { version: 9, ..spec(1, 1, 16) };
+    let newer = StepSpec { version: 9, ..spec(1, 1, 16) };
     submit(at, 2, &newer, Ranges::default()).await;
     let pull = Pull { version: 1, have: Ranges::default(), most: 1, wait_ms: 0 };
     let late: Pulled = send(at, Method::POST, "1/pull", &pull).await.unwrap();
@@ -323,7 +323,7 @@
     submit(at, 1, &spec(1, 1, 4), Ranges::default()).await;
     unacknowledged(at, 1, 1).await;
     let before = fleet.engines[0].started();
-    submit(at, 2, &Spec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
+    submit(at, 2, &StepSpec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
     let pull = Pull { version: 5, have: Ranges::default(), most: 1, wait_ms: 1_000 };
     let pulled: Pulled = send(at, Method::POST, "2/pull", &pull).await.unwrap();
     assert!(pulled.groups.is_empty());
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -18,10 +18,10 @@
     let mut now = Duration::ZERO;
     for _ in 0..pieces {
         now += apart;
-        if now > transfer.due() {
+        if now > transfer.deadline() {
             return None;
         }
-        transfer.come(PIECE, now);
+        transfer.record_received(PIECE, now);
     }
     Some(now)
 }
@@ -38,11 +38,11 @@
 #[test]
 fn silence_is_given_up_at_the_limit_and_later_soon_after_the_last_piece() {
     let mut transfer = Transfer::new(LIMIT, 0);
-    assert_eq!(transfer.due(), LIMIT);
+    assert_eq!(transfer.deadline(), LIMIT);
     for n in 1..=30 {
-        transfer.come(PIECE, millis(100 * n));
+        transfer.record_received(PIECE, millis(100 * n));
     }
-    assert_eq!(transfer.due(), millis(3_400));
+    assert_eq!(transfer.deadline(), millis(3_400));
 }
 
 /// A sender of a byte now and then holds nobody up for longer than a silent one, by much.
@@ -50,8 +50,8 @@
 fn a_trickle_is_given_up() {
     let mut transfer = Transfer::new(LIMIT, 0);
     let mut now = Duration::ZERO;
-    while now <= transfer.due() {
-        transfer.come(100, now);
+    while now <= transfer.deadline() {
+        transfer.record_received(100, now);
         now += millis(100);
     }
     assert!(now < LIMIT + millis(1_000), "{now:?}");
@@ -67,8 +67,8 @@
 /// A job of eight thousand samples takes a second on the narrowest link before anybody can answer.
 #[test]
 fn a_request_has_the_time_that_its_bytes_take() {
-    assert!(Transfer::new(millis(600), 8 << 20).due() > millis(600) + millis(1_120));
-    assert!(Transfer::new(millis(600), 1 << 10).due() < millis(601));
+    assert!(Transfer::new(millis(600), 8 << 20).deadline() > millis(600) + millis(1_120));
+    assert!(Transfer::new(millis(600), 1 << 10).deadline() < millis(601));
 }
 
 proptest! {
@@ -82,9 +82,9 @@
         let mut now = Duration::ZERO;
         for (gap, bytes) in pieces {
             now += millis(gap);
-            transfer.come(bytes, now);
-            prop_assert!(transfer.due() >= millis(limit));
-            prop_assert!(transfer.due() <= millis(limit).max(now + millis(400)));
+            transfer.record_received(bytes, now);
+            prop_assert!(transfer.deadline() >= millis(limit));
+            prop_assert!(transfer.deadline() <= millis(limit).max(now + millis(400)));
         }
     }
 }
