--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -4,10 +4,13 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::usage::{Agreed, Counts, Ledger, Meter, Steady, WindowNote, Windows};
+use mulberrycourse::decide::usage::{
+    AgreedClock, Counts, Ledger, Meter, SteadyClock, WindowNote, Windows,
+};
 use proptest::prelude::*;
 
-const WINDOWS: Windows = Windows { length: Duration::from_secs(5), late: Duration::from_secs(10) };
+const WINDOWS: Windows =
+    Windows { length: Duration::from_secs(5), report_grace: Duration::from_secs(10) };
 const PRESENT: u64 = 356_731_765;
 
 fn name(text: &str) -> Name {
@@ -16,17 +19,17 @@
 
 #[test]
 fn a_window_ends_where_the_next_begins() {
-    let end = WINDOWS.end(PRESENT);
-    assert_eq!(WINDOWS.at(end), PRESENT + 1);
-    assert_eq!(WINDOWS.at(end - Duration::from_nanos(1)), PRESENT);
-    assert_eq!(WINDOWS.due(PRESENT), end + WINDOWS.late);
+    let end = WINDOWS.end_of(PRESENT);
+    assert_eq!(WINDOWS.index_at(end), PRESENT + 1);
+    assert_eq!(WINDOWS.index_at(end - Duration::from_nanos(1)), PRESENT);
+    assert_eq!(WINDOWS.report_deadline(PRESENT), end + WINDOWS.report_grace);
     // A window that no time of day reaches is no panic.
-    assert!(WINDOWS.due(u64::MAX) > WINDOWS.end(PRESENT));
+    assert!(WINDOWS.report_deadline(u64::MAX) > WINDOWS.end_of(PRESENT));
 }
 
 #[test]
 fn a_clock_that_steps_and_steps_back_is_not_followed() {
-    let (mut steady, start) = (Steady::default(), Duration::from_secs(1_800_000_000));
+    let (mut steady, start) = (SteadyClock::default(), Duration::from_secs(1_800_000_000));
     let mut read = |running: u64, wall: i64| {
         let wall = Duration::from_millis((start.as_millis() as i64 + wall) as u64);
         let time = steady.read(Duration::from_millis(running), wall);
@@ -51,20 +54,20 @@
 fn a_clock_that_was_wrong_from_the_start_gives_way_to_the_others() {
     let (start, ahead) = (Duration::from_secs(1_800_000_000), Duration::from_secs(7));
     let at = Duration::from_secs;
-    let mut agreed = Agreed::default();
+    let mut agreed = AgreedClock::default();
     assert_eq!(agreed.read(at(1), start + at(1) + ahead), start + at(1) + ahead);
-    agreed.hear(&name("a"), start + at(2), at(2));
+    agreed.record_peer(&name("a"), start + at(2), at(2));
     assert_eq!(agreed.read(at(2), start + at(2) + ahead), start + at(2) + ahead);
-    agreed.hear(&name("b"), start + at(2), at(2));
+    agreed.record_peer(&name("b"), start + at(2), at(2));
     assert_eq!(agreed.read(at(2), start + at(2) + ahead), start + at(2));
     // Its clock is set right: nothing jumps.
     assert_eq!(agreed.read(at(3), start + at(3)), start + at(3));
     // Nobody says anything for long: it goes by itself, which has not followed the step yet.
     assert_eq!(agreed.read(at(40), start + at(40)), start + at(40) + ahead);
 
-    let mut right = Agreed::default();
-    right.hear(&name("wrong"), start + at(1) + ahead, at(1));
-    right.hear(&name("a"), start + at(1), at(1));
+    let mut right = AgreedClock::default();
+    right.record_peer(&name("wrong"), start + at(1) + ahead, at(1));
+    right.record_peer(&name("a"), start + at(1), at(1));
     assert_eq!(right.read(at(1), start + at(1)), start + at(1));
     assert_eq!(right.read(at(1), start + at(1)), start + at(1));
 }
@@ -72,19 +75,19 @@
 #[test]
 fn a_window_is_closed_once_nothing_of_it_is_open() {
     let mut meter = Meter::default();
-    meter.sent(PRESENT);
-    meter.sent(PRESENT);
-    meter.settled(PRESENT, Some(&name("o")));
+    meter.request_sent(PRESENT);
+    meter.request_sent(PRESENT);
+    meter.request_settled(PRESENT, Some(&name("o")));
     let mut note =
-        |present| meter.notes(present).into_iter().find(|n| n.window == PRESENT).unwrap();
+        |present| meter.window_notes(present).into_iter().find(|n| n.window == PRESENT).unwrap();
     assert!(!note(PRESENT).closed && !note(PRESENT + 1).closed);
     assert_eq!(note(PRESENT + 1).counts, Counts::from([(name("o"), 1)]));
-    meter.settled(PRESENT, None);
-    let closed = meter.notes(PRESENT + 1).into_iter().find(|n| n.window == PRESENT).unwrap();
+    meter.request_settled(PRESENT, None);
+    let closed = meter.window_notes(PRESENT + 1).into_iter().find(|n| n.window == PRESENT).unwrap();
     assert!(closed.closed);
     assert_eq!(closed.counts, Counts::from([(name("o"), 1)]));
     // Windows without a request are closed too.
-    assert!(meter.notes(PRESENT + 2).iter().all(|n| n.closed == (n.window < PRESENT + 2)));
+    assert!(meter.window_notes(PRESENT + 2).iter().all(|n| n.closed == (n.window < PRESENT + 2)));
 }
 
 #[test]
@@ -92,7 +95,7 @@
     let mut ledger = Ledger::default();
     let note = |window| WindowNote { window, closed: true, counts: Counts::from([(name("o"), 1)]) };
     let life = name("a");
-    let strange = ledger.note(&life, &[note(u64::MAX), note(0), note(PRESENT)], PRESENT);
+    let strange = ledger.record(&life, &[note(u64::MAX), note(0), note(PRESENT)], PRESENT);
     assert_eq!(strange, [u64::MAX, 0]);
     assert_eq!(ledger.total(PRESENT, std::slice::from_ref(&life)).counts[&name("o")], 1);
     assert_eq!(ledger.total(u64::MAX, &[life]).counts, Counts::new());
@@ -103,7 +106,11 @@
     let mut ledger = Ledger::default();
     for life in ["a", "b"] {
         let counts = Counts::from([(name("o"), u64::MAX)]);
-        ledger.note(&name(life), &[WindowNote { window: PRESENT, closed: true, counts }], PRESENT);
+        ledger.record(
+            &name(life),
+            &[WindowNote { window: PRESENT, closed: true, counts }],
+            PRESENT,
+        );
     }
     assert_eq!(ledger.total(PRESENT, &[]).counts[&name("o")], u64::MAX);
 }
@@ -122,24 +129,24 @@
         let mut truth = Counts::new();
         for (node, organisation, ran) in runs {
             let organisation = name(&format!("o{organisation}"));
-            meters[node].sent(PRESENT);
-            meters[node].settled(PRESENT, ran.then_some(&organisation));
+            meters[node].request_sent(PRESENT);
+            meters[node].request_settled(PRESENT, ran.then_some(&organisation));
             if ran {
                 *truth.entry(organisation).or_default() += 1;
             }
-            told[node].push(meters[node].notes(PRESENT));
+            told[node].push(meters[node].window_notes(PRESENT));
         }
         let mut ledger = Ledger::default();
         for (node, index) in order {
             if let Some(notes) = told[node].get(index) {
-                ledger.note(&lives[node], notes, PRESENT);
+                ledger.record(&lives[node], notes, PRESENT);
             }
         }
-        prop_assert_eq!(ledger.total(PRESENT, &lives).missing.len(), 3);
+        prop_assert_eq!(ledger.total(PRESENT, &lives).unclosed.len(), 3);
         for (node, meter) in meters.iter_mut().enumerate() {
-            ledger.note(&lives[node], &meter.notes(PRESENT + 1), PRESENT + 1);
+            ledger.record(&lives[node], &meter.window_notes(PRESENT + 1), PRESENT + 1);
         }
         let total = ledger.total(PRESENT, &lives);
-        prop_assert_eq!((total.counts, total.missing.len()), (truth, 0));
+        prop_assert_eq!((total.counts, total.unclosed.len()), (truth, 0));
     }
 }
