--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -101,7 +101,7 @@
     /// Updates the plan of one service. True if it has changed.
     fn plan(&mut self, limits: &Autoscale) -> bool {
         let now = self.app.now();
-        let Some(wanted) = self.app.load.lock().mean_slots(&limits.service, now) else {
+        let Some(wanted) = self.app.slot_load.lock().mean_slots(&limits.service, now) else {
             return false;
         };
         let (base, slots) = {
