--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -15,7 +15,7 @@
 use crate::Moment;
 use crate::decide::fallback::{self, CallPath};
 use crate::edge::peer::PeerError;
-use crate::edge::store::{Answer, Store, StoreError, Watched};
+use crate::edge::store::{Store, StoreError, StoreFuture, WatchBatch};
 
 /// How long another node may take with a call: its own call to the store may take a third of it,
 /// and a lease has to be renewed within two seconds.
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 struct State {
     /// Decides by which path calls are made.
-    way: fallback::FallbackState,
+    fallback: fallback::FallbackState,
     /// The nodes that can be asked, starting with the one that answered last.
     nodes: Vec<SocketAddr>,
     /// The largest number of nodes that were known. Probes are paced by it, because an outage ends
@@ -96,13 +96,13 @@
         peers: Arc<dyn Peers>,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        let mut way = fallback::FallbackState::default();
-        way.set_probe_interval(
+        let mut fallback = fallback::FallbackState::default();
+        fallback.set_probe_interval(
             fallback::probe_interval(seeds.len() + 1, rand::random()),
             rand::random(),
         );
         let state = State {
-            way,
+            fallback,
             max_nodes: seeds.len(),
             nodes: seeds,
             last_reply: Moment::ZERO,
@@ -121,27 +121,30 @@
 
     /// Whether this node is believed to reach the store directly.
     pub(in crate::entry) fn is_direct(&self) -> bool {
-        self.state.lock().way.direct_works()
+        self.state.lock().fallback.direct_works()
     }
 
     /// Whether the store is believed to be unreachable from every node.
     pub(in crate::entry) fn is_down(&self) -> bool {
-        self.state.lock().way.is_down_for_all()
+        self.state.lock().fallback.is_down_for_all()
     }
 
     /// Returns for how long no node has reached the store. None if one does.
     pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
-        let away = self.started.elapsed().saturating_sub(state.last_reply);
-        state.way.is_down_for_all().then_some(away)
+        let elapsed = self.started.elapsed().saturating_sub(state.last_reply);
+        state.fallback.is_down_for_all().then_some(elapsed)
     }
 
     /// Returns the present on a clock that stops while no node reaches the store. Nodes cannot
     /// renew their registration in that time, so it does not count towards their absence.
     pub(in crate::entry) fn store_time(&self) -> Moment {
         let state = self.state.lock();
-        let now =
-            if state.way.is_down_for_all() { state.last_reply } else { self.started.elapsed() };
+        let now = if state.fallback.is_down_for_all() {
+            state.last_reply
+        } else {
+            self.started.elapsed()
+        };
         now.saturating_sub(state.total_outage)
     }
 
@@ -161,7 +164,7 @@
         if nodes.len() > state.max_nodes {
             state.max_nodes = nodes.len();
             let pace = fallback::probe_interval(nodes.len() + 1, rand::random());
-            state.way.set_probe_interval(pace, rand::random());
+            state.fallback.set_probe_interval(pace, rand::random());
         }
         state.nodes = nodes;
         if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
@@ -178,25 +181,25 @@
     /// if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
-        direct: Answer<T>,
+        direct: StoreFuture<T>,
         request: StoreRequest,
         repeatable: bool,
         extract: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
-        let mut way = self.way(repeatable);
-        if way == CallPath::ViaPeer {
+        let mut path = self.choose_path(repeatable);
+        if path == CallPath::ViaPeer {
             match self.clone().call_peers(request.clone(), repeatable, None, extract).await {
                 Err(e) if repeatable || matches!(e, StoreError::Refused(_)) => {
                     // No node can help, but the direct path may have recovered meanwhile.
-                    way = self.way(repeatable);
-                    if way != CallPath::DirectOnly {
+                    path = self.choose_path(repeatable);
+                    if path != CallPath::DirectOnly {
                         return Err(e);
                     }
                 }
                 answer => return answer,
             }
         }
-        let result = match way {
+        let result = match path {
             CallPath::ViaPeer | CallPath::NoCall => {
                 return Err(StoreError::Refused(
                     "the store is unreachable from every node".to_owned(),
@@ -222,7 +225,7 @@
                     return Err(e);
                 }
                 self.record_failure(&e);
-                if way == CallPath::DirectOnly
+                if path == CallPath::DirectOnly
                     || (!repeatable && matches!(e, StoreError::Unknown(_)))
                 {
                     return Err(e);
@@ -249,8 +252,8 @@
     }
 
     /// Chooses the path of a call.
-    fn way(&self, repeatable: bool) -> CallPath {
-        self.state.lock().way.choose_path(repeatable, self.started.elapsed())
+    fn choose_path(&self, repeatable: bool) -> CallPath {
+        self.state.lock().fallback.choose_path(repeatable, self.started.elapsed())
     }
 
     /// Makes a call through other nodes. `failed` is the error of the direct call before it.
@@ -270,8 +273,8 @@
             match self.call_peer(node, request.clone(), extract).await {
                 PeerCall::Answered(answer) => {
                     let mut state = self.state.lock();
-                    let was_down = state.way.is_down_for_all();
-                    let recovered = state.way.peer_answered();
+                    let was_down = state.fallback.is_down_for_all();
+                    let recovered = state.fallback.peer_answered();
                     state.record_reply(recovered, was_down, self.started.elapsed());
                     return answer;
                 }
@@ -281,7 +284,7 @@
             // The next call asks another node first.
             self.state.lock().nodes.rotate_left(1);
         }
-        self.state.lock().way.peers_failed(self.started.elapsed());
+        self.state.lock().fallback.peers_failed(self.started.elapsed());
         Err(last)
     }
 
@@ -321,7 +324,7 @@
 
     /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
     /// so it is given up [`RECOVERY_GRACE`] after that.
-    async fn until_recovery<T>(&self, call: Answer<T>) -> Result<T, StoreError> {
+    async fn until_recovery<T>(&self, call: StoreFuture<T>) -> Result<T, StoreError> {
         let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
             answer = call => answer,
@@ -334,7 +337,7 @@
 
     /// Wraps a direct watch so that it fails once the store becomes unreachable: the watch itself
     /// would go on waiting.
-    pub(super) fn until_closed(&self, watched: Answer<Watched>) -> Answer<Watched> {
+    pub(super) fn until_closed(&self, watched: StoreFuture<WatchBatch>) -> StoreFuture<WatchBatch> {
         let mut disconnects = self.disconnects.subscribe();
         Box::pin(async move {
             tokio::select! {
@@ -351,8 +354,8 @@
     fn record_success(&self) {
         let (was_down, recovered) = {
             let mut state = self.state.lock();
-            let was_down = state.way.is_down_for_all();
-            let recovered = state.way.direct_answered();
+            let was_down = state.fallback.is_down_for_all();
+            let recovered = state.fallback.direct_answered();
             state.record_reply(recovered, was_down, self.started.elapsed());
             (was_down, recovered)
         };
@@ -381,10 +384,10 @@
     pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
-            if !state.way.is_down_for_all() {
+            if !state.fallback.is_down_for_all() {
                 return;
             }
-            state.way.on_recovery_notice();
+            state.fallback.on_recovery_notice();
             state.record_reply(true, true, self.started.elapsed());
         }
         self.recoveries.send_modify(|n| *n += 1);
@@ -399,7 +402,7 @@
 
     /// Records that a direct call failed.
     fn record_failure(&self, e: &StoreError) {
-        if self.state.lock().way.direct_failed(self.started.elapsed()) {
+        if self.state.lock().fallback.direct_failed(self.started.elapsed()) {
             self.disconnects.send_modify(|n| *n += 1);
             tracing::info!(event = "store_not_reached", way = "direct", error = %e);
         }
@@ -407,7 +410,7 @@
 }
 
 /// Makes a call within [`PROBE_TIMEOUT`], to show soon whether the direct path works.
-async fn probe_call<T>(call: Answer<T>) -> Result<T, StoreError> {
+async fn probe_call<T>(call: StoreFuture<T>) -> Result<T, StoreError> {
     let late = || StoreError::Unknown("no answer to a probe".to_owned());
     tokio::time::timeout(PROBE_TIMEOUT, call).await.unwrap_or_else(|_| Err(late()))
 }
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -8,11 +8,11 @@
 use super::identity::Identity;
 use crate::decide::members::{Gossip, GossipEffect, Liveness, MemberRecord, NodeState};
 use crate::decide::score;
-use crate::edge::peer::{NodeInfo, Place};
+use crate::edge::peer::{NodeInfo, NodeLocation};
 use crate::settings::NodeSettings;
 use crate::{Moment, Name};
 
-type Table = crate::decide::members::MemberTable<Place>;
+type Table = crate::decide::members::MemberTable<NodeLocation>;
 
 /// A node to talk to.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,7 +40,7 @@
             heartbeat: 0,
             bundle: 0,
             suspected: false,
-            contact: Place {
+            contact: NodeLocation {
                 region: node.region.clone(),
                 zone: node.zone.clone(),
                 callers: identity.callers,
@@ -90,12 +90,12 @@
     }
 
     /// The message of a round, with what the other side wants to know.
-    pub(super) fn message(&self, wanted: &[u32]) -> Gossip<Place> {
+    pub(super) fn message(&self, wanted: &[u32]) -> Gossip<NodeLocation> {
         self.table.lock().next_message(wanted)
     }
 
     /// Takes in a message.
-    pub(super) fn receive(&self, gossip: Gossip<Place>, now: Moment) -> GossipEffect {
+    pub(super) fn receive(&self, gossip: Gossip<NodeLocation>, now: Moment) -> GossipEffect {
         let heard = self.table.lock().receive(gossip, now);
         if heard.changed {
             self.urgent.notify_one();
@@ -104,7 +104,11 @@
     }
 
     /// Another node, or the platform, told of some nodes.
-    pub(super) fn told(&self, news: impl IntoIterator<Item = MemberRecord<Place>>, now: Moment) {
+    pub(super) fn told(
+        &self,
+        news: impl IntoIterator<Item = MemberRecord<NodeLocation>>,
+        now: Moment,
+    ) {
         let mut table = self.table.lock();
         for news in news {
             table.load_record(news, now);
@@ -120,7 +124,7 @@
     }
 
     /// A page of the table, for a node that joins.
-    pub(super) fn page(&self, after: Option<&Name>) -> Vec<MemberRecord<Place>> {
+    pub(super) fn page(&self, after: Option<&Name>) -> Vec<MemberRecord<NodeLocation>> {
         self.table.lock().page(after)
     }
 
