--- a/src/edge/http/collect.rs
+++ b/src/edge/http/collect.rs
@@ -39,12 +39,13 @@
 ) -> Result<Bytes, CollectError> {
     let mut all = BytesMut::new();
     loop {
-        let piece = tokio::time::timeout_at(begun + transfer.due(), pieces.next()).await;
-        let Some(piece) = piece.map_err(|_| CollectError::Timeout(transfer.came()))? else {
+        let piece = tokio::time::timeout_at(begun + transfer.deadline(), pieces.next()).await;
+        let Some(piece) = piece.map_err(|_| CollectError::Timeout(transfer.received_bytes()))?
+        else {
             return Ok(all.freeze());
         };
         let piece = piece.map_err(CollectError::Interrupted)?;
-        transfer.come(piece.len(), begun.elapsed());
+        transfer.record_received(piece.len(), begun.elapsed());
         add(&mut all, &piece).map_err(CollectError::Interrupted)?;
     }
 }
--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -132,16 +132,18 @@
         let late = |transfer: Transfer| PeerError::Timeout {
             to,
             timeout: limit,
-            received: transfer.came(),
+            received: transfer.received_bytes(),
         };
-        let head = tokio::time::timeout_at(begun + transfer.due(), self.send(to, bytes)).await;
+        let head = tokio::time::timeout_at(begun + transfer.deadline(), self.send(to, bytes)).await;
         let mut body = head.map_err(|_| late(transfer))??;
         let mut reply = BytesMut::new();
         loop {
-            let piece =
-                tokio::time::timeout_at(begun + transfer.due(), read_piece(&mut body, &mut reply));
+            let piece = tokio::time::timeout_at(
+                begun + transfer.deadline(),
+                read_piece(&mut body, &mut reply),
+            );
             match piece.await {
-                Ok(Some(Ok(piece))) => transfer.come(piece, begun.elapsed()),
+                Ok(Some(Ok(piece))) => transfer.record_received(piece, begun.elapsed()),
                 Ok(Some(Err(reason))) => return Err(PeerError::Interrupted { to, reason }),
                 Ok(None) => return Ok(reply),
                 Err(_) => return Err(late(transfer)),
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -22,8 +22,8 @@
 use super::remote_jobs::RemoteJobs;
 use super::slots::Slots;
 use super::usage::Usage;
-use crate::decide::comeback::come_back;
-use crate::decide::scale::Load;
+use crate::decide::retry_after::retry_after;
+use crate::decide::scale::DemandEstimator;
 use crate::decide::{Demand, Routes};
 use crate::edge::duty::Duties;
 use crate::edge::replica::Replicas;
@@ -69,7 +69,7 @@
     /// of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
     /// The slots that the samples of all nodes need, on the leader.
-    pub(super) slot_load: Mutex<Load>,
+    pub(super) slot_load: Mutex<DemandEstimator>,
     /// The replicas and the samples that wait for their slots.
     pub(super) slots: Slots,
     /// The registered nodes and the leader.
@@ -241,7 +241,7 @@
 
     /// Returns how long a client that is refused now has to wait before it retries.
     pub fn retry_after(&self) -> Duration {
-        come_back(self.fallback_store.outage_duration(), self.draw())
+        retry_after(self.fallback_store.outage_duration(), self.draw())
     }
 
     /// Whether the node may send orders: more than half of the lease time remains since the last
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -77,7 +77,7 @@
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.membership.lock().peers();
         let names: Vec<Name> = nodes.keys().cloned().collect();
-        let owners = affinity::preferred(&routes.batch(), &names);
+        let owners = affinity::preferred(&routes.batch_routes(), &names);
         let owner = owners.get(&route.name).filter(|owner| **owner != self.settings.name)?;
         let to = *nodes.get(owner)?;
         (!self.is_unreachable(to)).then_some(to)
@@ -162,7 +162,7 @@
             return vec![(incarnation, to)];
         }
         let names: Vec<Name> = live.peers().keys().cloned().collect();
-        let routes = self.routes().map(|routes| routes.batch()).unwrap_or_default();
+        let routes = self.routes().map(|routes| routes.batch_routes()).unwrap_or_default();
         let owners = affinity::preferred(&routes, &names);
         let others = owners.values().filter(|name| **name != self.settings.name);
         let mut likely: Vec<_> = others.filter_map(|name| live.life(name)).collect();
@@ -184,14 +184,14 @@
             let mut record_load = |incarnation: &Name, wanted: Vec<(Name, u64)>| {
                 wanted
                     .iter()
-                    .for_each(|(service, total)| load.note(incarnation, service, *total, now));
+                    .for_each(|(service, total)| load.record(incarnation, service, *total, now));
             };
             record_load(&self.incarnation, self.slots.wanted.totals());
             for reply in replies {
                 let Ok(PeerReply::Demand { steps, life: incarnation, wanted }) = reply else {
                     continue;
                 };
-                steps.iter().for_each(|(model, work)| demand.note(model, *work, now));
+                steps.iter().for_each(|(model, work)| demand.record(model, *work, now));
                 record_load(&incarnation, wanted);
             }
         }
