--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -22,8 +22,8 @@
 use super::remote_jobs::RemoteJobs;
 use super::slots::Slots;
 use super::usage::Usage;
-use crate::decide::comeback::come_back;
-use crate::decide::scale::Load;
+use crate::decide::retry_after::retry_after;
+use crate::decide::scale::DemandEstimator;
 use crate::decide::{Demand, Routes};
 use crate::edge::duty::Duties;
 use crate::edge::replica::Replicas;
@@ -69,7 +69,7 @@
     /// also of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
     /// The slots that the samples of all nodes need, on the leader.
-    pub(super) slot_load: Mutex<Load>,
+    pub(super) slot_load: Mutex<DemandEstimator>,
     /// The replicas and the samples that wait for their slots.
     pub(super) slots: Slots,
     /// The registered nodes and the leader.
@@ -123,7 +123,7 @@
 }
 
 impl App {
-    /// Creates the state of a node that starts. `peers` makes the port to other nodes from the metrics.
+    /// Creates the state of a node that starts. `peers` makes the port to other nodes.
     pub(super) fn new(
         settings: EntrySettings,
         ports: Ports,
@@ -246,7 +246,7 @@
 
     /// Returns how long a client that is refused now has to wait before it retries.
     pub fn retry_after(&self) -> Duration {
-        come_back(self.fallback_store.outage_duration(), self.draw())
+        retry_after(self.fallback_store.outage_duration(), self.draw())
     }
 
     /// Whether the node may send orders: more than half of the lease time remains since the last
@@ -257,7 +257,8 @@
     }
 
     /// Whether the term of this node as leader is certain to last: [`App::may_order`] holds, and no
-    /// newer leader is known. `fencing_token` is the revision of the leader key that began the term.
+    /// newer leader is known. `fencing_token` is the revision of the leader key that began the
+    /// term.
     pub(super) fn holds_term(&self, fencing_token: u64) -> bool {
         let seen = self.membership.lock().holder().map(|seen| seen.revision);
         self.may_order() && seen.is_none_or(|revision| revision <= fencing_token)
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -103,7 +103,7 @@
     /// Updates the plan of one service. True if it has changed.
     fn plan(&mut self, limits: &Autoscale) -> bool {
         let now = self.app.now();
-        let Some(wanted) = self.app.slot_load.lock().wanted(&limits.service, now) else {
+        let Some(wanted) = self.app.slot_load.lock().mean_slots(&limits.service, now) else {
             return false;
         };
         let (base, slots) = {
@@ -155,7 +155,7 @@
             if end == DutyOutcome::Refused
                 && let Some(planner) = self.planners.get_mut(&limits.service)
             {
-                planner.refused(zone, there.saturating_sub(base), sent_at);
+                planner.zone_refused(zone, there.saturating_sub(base), sent_at);
             }
         }
     }
@@ -167,7 +167,7 @@
         let Some(sent) = self.sent.get(&subject) else { return order.desired != there };
         let elapsed = self.app.now().saturating_sub(sent.sent_at);
         let unsent = sent.desired != order.desired || !sent.accepted;
-        unsent || (there != order.desired && elapsed > limits.boot + REORDER_DELAY)
+        unsent || (there != order.desired && elapsed > limits.boot_time + REORDER_DELAY)
     }
 
     /// Sends an order to the platform.
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -107,8 +107,8 @@
                 let _turn = uplink.lock().await;
                 tokio::time::sleep(Duration::from_micros(piece as u64 * 1_000_000 / rate)).await;
             };
-            tokio::time::timeout_at(started + transfer.due(), sent).await?;
-            transfer.come(piece, started.elapsed());
+            tokio::time::timeout_at(started + transfer.deadline(), sent).await?;
+            transfer.record_received(piece, started.elapsed());
             left -= piece;
         }
         Ok(())
@@ -154,13 +154,13 @@
                     let mut transfer = Transfer::new(timeout, pack(&request).unwrap().len());
                     let responder = PeerResponder::new(app);
                     let answer = tokio::time::timeout_at(
-                        started + transfer.due(),
+                        started + transfer.deadline(),
                         responder.answer(request),
                     );
                     let Ok(reply) = answer.await else { return Err(late) };
                     let carried = links.transmit(to, &reply, &mut transfer, started).await;
                     carried.map(|()| reply).map_err(|_| {
-                        links.given_up.lock().push(transfer.came());
+                        links.given_up.lock().push(transfer.received_bytes());
                         late
                     })
                 }
