--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -20,7 +20,8 @@
 /// How long another node may take with a call: its own call to the store may take a third of it,
 /// and a lease has to be renewed within two seconds.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a probe of the direct path may take, for the same reason.
+/// How long a probe of the direct path may take. The call may have to go through another node after
+/// it, and a lease has to be renewed within two seconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a call that began during an outage of the store may still take after its end.
 const RECOVERY_GRACE: Duration = Duration::from_millis(100);
@@ -33,13 +34,16 @@
 /// The store, reached directly or through another node. Clones share their state.
 #[derive(Debug, Clone)]
 pub(in crate::entry) struct FallbackStore {
+    /// The store, reached only directly.
     pub(super) direct: Arc<dyn Store>,
+    /// Requests to other entry nodes.
     peers: Arc<dyn Peers>,
     state: Arc<Mutex<State>>,
     /// Counts how often the store became unreachable on the direct path.
     disconnects: watch::Sender<u64>,
     /// Counts how often the store became reachable again.
     recoveries: watch::Sender<u64>,
+    /// The zero of the moments in `state`.
     started: Instant,
 }
 
@@ -49,6 +53,7 @@
 /// probe.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// What is known about the reachability of the store.
 #[derive(Debug)]
 struct State {
     /// Decides by which path calls are made.
@@ -91,6 +96,7 @@
 }
 
 impl FallbackStore {
+    /// Creates the store of a node that starts and knows only the seeds.
     pub(in crate::entry) fn new(
         direct: Arc<dyn Store>,
         peers: Arc<dyn Peers>,
@@ -167,8 +173,8 @@
             state.fallback.set_probe_interval(pace, rand::random());
         }
         state.nodes = nodes;
-        if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
-            state.nodes.swap(0, place);
+        if let Some(position) = state.nodes.iter().position(|n| Some(*n) == first) {
+            state.nodes.swap(0, position);
         }
     }
 
@@ -177,8 +183,8 @@
     ///
     /// # Errors
     ///
-    /// `Refused` if no node has made the call, `Unknown` if one may have made it, and `Compacted`
-    /// if the store no longer retains the revision.
+    /// For a call that is not repeatable, `Refused` if it was not made and `Unknown` if it may have
+    /// been made. `Compacted` if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
         direct: StoreFuture<T>,
@@ -322,8 +328,8 @@
         }
     }
 
-    /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
-    /// so it is given up [`RECOVERY_GRACE`] after that.
+    /// Awaits a direct call. A call that began during an outage gets no answer after its end
+    /// either, so it is given up [`RECOVERY_GRACE`] after that.
     async fn until_recovery<T>(&self, call: StoreFuture<T>) -> Result<T, StoreError> {
         let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
@@ -331,7 +337,7 @@
             () = async {
                 let _ = recoveries.changed().await;
                 tokio::time::sleep(RECOVERY_GRACE).await;
-            } => Err(StoreError::Unknown("no answer to a call that began before the store came back".to_owned())),
+            } => Err(StoreError::Unknown("no answer before the store came back".to_owned())),
         }
     }
 
@@ -343,7 +349,7 @@
             tokio::select! {
                 watched = watched => watched,
                 _ = disconnects.changed() => {
-                    Err(StoreError::Unknown("the store became unreachable during the watch".to_owned()))
+                    Err(StoreError::Unknown("the store became unreachable".to_owned()))
                 }
             }
         })
