--- a/src/decide/label.rs
+++ b/src/decide/label.rs
@@ -18,7 +18,7 @@
 
 /// A chunk arrived without a version, so the sample can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("token {at} has no certain weight version")]
+#[error("the weight version of token {at} is unknown")]
 pub struct Unlabelled {
     /// Index of the first such token.
     pub at: u32,
--- a/src/decide/scale/autoscale.rs
+++ b/src/decide/scale/autoscale.rs
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum AutoscaleFault {
     /// The minimum is larger than the maximum.
-    #[error("at least {0} and at most {1} replicas")]
+    #[error("the minimum of {0} replicas exceeds the maximum of {1}")]
     Limits(u32, u32),
     /// No availability zone has a price.
     #[error("no availability zone has a price")]
     NoZone,
     /// The price in an availability zone is negative or not finite.
-    #[error("the price in {0:?} is {1}")]
+    #[error("the price in availability zone {0:?} is {1}, expected a finite number of at least 0")]
     Price(Name, f64),
 }
 
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! The rule of adoption, without a network.
+//! Which bundle a node adopts, without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use standins::fleet::{Signers, bundle};
 
-/// Checked bundles by number and version, made once: signing is slow without optimisation.
+/// Verified bundles by number and version, created once: signing is slow without optimisation.
 static BUNDLES: LazyLock<BTreeMap<(u64, u64), Adopted>> = LazyLock::new(|| {
     let signers = Signers::default();
     let one = |(number, version)| {
@@ -23,8 +23,8 @@
     BUNDLES[&(number, version)].clone()
 }
 
-/// A node restarts; the platform answers with an older bundle than its peers have.
-/// Nothing is in force until the peers were asked, and then theirs is.
+/// A node restarts, and the platform answers with an older bundle than its peers have.
+/// No bundle is in force until the peers were asked, and then theirs is.
 #[test]
 fn the_platforms_older_answer_waits_for_the_peers() {
     let mut adoption = Adoption::default();
@@ -38,10 +38,10 @@
 }
 
 proptest! {
-    /// Bundles come from platform and peers in any order, doubled and late, some with
-    /// one number and different texts; the peers are asked at some point. In force is
-    /// what a reader of all offers says: none before, the greatest of all after; and
-    /// what comes into force only rises.
+    /// Bundles arrive from the platform and the peers in any order, repeated and late, some with
+    /// the same number and different texts; the peers are asked at some point. Before that no
+    /// bundle is in force, afterwards the greatest of all offers is, and the number in force
+    /// only grows.
     #[test]
     fn adoption_equals_the_greatest_offer(
         offers in proptest::collection::vec((1..6_u64, 1..3_u64), 0..16),
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! The shipped trainer client against a node that hands over what it should not.
+//! The trainer client against a node that hands over invalid groups.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -15,9 +15,9 @@
 use standins::fleet::ANY;
 use standins::server::{Answer, Cut, Server, Service, json as answer};
 
-/// A node that hands over one group in each pull, whatever the trainer has.
+/// A node that hands over one group in each pull, regardless of the groups that the trainer has.
 struct Node {
-    /// What the pulls bring, in their order; the last is repeated.
+    /// The groups that successive pulls return; the last one is repeated.
     pulls: Vec<Group>,
     pulled: AtomicU64,
     address: std::sync::OnceLock<std::net::SocketAddr>,
@@ -58,10 +58,11 @@
     Group { group: number, samples: (0..).zip(versions).map(sample).collect() }
 }
 
-/// The trainer moves on while the reply is on its way, a group comes with a sample missing, one
-/// comes a second time: each is dropped and counted, and what is fresh and whole is kept.
+/// The trainer's version advances while the reply is in transit, a group arrives with a sample
+/// missing, and one arrives twice: each is dropped and counted, and complete fresh groups are
+/// kept.
 #[tokio::test(flavor = "multi_thread")]
-async fn arrival_is_judged() {
+async fn invalid_groups_are_dropped_and_counted() {
     let pulls = vec![
         group(0, &[5, 3]),
         group(0, &[5]),
--- a/tests/leaving.rs
+++ b/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Upstream VMs that leave get no new work.
+//! Leaving upstream VMs get no new work.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
 
-/// A guard against a hang; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(120);
-const WAIT: Duration = Duration::from_secs(20);
+/// Time limit against a hang; no assertion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn open(node: &Node, name: &str) -> bool {
     let path = "/v1/state/upstreams";
     let all: Vec<UpstreamState> =
-        JsonClient::default().get(node.admin(), path, WAIT).await.unwrap();
+        JsonClient::default().get(node.admin(), path, REQUEST_TIMEOUT).await.unwrap();
     all.iter().any(|u| &*u.name == name && u.open)
 }
 
@@ -32,9 +32,9 @@
     }
 }
 
-/// Eleven nodes, eight of which read the list often. A VM leaves; then the list answers
-/// with its older state. Once the nodes know, the VM gets no call through any of them,
-/// also after the older answers; its next start gets calls again.
+/// Of eleven nodes, eight read the list often. A VM leaves; then the list answers
+/// with its older state. Once the nodes know of the departure, the VM gets no call through any
+/// of them, even after the older answers; its next incarnation gets calls again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_vm_gets_nothing_whatever_the_list_says_later() {
     let fleet = Fleet::spawn(11, 1, EngineSettings::default()).await.unwrap();
@@ -43,7 +43,7 @@
     let vm = leaving.iter_mut().find(|vm| &*vm.name == "stock-0").unwrap();
     vm.state = VmState::Leaving;
     fleet.platform.set_vms(leaving);
-    tokio::time::timeout(GUARD, until(&fleet, "stock-0", false)).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, until(&fleet, "stock-0", false)).await.unwrap();
     let before = fleet.stock[0].ledger().len();
 
     fleet.platform.set_vms(live.clone());
@@ -55,7 +55,7 @@
     for node in &fleet.nodes {
         let shop = Caller::new("shop".into(), vec![node.callers()]);
         for item in 0..4 {
-            shop.call("stock", &format!("/items/{item}"), "", None, WAIT).await.unwrap();
+            shop.call("stock", &format!("/items/{item}"), "", None, REQUEST_TIMEOUT).await.unwrap();
         }
     }
     assert_eq!(fleet.stock[0].ledger().len(), before);
@@ -74,42 +74,43 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(GUARD, again).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, again).await.unwrap();
 }
 
 proptest! {
-    /// Departures and lists come in any order, doubled and late: a start of a VM gets
-    /// work only if no departure of it or of a later start was ever heard.
+    /// Departures arrive in any order, repeated and late: an incarnation of a VM gets
+    /// work only if no departure of it or of a later one was ever received.
     #[test]
-    fn leaving_equals_the_whole_history(
-        heard in proptest::collection::vec((0..3_u8, 0..4_u64), 0..24),
+    fn departures_equal_the_full_history(
+        received in proptest::collection::vec((0..3_u8, 0..4_u64), 0..24),
     ) {
-        let mut leaving = Departures::default();
+        let mut departures = Departures::default();
         let mut all: BTreeMap<u8, Vec<u64>> = BTreeMap::new();
-        for (vm, incarnation) in heard {
+        for (vm, incarnation) in received {
             let departure = Departure { name: format!("vm-{vm}").into(), incarnation };
-            leaving.record(departure, Duration::ZERO);
+            departures.record(departure, Duration::ZERO);
             all.entry(vm).or_default().push(incarnation);
             for vm in 0..3_u8 {
-                for start in 0..5_u64 {
-                    let left = all.get(&vm).is_some_and(|l| l.iter().any(|d| *d >= start));
-                    prop_assert_eq!(leaving.admits(&format!("vm-{vm}"), start), !left);
+                for incarnation in 0..5_u64 {
+                    let left = all.get(&vm).is_some_and(|l| l.iter().any(|d| *d >= incarnation));
+                    prop_assert_eq!(departures.admits(&format!("vm-{vm}"), incarnation), !left);
                 }
             }
         }
     }
 }
 
-/// Departures are told a bounded number of times, in bounded messages.
+/// Departures are sent a bounded number of times, in bounded messages.
 #[test]
-fn telling_ends() {
-    let mut leaving = Departures::default();
+fn departures_are_sent_a_bounded_number_of_times() {
+    let mut departures = Departures::default();
     for vm in 0..300 {
         let departure = Departure { name: format!("vm-{vm}").into(), incarnation: 1 };
-        assert!(leaving.record(departure.clone(), Duration::ZERO));
-        assert!(!leaving.record(departure, Duration::ZERO));
+        assert!(departures.record(departure.clone(), Duration::ZERO));
+        assert!(!departures.record(departure, Duration::ZERO));
     }
-    let messages: Vec<_> = (0..500).map(|_| leaving.next_message(Duration::ZERO).len()).collect();
+    let messages: Vec<_> =
+        (0..500).map(|_| departures.next_message(Duration::ZERO).len()).collect();
     assert!(messages.iter().all(|m| *m <= 64));
     assert_eq!(messages.last(), Some(&0));
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Who gets an attempt: a burst, a slow replica, one that refuses, one that is gone.
+//! The choice of a replica: bursts, slow replicas, replicas that refuse, fail or leave.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use mulberrycourse::decide::{AttemptRequest, Fleet, ListedReplica, ReplicaOutcome};
 use mulberrycourse::edge::replica::{ReplicaLoad, Target};
 
-const S: &str = "engines";
+const SERVICE: &str = "engines";
 const NOW: Duration = Duration::from_secs(10);
 
 fn listed(id: &str, draining: bool, version: u64) -> ListedReplica {
@@ -19,7 +19,7 @@
             started_ms: None,
             address: SocketAddr::from(([10, 0, 0, 1], 1)),
         },
-        service: S.into(),
+        service: SERVICE.into(),
         zone: "z".into(),
         slots: 8,
         draining,
@@ -36,14 +36,14 @@
     fleet
 }
 
-fn wish(over: bool) -> AttemptRequest<'static> {
-    AttemptRequest { service: S, weights: None, avoid: &[], allow_full: over }
+fn request(over: bool) -> AttemptRequest<'static> {
+    AttemptRequest { service: SERVICE, weights: None, avoid: &[], allow_full: over }
 }
 
-/// Begins attempts until no place is free, and counts them by replica.
-fn burst(fleet: &mut Fleet, now: Duration) -> HashMap<Name, u32> {
+/// Begins attempts until no slot is free, and counts them by replica.
+fn fill(fleet: &mut Fleet, now: Duration) -> HashMap<Name, u32> {
     let mut counts = HashMap::new();
-    while let Some(target) = fleet.choose(&wish(false), now) {
+    while let Some(target) = fleet.choose(&request(false), now) {
         fleet.start_attempt(&target.id, NOW);
         *counts.entry(target.id).or_default() += 1;
     }
@@ -51,12 +51,12 @@
 }
 
 #[test]
-fn a_burst_fills_every_place_and_no_more() {
+fn a_burst_fills_every_slot_and_no_more() {
     let mut fleet = fleet(&["a", "b", "c"]);
-    let counts = burst(&mut fleet, NOW);
+    let counts = fill(&mut fleet, NOW);
     assert_eq!(counts.values().copied().collect::<Vec<u32>>(), [8, 8, 8]);
-    assert_eq!(fleet.free_slots(S, NOW), 0);
-    assert!(fleet.choose(&wish(true), NOW).is_some());
+    assert_eq!(fleet.free_slots(SERVICE, NOW), 0);
+    assert!(fleet.choose(&request(true), NOW).is_some());
 }
 
 #[test]
@@ -64,7 +64,7 @@
     let mut fleet = fleet(&["a", "b", "c"]);
     let mut counts: HashMap<Name, u32> = HashMap::new();
     for _ in 0..12 {
-        let target = fleet.choose(&wish(false), NOW).unwrap();
+        let target = fleet.choose(&request(false), NOW).unwrap();
         fleet.start_attempt(&target.id, NOW);
         *counts.entry(target.id).or_default() += 1;
     }
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_slow_replica_gets_less_and_its_runs_are_better_moved() {
+fn a_slow_replica_gets_fewer_attempts_and_its_runs_are_better_moved() {
     let mut fleet = fleet(&["a", "b", "c"]);
     for _ in 0..20 {
         for (id, millis) in [("a", 140), ("b", 35), ("c", 35)] {
@@ -85,70 +85,70 @@
     assert!(!fleet.has_faster_replica("b", None, 0.036, NOW));
     let mut slow = 0;
     for _ in 0..12 {
-        let target = fleet.choose(&wish(false), NOW).unwrap();
+        let target = fleet.choose(&request(false), NOW).unwrap();
         fleet.start_attempt(&target.id, NOW);
         slow += u32::from(&*target.id == "a");
     }
     assert!(slow <= 2, "{slow}");
-    burst(&mut fleet, NOW);
-    assert!(!fleet.has_faster_replica("a", None, 0.140, NOW), "nowhere to go");
+    fill(&mut fleet, NOW);
+    assert!(!fleet.has_faster_replica("a", None, 0.140, NOW), "no other replica has a free slot");
 }
 
 #[test]
-fn a_replica_that_leaves_gets_nothing() {
+fn a_draining_replica_gets_nothing() {
     let mut fleet = fleet(&["a", "b"]);
     assert!(fleet.upsert(listed("a", true, 1)));
     assert!(!fleet.accepts_work("a"));
-    assert!(burst(&mut fleet, NOW).keys().all(|id| &**id == "b"));
+    assert!(fill(&mut fleet, NOW).keys().all(|id| &**id == "b"));
     fleet.remove("b");
-    assert_eq!(fleet.choose(&wish(true), NOW), None);
+    assert_eq!(fleet.choose(&request(true), NOW), None);
 }
 
 #[test]
-fn weights_that_are_too_old_or_loading_are_passed_over() {
+fn replicas_with_old_or_loading_weights_are_passed_over() {
     let mut fleet = fleet(&["a", "b"]);
-    let wish = AttemptRequest { weights: Some(("m", 2)), ..wish(false) };
-    assert_eq!(fleet.choose(&wish, NOW), None);
+    let request = AttemptRequest { weights: Some(("m", 2)), ..request(false) };
+    assert_eq!(fleet.choose(&request, NOW), None);
     let b = listed("b", false, 1).target;
     fleet.raise_version(&b, "m", 2);
-    assert_eq!(&*fleet.choose(&wish, NOW).unwrap().id, "b");
+    assert_eq!(&*fleet.choose(&request, NOW).unwrap().id, "b");
     fleet.start_attempt("b", NOW);
     fleet.end_attempt("b", Some("m"), ReplicaOutcome::Loading, NOW);
-    assert_eq!(fleet.choose(&wish, NOW), None);
-    assert!(fleet.choose(&wish, NOW + Duration::from_secs(1)).is_some());
-    // The list lags: what was seen is not taken back by it.
+    assert_eq!(fleet.choose(&request, NOW), None);
+    assert!(fleet.choose(&request, NOW + Duration::from_secs(1)).is_some());
+    // The list lags: it does not lower a version that was seen.
     fleet.upsert(listed("b", false, 1));
-    assert!(fleet.choose(&wish, NOW + Duration::from_secs(1)).is_some());
+    assert!(fleet.choose(&request, NOW + Duration::from_secs(1)).is_some());
 }
 
 #[test]
-fn failing_replicas_are_left_out_but_never_most_of_them() {
+fn failing_replicas_are_excluded_but_never_most_of_them() {
     let mut fleet = fleet(&["a", "b", "c"]);
     for id in ["a", "b", "c"] {
         fleet.start_attempt(id, NOW);
         fleet.end_attempt(id, None, ReplicaOutcome::Unreachable, NOW);
     }
-    assert!(fleet.choose(&wish(true), NOW).is_some());
+    assert!(fleet.choose(&request(true), NOW).is_some());
     let mut fleet = self::fleet(&["a", "b", "c"]);
     fleet.start_attempt("a", NOW);
     fleet.end_attempt("a", None, ReplicaOutcome::Unreachable, NOW);
-    assert!(!burst(&mut fleet, NOW).contains_key("a"));
+    assert!(!fill(&mut fleet, NOW).contains_key("a"));
 }
 
 #[test]
-fn the_load_of_others_counts_and_fades() {
+fn the_load_of_other_nodes_counts_and_decays() {
     let mut fleet = fleet(&["a", "b"]);
     fleet.report_load("a", ReplicaLoad { running: 8, waiting: 4 }, NOW);
-    assert_eq!(&*fleet.choose(&wish(false), NOW).unwrap().id, "b");
-    assert_eq!(burst(&mut fleet, NOW).get("a"), None);
+    assert_eq!(&*fleet.choose(&request(false), NOW).unwrap().id, "b");
+    assert_eq!(fill(&mut fleet, NOW).get("a"), None);
     let later = NOW + Duration::from_secs(5);
-    assert!(fleet.choose(&wish(false), later).is_some());
+    assert!(fleet.choose(&request(false), later).is_some());
 }
 
-/// Guards: with a third of the replicas slow the mean of all paces rose so far that runs at
-/// half the usual pace stayed where they were (a text of 133 events took 11.0 s, not 5.5 s).
+/// Guards against comparing with the mean of all replicas: with a third of them slow it rose so far
+/// that runs at half the usual speed were not moved (a text of 133 events took 11.0 s, not 5.5 s).
 #[test]
-fn many_slow_replicas_do_not_hide_that_they_are_slow() {
+fn many_slow_replicas_still_count_as_slow() {
     let ids: Vec<String> = (0..12).map(|i| format!("r{i:02}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let mut fleet = fleet(&ids);
@@ -160,28 +160,28 @@
             fleet.record_event_interval(id, event, NOW);
         }
     }
-    assert!(fleet.has_faster_replica("r05", None, 0.082, NOW), "twice the usual time an event");
+    assert!(fleet.has_faster_replica("r05", None, 0.082, NOW), "twice the usual time per event");
     assert!(!fleet.has_faster_replica("r05", None, 0.050, NOW));
-    // Samples go where events come fast.
+    // Samples go to replicas with short event intervals.
     let weights = Some(("m", 1));
     for _ in 0..24 {
-        let wish = AttemptRequest { service: S, weights, avoid: &[], allow_full: false };
-        let target = fleet.choose(&wish, NOW).unwrap();
+        let request = AttemptRequest { service: SERVICE, weights, avoid: &[], allow_full: false };
+        let target = fleet.choose(&request, NOW).unwrap();
         assert!(&*target.id >= "r04", "{target:?}");
         fleet.start_attempt(&target.id, NOW);
     }
 }
 
-/// Guards: a replica that was back under its id at version 1 was believed to have the version of
-/// before: it got runs that it can't serve and was never ordered to load.
+/// Guards against keeping the known version of a replica that restarts under its id at version 1: it
+/// got runs that it could not serve and was never ordered to load.
 #[test]
-fn a_replica_that_starts_again_under_its_id_is_another() {
+fn a_replica_that_restarts_under_its_id_is_a_new_incarnation() {
     let at = |born, version| {
         let mut listed = listed("a", false, version);
         listed.target.started_ms = Some(born);
         listed
     };
-    let weights = AttemptRequest { weights: Some(("m", 5)), ..wish(false) };
+    let weights = AttemptRequest { weights: Some(("m", 5)), ..request(false) };
     let mut fleet = Fleet::new("z".into());
     fleet.upsert(at(100, 5));
     for _ in 0..3 {
@@ -189,61 +189,64 @@
         fleet.end_attempt("a", None, ReplicaOutcome::Failed, NOW);
     }
     fleet.start_attempt("a", NOW);
-    assert!(fleet.upsert(at(200, 1)), "a new incarnation is news");
+    assert!(fleet.upsert(at(200, 1)), "a new incarnation is a change");
     assert_eq!(fleet.choose(&weights, NOW), None, "it has version 1");
-    assert!(fleet.choose(&wish(false), NOW).is_some(), "failures of before are not its own");
-    // What comes later from the one before says nothing of this one.
+    assert!(
+        fleet.choose(&request(false), NOW).is_some(),
+        "failures of the former incarnation do not count"
+    );
+    // Later reports of the former incarnation do not affect this one.
     assert!(!fleet.upsert(at(100, 6)));
     fleet.raise_version(&at(100, 1).target, "m", 6);
     assert_eq!(fleet.choose(&weights, NOW), None);
     fleet.raise_version(&at(200, 1).target, "m", 5);
     assert!(fleet.choose(&weights, NOW).is_some());
-    // The attempt of before ends after the start and is counted once.
+    // The attempt at the former incarnation ends after the restart and counts once.
     fleet.end_attempt("a", None, ReplicaOutcome::Abandoned, NOW);
-    assert_eq!(fleet.free_slots(S, NOW), 8);
+    assert_eq!(fleet.free_slots(SERVICE, NOW), 8);
 }
 
-/// Load pattern: the steps of six trainers begin at once at six homes, before ten replicas with
-/// six places each. No home knows what the others send, but each replica tells its load as it
-/// answers; none may get more than a few texts beyond its places.
+/// Load pattern: the steps of six trainers begin at once at six nodes, with ten replicas of
+/// eight slots each. No node knows what the others send, but each replica reports its load as it
+/// answers; none may get more than a few texts beyond its slots.
 #[test]
-fn homes_that_begin_at_once_do_not_flood_the_replicas() {
+fn nodes_that_begin_at_once_do_not_flood_the_replicas() {
     let ids: Vec<String> = (0..10).map(|i| format!("r{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-    let mut homes: Vec<Fleet> = (0..6).map(|_| fleet(&ids)).collect();
-    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
+    let mut nodes: Vec<Fleet> = (0..6).map(|_| fleet(&ids)).collect();
+    let text = AttemptRequest { weights: Some(("m", 1)), ..request(false) };
     let mut arrived: HashMap<Name, u32> = HashMap::new();
     for turn in 0..20 {
         let now = NOW + Duration::from_millis(turn * 10);
         let mut sent = Vec::new();
-        for (home, fleet) in homes.iter_mut().enumerate() {
+        for (node, fleet) in nodes.iter_mut().enumerate() {
             while let Some(target) = fleet.choose(&text, now) {
                 fleet.start_attempt(&target.id, now);
                 *arrived.entry(target.id.clone()).or_default() += 1;
-                sent.push((home, target.id));
+                sent.push((node, target.id));
             }
         }
-        for (home, id) in sent {
+        for (node, id) in sent {
             let load = ReplicaLoad {
                 running: arrived[&id].min(8),
                 waiting: arrived[&id].saturating_sub(8),
             };
-            homes[home].report_load(&id, load, now + Duration::from_millis(5));
+            nodes[node].report_load(&id, load, now + Duration::from_millis(5));
         }
     }
     let (least, most) = (arrived.values().min().unwrap(), arrived.values().max().unwrap());
-    assert!(*least >= 8, "every place is taken within {arrived:?}");
+    assert!(*least >= 8, "every slot is taken within {arrived:?}");
     assert!(*most <= 8 + 6, "{arrived:?}");
 }
 
-/// A replica that answers without its load is filled by this node's own count.
+/// A replica that answers without reporting its load is filled by this node's own count.
 #[test]
-fn a_replica_that_does_not_tell_its_load_is_filled() {
+fn a_replica_that_does_not_report_its_load_is_filled() {
     let mut fleet = fleet(&["a"]);
-    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
+    let text = AttemptRequest { weights: Some(("m", 1)), ..request(false) };
     let target = fleet.choose(&text, NOW).unwrap();
     fleet.start_attempt(&target.id, NOW);
-    assert_eq!(fleet.choose(&text, NOW), None, "its first answer is awaited");
+    assert_eq!(fleet.choose(&text, NOW), None, "its first answer has not arrived");
     fleet.report_no_load("a");
     for _ in 1..8 {
         let target = fleet.choose(&text, NOW).unwrap();
@@ -252,14 +255,14 @@
     assert_eq!(fleet.choose(&text, NOW), None);
 }
 
-/// Load pattern: a step of thousands of texts begins before thousands of replicas. Each text
+/// Load pattern: a step of thousands of texts begins, with thousands of replicas. Each text
 /// goes to one that is idle, near and as fast as usual, and none of these gets two.
 #[test]
 fn a_large_step_is_spread_over_a_large_fleet() {
     let ids: Vec<String> = (0..3_000).map(|i| format!("r{i:04}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let mut fleet = fleet(&ids);
-    let text = AttemptRequest { weights: Some(("m", 1)), ..wish(false) };
+    let text = AttemptRequest { weights: Some(("m", 1)), ..request(false) };
     let mut chosen = std::collections::HashSet::new();
     for _ in 0..3_000 {
         let target = fleet.choose(&text, NOW).unwrap();
--- a/tests/job_order.rs
+++ b/tests/job_order.rs
@@ -11,17 +11,18 @@
     Some(name.into())
 }
 
-/// One organisation submits twenty jobs; each other one waits for one of them, not for all.
+/// One organisation submits twenty jobs; each other organisation waits for one of them, not for
+/// all.
 #[test]
 fn a_greedy_organisation_does_not_hold_up_the_others() {
     let mut order = JobOrder::default();
     let greedy: Vec<u64> = (0..20).map(|_| order.begin(owner("greedy"), 100)).collect();
     for other in ["a", "b", "c"] {
-        let turn = order.begin(owner(other), 100);
-        let before = greedy.iter().filter(|g| **g < turn).count();
+        let tag = order.begin(owner(other), 100);
+        let before = greedy.iter().filter(|g| **g < tag).count();
         assert_eq!(before, 1, "{other}");
     }
-    // Their next jobs take turns with its next ones.
+    // Their next jobs alternate with its next ones.
     let next = order.begin(owner("a"), 100);
     assert!(greedy[1] <= next && next < greedy[2], "{next}");
 }
@@ -37,12 +38,12 @@
 }
 
 #[test]
-fn an_organisation_that_was_away_has_no_credit() {
+fn an_idle_organisation_accumulates_no_credit() {
     let mut order = JobOrder::default();
     let first = order.begin(owner("a"), 100);
     let second = order.begin(owner("a"), 100);
     order.end(first);
-    // It stands where the home does, not at the beginning.
+    // Its job starts at the present virtual time, not at the beginning.
     let back = order.begin(owner("b"), 100);
     assert!(back >= second);
     order.end(second);
@@ -52,8 +53,8 @@
 }
 
 proptest! {
-    /// Jobs of one organisation keep their order, turns are unique, and one organisation alone
-    /// is served as they come.
+    /// Jobs of one organisation keep their order, start tags are unique, and the jobs of a single
+    /// organisation are served in order of arrival.
     #[test]
     fn jobs_of_one_organisation_keep_their_order(
         steps in prop::collection::vec((0..4_usize, 0..300_usize, any::<bool>()), 1..80),
@@ -62,16 +63,16 @@
         let mut open: BTreeMap<u64, usize> = BTreeMap::new();
         for (owner, samples, end) in steps {
             if end {
-                if let Some((turn, _)) = open.pop_first() {
-                    order.end(turn);
+                if let Some((tag, _)) = open.pop_first() {
+                    order.end(tag);
                 }
                 continue;
             }
             let name = (owner > 0).then(|| Name::from(format!("o{owner}")));
-            let turn = order.begin(name, samples);
+            let tag = order.begin(name, samples);
             let earlier = open.iter().filter(|(_, o)| **o == owner).map(|(t, _)| *t).max();
-            prop_assert!(earlier.is_none_or(|e| e < turn), "{turn} after {earlier:?}");
-            prop_assert!(open.insert(turn, owner).is_none());
+            prop_assert!(earlier.is_none_or(|e| e < tag), "{tag} after {earlier:?}");
+            prop_assert!(open.insert(tag, owner).is_none());
         }
     }
 }
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The state of a batch job at its home.
+//! The state of a batch job at the node that owns it.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -33,15 +33,15 @@
     })
 }
 
-/// More places than any step has samples.
-const ALL: usize = 10_000;
+/// More slots than any step has samples.
+const UNLIMITED_SLOTS: usize = 10_000;
 
 fn ids(job: &Job) -> Vec<Name> {
-    job.pending_items(ALL).iter().map(|i| i.id.clone()).collect()
+    job.pending_items(UNLIMITED_SLOTS).iter().map(|i| i.id.clone()).collect()
 }
 
 #[test]
-fn the_longest_are_begun_first() {
+fn the_longest_samples_begin_first() {
     let job = Job::new(spec(&[Some(10), Some(900), None, Some(50)]), Vec::new());
     assert_eq!(ids(&job).iter().map(|i| &**i).collect::<Vec<_>>(), ["i1", "i3", "i0", "i2"]);
 }
@@ -58,47 +58,48 @@
     Job::new(Arc::new(spec), Vec::new())
 }
 
-/// The groups that are whole at a time, and when all are, where so many samples run at once.
-fn play(order: Vec<Arc<ItemSpec>>, places: usize, by: u64) -> (usize, u64) {
-    let mut free = vec![0; places];
-    let mut whole: HashMap<Name, u64> = HashMap::new();
+/// Runs the samples in this order on `slots` slots. Returns how many groups are complete at the
+/// time `by`, and when all are.
+fn simulate(order: Vec<Arc<ItemSpec>>, slots: usize, by: u64) -> (usize, u64) {
+    let mut free = vec![0; slots];
+    let mut ends: HashMap<Name, u64> = HashMap::new();
     for item in order {
         let next = free.iter_mut().min().unwrap();
         *next += item.length_hint.unwrap();
-        let end = whole.entry(item.group.clone()).or_default();
+        let end = ends.entry(item.group.clone()).or_default();
         *end = (*end).max(*next);
     }
-    let last = whole.values().max().copied().unwrap();
-    (whole.values().filter(|end| **end <= by).count(), last)
+    let last = ends.values().max().copied().unwrap();
+    (ends.values().filter(|end| **end <= by).count(), last)
 }
 
-/// Load pattern: a step whose work is a quarter more than its places make in its time. Begun by
-/// length hardly a group is whole then.
+/// Load pattern: a step whose work is a quarter more than its slots can do in its time. If its
+/// samples began by length, hardly any group would be complete by then.
 #[test]
-fn a_step_that_is_late_brings_the_groups_that_fit() {
-    let (in_time, last) = play(step().pending_items(12), 12, 80);
+fn a_late_step_completes_the_groups_that_fit() {
+    let (in_time, last) = simulate(step().pending_items(12), 12, 80);
     assert!(last > 80, "the step is late: {last}");
     assert!(in_time >= 5, "{in_time} of 10 groups in time");
-    let (by_length, _) = play(step().pending_items(ALL), 12, 80);
+    let (by_length, _) = simulate(step().pending_items(UNLIMITED_SLOTS), 12, 80);
     assert!(by_length <= 2, "{by_length} of 10 groups in time");
 }
 
-/// Where there are places enough the long samples go first, and the step ends with them.
+/// With enough slots the long samples begin first, and the step ends with them.
 #[test]
-fn a_step_with_places_enough_ends_with_its_longest_samples() {
-    assert_eq!(play(step().pending_items(40), 40, 50), (10, 50));
+fn a_step_with_enough_slots_ends_with_its_longest_samples() {
+    assert_eq!(simulate(step().pending_items(40), 40, 50), (10, 50));
 }
 
 #[test]
-fn an_ended_job_has_nothing_to_do_and_takes_no_results() {
+fn an_ended_job_has_no_pending_items_and_ignores_results() {
     let mut job = Job::new(spec(&[None, None]), Vec::new());
     job.end();
-    assert!(job.pending_items(ALL).is_empty());
+    assert!(job.pending_items(UNLIMITED_SLOTS).is_empty());
     assert_eq!(job.finish("i0", ItemState::Dead), FinishEffect::Unwanted);
 }
 
 #[test]
-fn the_last_of_a_group_completes_it() {
+fn the_last_sample_of_a_group_completes_it() {
     let mut spec = JobSpec::clone(&spec(&[None, None, None]));
     let mut other = ItemSpec::clone(&spec.items[2]);
     other.group = "h".into();
@@ -111,7 +112,7 @@
 }
 
 proptest! {
-    /// Results are written in part, lost, and taken up by another home: no sample has two
+    /// Results are partly written, lost, or taken over by another node: no sample has two
     /// positions, and a position never changes.
     #[test]
     fn positions_never_change(
@@ -144,10 +145,10 @@
     }
 }
 
-/// Guards: all results of a step came at once after an outage, were larger than a value of
-/// the store may be, and were refused for good.
+/// Guards against writing all results of a step at once after an outage: they exceeded the maximum
+/// size of a value of the store, which refused every attempt.
 #[test]
-fn results_that_do_not_fit_one_value_are_written_in_turn() {
+fn results_that_exceed_one_value_are_written_in_batches() {
     let mut job = Job::new(spec(&[None; 6]), Vec::new());
     for i in 0..6 {
         let output = "x".repeat(1_000);
@@ -165,7 +166,7 @@
 }
 
 #[test]
-fn a_result_that_does_not_fit_is_tried_alone() {
+fn a_result_above_the_maximum_size_is_written_alone() {
     let mut job = Job::new(spec(&[None; 2]), Vec::new());
     job.finish("i0", ItemState::Dead);
     job.finish("i1", ItemState::Dead);
@@ -181,38 +182,39 @@
     Arc::new(spec)
 }
 
-/// Guards: results were written each tenth of a second from the first on, 20 writes a step,
-/// though a trainer goes on only with the groups that it wants.
+/// Guards against writing results every tenth of a second from the first one on, 20 writes a step,
+/// although a trainer continues only with the groups that it wants.
 #[test]
-fn results_are_awaited_once_nearly_all_wanted_groups_are_whole() {
+fn results_are_urgent_once_nearly_all_wanted_groups_are_complete() {
     let mut job = Job::new(in_groups(33, 4, 30), Vec::new());
-    let mut awaited_at = None;
+    let mut urgent_at = None;
     for i in 0..33 * 4 {
-        if job.is_urgent() && awaited_at.is_none() {
-            awaited_at = Some(i / 4);
+        if job.is_urgent() && urgent_at.is_none() {
+            urgent_at = Some(i / 4);
         }
         job.finish(&format!("i{i}"), ItemState::Dead);
     }
-    assert_eq!(awaited_at, Some(26));
+    assert_eq!(urgent_at, Some(26));
     assert!(job.all_finished() && job.is_urgent());
 }
 
 #[test]
-fn results_of_a_trainer_that_did_not_say_are_always_awaited() {
+fn results_are_always_urgent_if_the_number_of_wanted_groups_is_unknown() {
     assert!(Job::new(spec(&[None, None]), Vec::new()).is_urgent());
 }
 
 #[test]
-fn groups_that_lie_in_the_store_count_as_whole() {
+fn groups_in_the_store_count_as_complete() {
     let spec = in_groups(5, 2, 5);
     let listed = (0..6).map(|i| ItemResult { id: format!("i{i}").into(), state: ItemState::Dead });
     assert!(!Job::new(spec.clone(), Vec::new()).is_urgent());
     assert!(Job::new(spec, listed.map(Arc::new).collect()).is_urgent());
 }
 
-/// Submissions of earlier versions, which kept no organisation, or not the number of wanted groups either.
+/// Decodes submissions of earlier versions, which had no organisation, or also no number of wanted
+/// groups.
 #[test]
-fn a_submission_without_wanted_groups_is_read() {
+fn a_submission_without_added_fields_is_decoded() {
     let spec = JobSpec::clone(&spec(&[Some(3), None]));
     let mut bytes = bincode::serde::encode_to_vec(&spec, bincode::config::standard()).unwrap();
     assert_eq!(JobSpec::decode(bytes.clone()).unwrap(), spec);
--- a/tests/label.rs
+++ b/tests/label.rs
@@ -1,4 +1,4 @@
-//! Labels against a naive list with one entry a token.
+//! Compares labels with a naive list that has one entry per token.
 
 use mulberrycourse::decide::{Label, Span};
 use proptest::prelude::*;
@@ -18,10 +18,10 @@
 }
 
 proptest! {
-    /// Chunks of any size, with and without versions, in any order: the label is the list,
-    /// its spans are not empty and touch, and a token without a version spoils it.
+    /// For chunks of any size, with and without versions, the label equals the list, its spans are
+    /// adjacent and not empty, and a token without a version makes it fail.
     #[test]
-    fn label_is_the_list(
+    fn label_equals_the_list(
         chunks in prop::collection::vec((prop::option::weighted(0.97, 1_u64..4), 0_u32..5), 0..40),
     ) {
         let (mut label, mut naive) = (Label::default(), Naive::default());
@@ -38,8 +38,8 @@
                 prop_assert!(naive.0.iter().all(Option::is_some));
                 prop_assert_eq!(flat(&spans), naive.0);
                 prop_assert!(spans.iter().all(|s| s.from < s.to));
-                let touching = spans.windows(2).all(|w| w[0].to == w[1].from);
-                prop_assert!(touching);
+                let adjacent = spans.windows(2).all(|w| w[0].to == w[1].from);
+                prop_assert!(adjacent);
                 prop_assert!(spans.windows(2).all(|w| w[0].version != w[1].version));
             }
         }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership, without a network: tables that hand each other their messages.
+//! Membership, without a network: tables that pass messages to each other.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -10,7 +10,7 @@
 
 const ROUND: Duration = Duration::from_millis(500);
 
-fn news(name: &str, incarnation: u64) -> MemberRecord<u16> {
+fn record(name: &str, incarnation: u64) -> MemberRecord<u16> {
     MemberRecord {
         name: name.into(),
         incarnation,
@@ -26,7 +26,7 @@
     format!("n{index}").into()
 }
 
-/// Tables, and who can reach whom.
+/// A simulated network of tables, and which of them can reach each other.
 struct Net {
     tables: Vec<MemberTable<u16>>,
     frozen: Vec<bool>,
@@ -38,9 +38,9 @@
     /// Each node knows only the first one.
     fn new(size: usize) -> Self {
         let table = |i| {
-            let mut table = MemberTable::new(news(&name(i), 1), i as u64);
+            let mut table = MemberTable::new(record(&name(i), 1), i as u64);
             if i > 0 {
-                table.merge_record(news("n0", 1), Duration::ZERO);
+                table.merge_record(record("n0", 1), Duration::ZERO);
             }
             table
         };
@@ -81,11 +81,12 @@
         }
     }
 
+    /// Whether node `at` counts node `whom` as alive.
     fn sees(&self, at: usize, whom: usize) -> bool {
         self.tables[at].alive(self.now).any(|n| n.name == name(whom))
     }
 
-    /// Each of `at` sees each of `whom`, or none of them does.
+    /// Whether each of `at` counts each of `whom` as alive, or none does if `wanted` is false.
     fn all_see(&self, at: &[usize], whom: &[usize], wanted: bool) -> bool {
         let pairs = at.iter().flat_map(|a| whom.iter().map(move |w| (*a, *w)));
         pairs.filter(|(a, w)| a != w).all(|(a, w)| self.sees(a, w) == wanted)
@@ -96,7 +97,7 @@
     (from..to).collect()
 }
 
-/// Nodes that know one seed only all find each other; nobody is doubted for long.
+/// Nodes that know only one seed all find each other, and none is suspected for long.
 #[test]
 fn nodes_find_each_other_through_one_seed() {
     let mut net = Net::new(24);
@@ -106,10 +107,10 @@
     assert!(net.all_see(&range(0, 24), &range(0, 24), true));
 }
 
-/// A link is cut between two nodes that both live: each still hears the other
-/// through the rest, and counts it as alive at every moment.
+/// The link between two live nodes is cut: each still receives the heartbeat of the other
+/// through the other nodes, and counts it as alive at all times.
 #[test]
-fn a_node_that_others_hear_is_alive() {
+fn a_node_that_others_reach_is_alive() {
     let mut net = Net::new(7);
     net.run(Duration::from_secs(10));
     net.cut.push((1, 2));
@@ -119,10 +120,10 @@
     }
 }
 
-/// A node is frozen and thawed: the others count it out, and in again without a
-/// restart; the thawed node does not count out the others for its own pause.
+/// A node is frozen and resumes: the others count it as failed, and as alive again without a
+/// restart; the resumed node does not count the others as failed because of its own pause.
 #[test]
-fn a_frozen_node_goes_and_comes_back() {
+fn a_frozen_node_fails_and_recovers() {
     let mut net = Net::new(7);
     net.run(Duration::from_secs(10));
     net.frozen[3] = true;
@@ -135,20 +136,20 @@
     assert!(net.all_see(&range(0, 7), &range(0, 7), true));
 }
 
-/// A node of a large fleet is frozen for longer than any heartbeat may be old: when
-/// it goes on, it does not count out the others for its own pause.
+/// A node of a large fleet is frozen for longer than the maximum age of a heartbeat: when
+/// it resumes, it does not count the others as failed because of its own pause.
 #[test]
-fn a_thawed_node_does_not_judge_its_own_pause() {
-    let mut table = MemberTable::new(news("a", 1), 1);
+fn a_resumed_node_does_not_suspect_others_for_its_own_pause() {
+    let mut table = MemberTable::new(record("a", 1), 1);
     table.begin_round(Duration::from_secs(1));
-    (0..300).for_each(|i| table.load_record(news(&name(i), 1), Duration::from_secs(1)));
-    let thawed = Duration::from_secs(300);
-    table.begin_round(thawed);
-    assert!(table.view(thawed).all(|(_, standing)| standing == Liveness::Alive));
+    (0..300).for_each(|i| table.load_record(record(&name(i), 1), Duration::from_secs(1)));
+    let resumed = Duration::from_secs(300);
+    table.begin_round(resumed);
+    assert!(table.view(resumed).all(|(_, liveness)| liveness == Liveness::Alive));
 }
 
-/// A zone is cut off for an hour: each side counts the other out, keeps its own,
-/// and both find each other again when the cut heals.
+/// A zone is cut off for an hour: each side counts the other as failed and its own nodes as
+/// alive, and both find each other again when the partition heals.
 #[test]
 fn a_partition_of_an_hour_heals() {
     let mut net = Net::new(12);
@@ -165,85 +166,91 @@
     assert!(net.all_see(&range(0, 12), &range(0, 12), true));
 }
 
-/// A node is replaced by one of the same name: news of the old start change
-/// nothing, whatever the order in which they come.
+/// A node is replaced by one of the same name: records of the old incarnation change
+/// nothing, whatever the order in which they arrive.
 #[test]
-fn a_later_start_replaces_an_earlier_one() {
-    let mut table = MemberTable::new(news("a", 1), 1);
-    let old =
-        MemberRecord { state: NodeState::Draining, heartbeat: 99, suspected: true, ..news("b", 5) };
-    let new = news("b", 6);
+fn a_later_incarnation_replaces_an_earlier_one() {
+    let mut table = MemberTable::new(record("a", 1), 1);
+    let old = MemberRecord {
+        state: NodeState::Draining,
+        heartbeat: 99,
+        suspected: true,
+        ..record("b", 5)
+    };
+    let new = record("b", 6);
     for order in [[&old, &new], [&new, &old]] {
-        for news in order {
-            table.merge_record(news.clone(), ROUND);
+        for record in order {
+            table.merge_record(record.clone(), ROUND);
         }
         let seen = table.get("b").unwrap();
         assert_eq!((seen.incarnation, seen.state, seen.suspected), (6, NodeState::Serving, false));
     }
 }
 
-/// The clock went back between two starts of a node, so that its own older start
-/// looks later: it outbids it and is seen.
+/// The clock went back between two starts of a node, so that its earlier incarnation has the
+/// higher number: the node takes a number above that one and counts as alive.
 #[test]
-fn a_start_with_an_older_clock_outbids_the_former() {
+fn a_restart_with_an_older_clock_takes_a_higher_incarnation() {
     let mut net = Net::new(3);
     net.run(Duration::from_secs(5));
-    net.tables[2] = MemberTable::new(news("n2", 0), 9);
-    net.tables[2].merge_record(news("n0", 1), net.now);
+    net.tables[2] = MemberTable::new(record("n2", 0), 9);
+    net.tables[2].merge_record(record("n0", 1), net.now);
     net.run(Duration::from_secs(10));
     assert!(net.tables[0].get("n2").unwrap().incarnation > 1);
     assert!(net.all_see(&range(0, 3), &range(0, 3), true));
 }
 
-/// A node says that it drains: all know it after a few rounds, and old news of
-/// its serving do not bring it back.
-/// A node counted another as starting for six minutes, to the end of the test, while all others
-/// saw it serve; seen once, in `frozen_home_is_fenced` on a busy machine. That it serves is told in
-/// a bounded number of messages; all of them to this node were lost, and what went on, its
-/// heartbeats, kept it alive as what it had been.
+/// Guards against a lost change of state. A node counted another as starting for six minutes, to
+/// the end of the test, while all others saw it serve; this happened once, in
+/// `frozen_home_is_fenced` on a busy machine. The records with the change are sent in a bounded
+/// number of messages; all of them to this node were lost, and the heartbeats, which went on, kept
+/// the other alive in its old state.
 #[test]
-fn a_change_of_state_is_learnt_though_all_news_of_it_are_lost() {
-    let mut a = MemberTable::new(MemberRecord { state: NodeState::Starting, ..news("a", 1) }, 1);
-    let mut b = MemberTable::new(news("b", 1), 2);
+fn a_change_of_state_is_learnt_from_heartbeats_if_all_records_of_it_are_lost() {
+    let mut a = MemberTable::new(MemberRecord { state: NodeState::Starting, ..record("a", 1) }, 1);
+    let mut b = MemberTable::new(record("b", 1), 2);
     b.load_record(a.own().clone(), Duration::ZERO);
     assert!(a.set_state(NodeState::Serving));
     for _ in 0..100 {
         drop(a.next_message(&[]));
     }
     a.begin_round(ROUND);
-    assert!(b.receive(a.next_message(&[]), ROUND).changed, "it is passed on");
+    assert!(b.receive(a.next_message(&[]), ROUND).changed, "the change is passed on");
     assert_eq!(b.get("a").unwrap().state, NodeState::Serving);
 }
 
+/// A node drains: all others know it after a few rounds, and an old record of
+/// its serving state does not change that.
 #[test]
 fn a_draining_node_stays_draining() {
     let mut net = Net::new(12);
     net.run(Duration::from_secs(10));
     net.tables[5].set_state(NodeState::Draining);
     net.run(Duration::from_secs(6));
-    net.tables[0].merge_record(news("n5", 1), net.now);
+    net.tables[0].merge_record(record("n5", 1), net.now);
     let states = net.tables.iter().filter_map(|t| t.get("n5")).map(|n| n.state);
     assert!(states.into_iter().all(|s| s == NodeState::Draining));
 }
 
-/// A doubt about a heartbeat that is not the last one known is answered, not believed.
+/// A suspicion about a heartbeat that is not the last one known is refuted.
 #[test]
-fn an_old_doubt_is_answered() {
-    let mut table = MemberTable::new(news("a", 1), 1);
-    table.merge_record(MemberRecord { heartbeat: 9, ..news("b", 1) }, ROUND);
+fn an_old_suspicion_is_refuted() {
+    let mut table = MemberTable::new(record("a", 1), 1);
+    table.merge_record(MemberRecord { heartbeat: 9, ..record("b", 1) }, ROUND);
     while !table.next_message(&[]).records.is_empty() {}
-    table.merge_record(MemberRecord { heartbeat: 8, suspected: true, ..news("b", 1) }, ROUND);
-    assert!(table.view(ROUND).all(|(_, standing)| standing == Liveness::Alive));
-    let answer = table.next_message(&[]).records;
-    assert_eq!(answer[0].heartbeat, 9);
+    table.merge_record(MemberRecord { heartbeat: 8, suspected: true, ..record("b", 1) }, ROUND);
+    assert!(table.view(ROUND).all(|(_, liveness)| liveness == Liveness::Alive));
+    let refutation = table.next_message(&[]).records;
+    assert_eq!(refutation[0].heartbeat, 9);
 }
 
-/// A message stays small whatever the number of nodes, and its news run out.
+/// A message stays small whatever the number of nodes, and records are sent a bounded number of
+/// times.
 #[test]
 fn messages_are_bounded() {
-    let mut table = MemberTable::new(news("a", 1), 1);
+    let mut table = MemberTable::new(record("a", 1), 1);
     (0..1024).for_each(|i| {
-        table.merge_record(news(&name(i), 1), ROUND);
+        table.merge_record(record(&name(i), 1), ROUND);
     });
     let message = table.next_message(&[1; 400]);
     assert!(
@@ -253,11 +260,11 @@
     assert!(until.is_some());
 }
 
-/// What a node hears, in any order.
+/// What happens at a node, in any order.
 #[derive(Debug, Clone)]
 enum Step {
-    Learn(MemberRecord<u16>),
-    Miss(u8),
+    Merge(MemberRecord<u16>),
+    Unreachable(u8),
     Wait(u16),
 }
 
@@ -270,65 +277,67 @@
     ];
     let learn = (0..3_u8, 0..3_u64, state, 0..4_u32, any::<bool>());
     prop_oneof![
-        4 => learn.prop_map(|(n, incarnation, state, beat, doubted)| {
+        4 => learn.prop_map(|(n, incarnation, state, heartbeat, suspected)| {
             let name = name(n.into());
-            Step::Learn(MemberRecord { state, heartbeat: beat, suspected: doubted, ..news(&name, incarnation) })
+            Step::Merge(MemberRecord { state, heartbeat, suspected, ..record(&name, incarnation) })
         }),
-        1 => (0..3_u8).prop_map(Step::Miss),
+        1 => (0..3_u8).prop_map(Step::Unreachable),
         1 => (0..3000_u16).prop_map(Step::Wait),
     ]
 }
 
-/// The obvious version: all that was ever heard is kept, and read from the start.
+/// A naive table: keeps every record ever received, and computes the result from all of them.
 #[derive(Default)]
 struct Naive {
-    heard: Vec<(MemberRecord<u16>, Duration)>,
+    received: Vec<(MemberRecord<u16>, Duration)>,
 }
 
 impl Naive {
     fn read(&self, name: &str, now: Duration) -> Option<(u64, NodeState, u32, bool)> {
-        let of = || self.heard.iter().filter(|(n, _)| &*n.name == name);
+        let of = || self.received.iter().filter(|(n, _)| &*n.name == name);
         let incarnation = of().map(|(n, _)| n.incarnation).max()?;
         let last = || of().filter(move |(n, _)| n.incarnation == incarnation);
         let state = last().map(|(n, _)| n.state).max()?;
-        let beat = last().map(|(n, _)| n.heartbeat).max()?;
-        let doubt =
-            last().filter(|(n, _)| n.suspected && n.heartbeat == beat).map(|(_, at)| *at).min();
-        let silent = doubt.is_some_and(|at| now - at >= Duration::from_secs(4));
-        Some((incarnation, state, beat, silent))
+        let heartbeat = last().map(|(n, _)| n.heartbeat).max()?;
+        let suspicion = last()
+            .filter(|(n, _)| n.suspected && n.heartbeat == heartbeat)
+            .map(|(_, at)| *at)
+            .min();
+        let failed = suspicion.is_some_and(|at| now - at >= Duration::from_secs(4));
+        Some((incarnation, state, heartbeat, failed))
     }
 }
 
 proptest! {
-    /// News come in any order, doubled, with contacts that fail in between: the
-    /// table says what a reader of the whole history says.
+    /// Records arrive in any order, repeated, with failed contacts in between: the
+    /// table equals one that is computed from the full history.
     #[test]
-    fn table_equals_the_whole_history(steps in proptest::collection::vec(step(), 0..60)) {
-        let mut table = MemberTable::new(news("own", 1), 1);
+    fn table_equals_the_full_history(steps in proptest::collection::vec(step(), 0..60)) {
+        let mut table = MemberTable::new(record("own", 1), 1);
         let mut naive = Naive::default();
         let mut now = Duration::from_secs(1);
         for step in steps {
             match step {
-                Step::Learn(news) => {
-                    // A stopped node is past doubt.
+                Step::Merge(record) => {
+                    // A stopped node is never suspected.
                     let stopped = naive
-                        .read(&news.name, now)
-                        .is_some_and(|s| s.0 == news.incarnation && s.1 == NodeState::Gone);
-                    let news = MemberRecord {
-                        suspected: news.suspected && !stopped && news.state != NodeState::Gone,
-                        ..news
+                        .read(&record.name, now)
+                        .is_some_and(|s| s.0 == record.incarnation && s.1 == NodeState::Gone);
+                    let record = MemberRecord {
+                        suspected: record.suspected && !stopped && record.state != NodeState::Gone,
+                        ..record
                     };
-                    naive.heard.push((news.clone(), now));
-                    table.merge_record(news, now);
+                    naive.received.push((record.clone(), now));
+                    table.merge_record(record, now);
                 }
-                Step::Miss(n) => {
+                Step::Unreachable(n) => {
                     let name = name(n.into());
                     table.report_unreachable(&name, now);
-                    if let Some((incarnation, state, beat, _)) = naive.read(&name, now)
+                    if let Some((incarnation, state, heartbeat, _)) = naive.read(&name, now)
                         && state != NodeState::Gone
                     {
-                        let doubt = MemberRecord { state, heartbeat: beat, suspected: true, ..news(&name, incarnation) };
-                        naive.heard.push((doubt, now));
+                        let suspicion = MemberRecord { state, heartbeat, suspected: true, ..record(&name, incarnation) };
+                        naive.received.push((suspicion, now));
                     }
                 }
                 Step::Wait(ms) => now += Duration::from_millis(ms.into()),
@@ -336,8 +345,8 @@
             let seen: BTreeMap<Name, _> = table
                 .view(now)
                 .map(|(n, s)| {
-                    let silent = s == Liveness::Failed;
-                    (n.name.clone(), (n.incarnation, n.state, n.heartbeat, silent))
+                    let failed = s == Liveness::Failed;
+                    (n.name.clone(), (n.incarnation, n.state, n.heartbeat, failed))
                 })
                 .collect();
             for n in 0..3 {
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations and the jobs that are theirs.
+//! Organisations, their keys and the ids of their jobs.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::{
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_at_one_organisation_is_no_fault() {
+fn a_key_listed_twice_for_one_organisation_is_no_fault() {
     let (organisations, faults) =
         Organisations::new(vec![organisation("a", &["k", "k"]), organisation("a", &["l"])]);
     assert_eq!(faults, []);
@@ -33,12 +33,12 @@
 }
 
 #[test]
-fn a_digest_shows_nothing_of_its_key() {
+fn the_debug_output_of_a_digest_does_not_reveal_the_key() {
     assert_eq!(format!("{:?}", KeyDigest::of(b"secret")), "KeyDigest");
 }
 
 #[test]
-fn a_job_fits_a_key_of_the_store_whatever_its_organisation_is_called() {
+fn a_job_id_fits_a_key_of_the_store_for_any_organisation_name() {
     for length in [1, 40, 41, 5_000] {
         let name = "%".repeat(length);
         let id = Caller::Organisation(name.as_str().into()).job_id("7c41e09b52d6a3f8");
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! The choice of a request's route and service.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
--- a/tests/waiting.rs
+++ b/tests/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Who waits for a place at a replica, played without a network.
+//! Samples that wait for a slot at a replica, simulated without a network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,8 +10,8 @@
 
 const NOW: Duration = Duration::from_secs(100);
 const SLOTS: u32 = 6;
-/// How long an answer's head takes.
-const HEAD: u64 = 15;
+/// Time from the start of an attempt to its response head.
+const HEAD_MS: u64 = 15;
 
 fn fleet(replicas: usize, model: impl Fn(usize) -> &'static str) -> Fleet {
     let mut fleet = Fleet::new("z".into());
@@ -30,7 +30,7 @@
     fleet
 }
 
-fn want(model: &'static str) -> SlotRequest {
+fn request(model: &'static str) -> SlotRequest {
     SlotRequest {
         service: "engines".into(),
         model: Some(model.into()),
@@ -39,33 +39,33 @@
     }
 }
 
-/// One millisecond after the other: heads that are due tell the load, of which others have a
-/// part, and every `look` milliseconds all that wait are gone through. Returns how many
-/// milliseconds it took until so many texts had begun.
-fn begun_after(texts: u64, enough: usize, look: u64, heads: bool) -> u64 {
+/// Simulates one millisecond after the other: response heads that are due report the load, a part
+/// of which is due to other nodes, and every `period` milliseconds all waiting texts are checked.
+/// Returns how many milliseconds it took until `enough` texts had begun.
+fn begun_after(texts: u64, enough: usize, period: u64, heads: bool) -> u64 {
     let mut fleet = fleet(10, |_| "m");
     let mut waiting: SlotQueue<u64> = SlotQueue::default();
-    (0..texts).for_each(|i| waiting.add((1, 0, i), want("m"), i));
+    (0..texts).for_each(|i| waiting.add((1, 0, i), request("m"), i));
     let mut due: BTreeMap<u64, Vec<Name>> = BTreeMap::new();
     let mut running: BTreeMap<Name, u32> = BTreeMap::new();
     let mut begun = 0;
     for millis in 0..10_000 {
         let now = NOW + Duration::from_millis(millis);
-        let mut given = Vec::new();
+        let mut assigned = Vec::new();
         for id in due.remove(&millis).unwrap_or_default() {
-            // Other homes have two texts there.
+            // Other nodes have two texts there.
             fleet.report_load(&id, ReplicaLoad { running: running[&id] + 2, waiting: 0 }, now);
             if heads {
-                given.extend(waiting.assign_at(&id, &mut fleet, now));
+                assigned.extend(waiting.assign_at(&id, &mut fleet, now));
             }
         }
-        if millis % look == 0 {
-            given.extend(waiting.assign_all(&mut fleet, now));
+        if millis % period == 0 {
+            assigned.extend(waiting.assign_all(&mut fleet, now));
         }
-        for (_, target) in given {
+        for (_, target) in assigned {
             begun += 1;
             *running.entry(target.id.clone()).or_default() += 1;
-            due.entry(millis + HEAD).or_default().push(target.id);
+            due.entry(millis + HEAD_MS).or_default().push(target.id);
         }
         if begun >= enough {
             return millis;
@@ -74,25 +74,25 @@
     panic!("{begun} of {texts} begun")
 }
 
-/// A step of 80 texts before ten replicas of six places, of which other homes use two. Each
-/// replica gets a text at a time, and the next once it has told its load. Looked at each 50 ms
-/// alone, the fourth text at each began after 150 ms; a head every 15 ms lets it begin after 45.
+/// A step of 80 texts at ten replicas of six slots, of which other nodes use two. Each replica gets
+/// one text at a time, and the next one once it has reported its load. With a check every 50 ms
+/// alone, the fourth text at each began after 150 ms; with a head every 15 ms it begins after 45.
 #[test]
-fn a_head_opens_a_place_at_once() {
-    assert_eq!(begun_after(80, 40, 50, true), 3 * HEAD);
+fn a_response_head_frees_a_slot_at_once() {
+    assert_eq!(begun_after(80, 40, 50, true), 3 * HEAD_MS);
     assert!(begun_after(80, 40, 50, false) >= 150);
 }
 
 #[test]
-fn a_replica_is_offered_to_the_first_that_it_serves() {
+fn a_replica_is_offered_to_the_first_sample_that_it_serves() {
     let mut fleet = fleet(2, |i| if i == 0 { "a" } else { "b" });
     let mut waiting = SlotQueue::default();
-    waiting.add((2, 0, 0), want("a"), "late a");
-    waiting.add((1, 0, 0), want("b"), "first b");
-    waiting.add((1, 5, 0), want("a"), "first a");
-    let given = waiting.assign_at("r0000", &mut fleet, NOW);
-    let given: Vec<&str> = given.into_iter().map(|(name, _)| name).collect();
-    assert_eq!(given, ["first a"], "the next one waits for word of the load");
+    waiting.add((2, 0, 0), request("a"), "late a");
+    waiting.add((1, 0, 0), request("b"), "first b");
+    waiting.add((1, 5, 0), request("a"), "first a");
+    let assigned = waiting.assign_at("r0000", &mut fleet, NOW);
+    let assigned: Vec<&str> = assigned.into_iter().map(|(name, _)| name).collect();
+    assert_eq!(assigned, ["first a"], "the next one waits for a report of the load");
     assert!(waiting.assign_at("gone", &mut fleet, NOW).is_empty());
     assert_eq!(waiting.assign_all(&mut fleet, NOW).len(), 1);
     waiting.remove((2, 0, 0), &"engines".into(), &Some("a".into()));
@@ -103,16 +103,16 @@
 fn a_replica_that_failed_a_text_is_not_offered_to_it() {
     let mut fleet = fleet(1, |_| "m");
     let mut waiting = SlotQueue::default();
-    waiting.add((1, 0, 0), SlotRequest { avoid: vec!["r0000".into()], ..want("m") }, 0);
+    waiting.add((1, 0, 0), SlotRequest { avoid: vec!["r0000".into()], ..request("m") }, 0);
     assert!(waiting.assign_at("r0000", &mut fleet, NOW).is_empty());
     assert!(!waiting.is_empty());
 }
 
 proptest! {
-    /// Whatever comes in whatever order: nobody gets two places, no replica gets more than it
-    /// has, and of one kind nobody passes one that came before.
+    /// For any sequence of events, no sample gets two slots, no replica gets more texts than it
+    /// has slots, and no sample overtakes an earlier one of its kind.
     #[test]
-    fn places_are_given_once_and_in_turn(
+    fn slots_are_assigned_once_and_in_order(
         steps in prop::collection::vec((0_u8..5, 0_usize..4, 0_u64..30), 1..200),
     ) {
         let models = ["a", "b"];
@@ -125,10 +125,10 @@
             let now = NOW + Duration::from_millis(tick as u64 * 10);
             let id = format!("r{replica:04}");
             let kind = replica % 2;
-            let given = match step {
+            let assigned = match step {
                 0 | 1 => {
                     if !served.contains(&(kind, index)) && open.insert((kind, index)) {
-                        waiting.add((1, 0, index), want(models[kind]), (kind, index));
+                        waiting.add((1, 0, index), request(models[kind]), (kind, index));
                     }
                     Vec::new()
                 }
@@ -148,7 +148,7 @@
                 }
                 _ => waiting.assign_all(&mut fleet, now),
             };
-            for ((kind, index), target) in given {
+            for ((kind, index), target) in assigned {
                 prop_assert!(open.remove(&(kind, index)));
                 prop_assert!(served.insert((kind, index)));
                 prop_assert!(!open.iter().any(|(k, i)| *k == kind && *i < index));
--- a/tests/step.rs
+++ b/tests/step.rs
@@ -1,4 +1,4 @@
-//! A trainer's step, without sockets.
+//! A trainer's step, without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
     Sample { index, text: "ace".to_owned(), label, upstream: "patter-0".into() }
 }
 
-/// A trainer claims groups that the step does not have: the step is not whole for that.
+/// A trainer acknowledges groups that the step does not have: this does not complete the step.
 #[test]
 fn unknown_groups_complete_nothing() {
     let mut step = step(2, 1, 1);
@@ -27,9 +27,10 @@
     assert_eq!(step.start(usize::MAX).len(), 2);
 }
 
-/// The trainer moves on between two deliveries: what was fresh is taken back and begun again.
+/// The trainer's version advances between two deliveries: a sample that has become stale is
+/// withdrawn and begins again.
 #[test]
-fn second_delivery_is_judged_again() {
+fn second_delivery_is_checked_again() {
     let mut step = step(1, 1, 1);
     let slot = Slot { group: 0, index: 0 };
     assert_eq!(step.start(usize::MAX), [slot]);
@@ -41,9 +42,9 @@
     assert_eq!(step.start(usize::MAX), [slot]);
 }
 
-/// The trainer moves on while a sample is under way.
+/// The trainer's version advances while a sample runs.
 #[test]
-fn sample_is_judged_as_it_arrives() {
+fn sample_is_checked_as_it_arrives() {
     let mut step = step(1, 2, 1);
     step.start(usize::MAX);
     step.acknowledge(7, &Ranges::from_iter([]));
@@ -52,7 +53,8 @@
     assert_eq!(step.fill(slot, sample(0, 6)), FillOutcome::Kept);
 }
 
-/// Long samples begin first, and a group together; the last of a group is raised.
+/// Long samples begin first, and the samples of a group together; the last sample of a group gets a
+/// raised priority.
 #[test]
 fn long_prompts_begin_first() {
     let prompt = |max_tokens| GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens };
@@ -63,18 +65,18 @@
     assert_eq!(step.start(5), []);
     assert_eq!(step.priority(Slot { group: 1, index: 0 }), 0);
     assert_eq!(step.start(6).len(), 1);
-    // Nothing is left to begin: what runs now is what the trainer waits for.
+    // No sample is left to begin: the trainer waits for the running ones.
     assert_eq!(step.priority(Slot { group: 1, index: 0 }), 1);
 }
 
-/// What may happen to a step, and to the naive one.
+/// What may happen to a step.
 #[derive(Debug, Clone)]
 enum Event {
-    /// The oldest of these attempts ends, with a sample of that version.
+    /// The attempt with this index ends, with a sample of this version.
     Fill(usize, u64),
-    /// The trainer is at this version and takes so many of the groups that it is handed.
+    /// The trainer is at this version and takes up to this many complete groups.
     Pull(u64, usize),
-    /// The step goes on at another node, which is told what the trainer has.
+    /// The step moves to another node, which learns the groups that the trainer has.
     Move,
 }
 
@@ -87,11 +89,11 @@
 }
 
 proptest! {
-    /// Any order of ends, pulls, versions and moves, against a naive trainer that keeps a list:
-    /// nothing is handed over that it has, that is too old or that is not whole; what it takes
-    /// stays taken; and what is left can always be begun or is under way.
+    /// Any order of ends, pulls, versions and moves, with a naive trainer that keeps a list: no
+    /// group is handed over that it has, that is too old or that is incomplete; groups that it
+    /// has taken stay taken; and the samples that are left can always begin or are running.
     #[test]
-    fn step_against_a_naive_trainer(events in prop::collection::vec(event(), 1..80)) {
+    fn step_with_a_naive_trainer(events in prop::collection::vec(event(), 1..80)) {
         const BOUND: u64 = 2;
         let (groups, samples) = (3, 2);
         let mut step = step(groups, samples, BOUND);
@@ -148,9 +150,9 @@
         }
     }
 
-    /// Ranges name what a list would, below the number of groups.
+    /// Ranges contain the same numbers as a list, below the number of groups.
     #[test]
-    fn ranges_are_the_list(numbers in prop::collection::btree_set(0_u32..40, 0..30), end in 0_u32..50) {
+    fn ranges_equal_the_list(numbers in prop::collection::btree_set(0_u32..40, 0..30), end in 0_u32..50) {
         let ranges: Ranges = numbers.iter().copied().collect();
         let below: Vec<u32> = ranges.below(end).collect();
         let naive: Vec<u32> = numbers.iter().copied().filter(|n| *n < end).collect();
@@ -158,8 +160,8 @@
     }
 }
 
-/// A whole training session, event by event: a step of two groups with stragglers, a trainer
-/// that moves on in the middle, a lost reply, a late sample and a move to another node.
+/// A complete training session, event by event: a step of two groups with late samples, a trainer
+/// whose version advances in the middle, a lost reply, a late sample and a move to another node.
 #[test]
 fn training_session() {
     let mut log = String::new();
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -1,4 +1,4 @@
-//! The text of a sample: whole and labelled, whatever way its bytes come and its runs end.
+//! The text of a sample: complete and labelled, however its bytes are split and its runs end.
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
@@ -36,7 +36,7 @@
 
 proptest! {
     #[test]
-    fn cuts_between_bytes_change_nothing(cuts in proptest::collection::vec(0_usize..400, 0..9)) {
+    fn splitting_the_bytes_changes_nothing(cuts in proptest::collection::vec(0_usize..400, 0..9)) {
         let wire = stream(12, Some(5));
         let events = read(&wire, &cuts);
         prop_assert_eq!(events.len(), 12);
@@ -45,16 +45,16 @@
         prop_assert_eq!(raw, wire.into_bytes());
     }
 
-    /// Writes of a growing text may be lost or made again, and the text may be begun anew in
-    /// between: what is put together from those that lie there is a true beginning of a text.
+    /// Writes of a growing text may be lost or repeated, and the text may be restarted in
+    /// between: the text rebuilt from the stored parts is always a prefix of the true text.
     #[test]
-    fn kept_growth_is_always_a_true_beginning(
+    fn the_rebuilt_text_is_always_a_prefix(
         steps in proptest::collection::vec((0_u8..4, 1_usize..4), 1..30),
     ) {
         let mut text = SampleText::default();
         text.set_version(Some(1));
         let mut saved = SavedProgress::default();
-        let mut there = SampleText::default();
+        let mut rebuilt = SampleText::default();
         for (step, count) in steps {
             match step {
                 0 | 1 => {
@@ -66,9 +66,9 @@
                     }
                 }
                 2 => {
-                    if let Some((growth, after)) = text.delta_since(saved) {
-                        there.apply_delta(&growth);
-                        // Every third write gets no answer, so that it is made again.
+                    if let Some((delta, after)) = text.delta_since(saved) {
+                        rebuilt.apply_delta(&delta);
+                        // Every third write gets no answer, so it is repeated.
                         if count < 3 {
                             saved = after;
                         }
@@ -79,14 +79,14 @@
                     text.set_version(Some(1));
                 }
             }
-            let wanted: Vec<String> = (1..=there.last_event()).map(|n| format!("d{n}")).collect();
-            prop_assert_eq!(there.output(), wanted.join("\n"));
+            let wanted: Vec<String> = (1..=rebuilt.last_event()).map(|n| format!("d{n}")).collect();
+            prop_assert_eq!(rebuilt.output(), wanted.join("\n"));
         }
     }
 }
 
 #[test]
-fn an_event_that_is_missing_or_comes_twice_is_a_fault() {
+fn a_missing_or_repeated_event_is_an_error() {
     let events = read(&stream(4, None), &[]);
     for wrong in [vec![0, 2], vec![0, 0], vec![1]] {
         let mut text = SampleText::default();
@@ -97,13 +97,13 @@
 }
 
 #[test]
-fn every_version_that_made_an_event_is_named_and_no_other() {
+fn exactly_the_versions_that_generated_events_are_listed() {
     let events = read(&stream(6, Some(4)), &[]);
     let mut text = SampleText::default();
     text.set_version(Some(1));
     push(&mut text, &events[..5]);
     assert_eq!(text.versions(), [1, 2]);
-    // A run that goes on elsewhere under a version of which no event comes.
+    // A run continues at another replica under a version that generates no event.
     text.set_version(Some(3));
     assert_eq!(text.versions(), [1, 2]);
     text.set_version(Some(2));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_version_that_is_not_allowed_or_not_known_spoils_the_text() {
+fn a_version_that_is_not_allowed_or_unknown_is_an_error() {
     let events = read(&stream(2, None), &[]);
     let mut text = SampleText::default();
     text.set_version(Some(1));
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_event_are_told() {
+fn malformed_events_are_errors() {
     for wire in ["no colon\n\n", "data: x\n\n", "id: 1\nversion: x\n\n", "id: \u{fffd}\n\n"] {
         let mut reader = EventReader::new(FIELD);
         assert_eq!(reader.push(&Bytes::from(wire)), Err(StreamError::Malformed), "{wire:?}");
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn data_of_several_lines_stays_so() {
+fn data_of_several_lines_is_kept() {
     let mut reader = EventReader::new(FIELD);
     let events = reader.push(&Bytes::from("id: 1\ndata: a\ndata: b\n\n")).unwrap();
     assert_eq!(events[0].data, "a\nb");
--- a/tests/transfer.rs
+++ b/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! How long a message that comes in pieces is waited for.
+//! How long a message that arrives in pieces is waited for.
 
 use std::time::Duration;
 
@@ -12,12 +12,13 @@
     Duration::from_millis(n)
 }
 
-/// Takes pieces that come so far apart; none where it was given up, else when the last came.
-fn carried(limit: Duration, pieces: u64, apart: Duration) -> Option<Duration> {
+/// Receives pieces at this interval. Returns when the last one arrived; none if the transfer was
+/// given up.
+fn receive_all(limit: Duration, pieces: u64, interval: Duration) -> Option<Duration> {
     let mut transfer = Transfer::new(limit, 0);
     let mut now = Duration::ZERO;
     for _ in 0..pieces {
-        now += apart;
+        now += interval;
         if now > transfer.deadline() {
             return None;
         }
@@ -26,17 +27,17 @@
     Some(now)
 }
 
-/// Sixteen ask for a megabyte over a link of 60 Mbit/s: each has it after 2.2 s. With one limit
-/// for all of it none had it after 1.4 s, and each began again elsewhere.
+/// Sixteen nodes request a megabyte over a link of 60 Mbit/s: each has it after 2.2 s. With one
+/// time limit for the whole reply none had it after 1.4 s, and each began again elsewhere.
 #[test]
-fn a_reply_over_a_shared_link_is_not_given_up_on_its_way() {
-    let turn = Duration::from_micros(16 * PIECE as u64 * 1_000_000 / 7_500_000);
-    assert_eq!(carried(LIMIT, 16, turn), Some(turn * 16));
-    assert!(turn * 16 > LIMIT);
+fn a_reply_over_a_shared_link_is_not_given_up_in_transit() {
+    let interval = Duration::from_micros(16 * PIECE as u64 * 1_000_000 / 7_500_000);
+    assert_eq!(receive_all(LIMIT, 16, interval), Some(interval * 16));
+    assert!(interval * 16 > LIMIT);
 }
 
 #[test]
-fn silence_is_given_up_at_the_limit_and_later_soon_after_the_last_piece() {
+fn a_silent_transfer_is_given_up_at_the_limit_and_later_soon_after_the_last_piece() {
     let mut transfer = Transfer::new(LIMIT, 0);
     assert_eq!(transfer.deadline(), LIMIT);
     for n in 1..=30 {
@@ -45,7 +46,7 @@
     assert_eq!(transfer.deadline(), millis(3_400));
 }
 
-/// A sender of a byte now and then holds nobody up for longer than a silent one, by much.
+/// A sender of a few bytes now and then holds up the receiver hardly longer than a silent one.
 #[test]
 fn a_trickle_is_given_up() {
     let mut transfer = Transfer::new(LIMIT, 0);
@@ -57,24 +58,26 @@
     assert!(now < LIMIT + millis(1_000), "{now:?}");
 }
 
-/// The platform's largest value is not waited for without a bound either.
+/// The time to wait is bounded even for the platform's largest value.
 #[test]
-fn the_largest_value_has_a_bound() {
-    let late = (1..).map(millis).find(|apart| carried(LIMIT, 16, *apart).is_none());
+fn the_largest_value_is_waited_for_a_bounded_time() {
+    let late = (1..).map(millis).find(|interval| receive_all(LIMIT, 16, *interval).is_none());
     assert!(late.unwrap() * 16 < millis(6_000), "{late:?}");
 }
 
-/// A job of eight thousand samples takes a second on the narrowest link before anybody can answer.
+/// Sending a job of eight thousand samples takes a second on the narrowest link, before which there
+/// can be no answer.
 #[test]
-fn a_request_has_the_time_that_its_bytes_take() {
+fn the_limit_includes_the_time_for_sending_the_request() {
     assert!(Transfer::new(millis(600), 8 << 20).deadline() > millis(600) + millis(1_120));
     assert!(Transfer::new(millis(600), 1 << 10).deadline() < millis(601));
 }
 
 proptest! {
-    /// Whatever comes, a reply is not given up before the limit, nor kept for long in silence.
+    /// Whatever arrives, a reply is not given up before the limit, nor waited for during a long
+    /// pause.
     #[test]
-    fn patience_lies_between_the_limit_and_a_silence(
+    fn the_deadline_lies_between_the_limit_and_a_pause(
         limit in 0_u64..3_000,
         pieces in prop::collection::vec((0_u64..500, 1_usize..200_000), 0..40),
     ) {
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Counts of usage, without nodes: windows, clocks that step, notes that come twice or late.
+//! Counting of usage, without nodes: windows, clocks that jump, notes that arrive twice or late.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -23,12 +23,12 @@
     assert_eq!(WINDOWS.index_at(end), PRESENT + 1);
     assert_eq!(WINDOWS.index_at(end - Duration::from_nanos(1)), PRESENT);
     assert_eq!(WINDOWS.report_deadline(PRESENT), end + WINDOWS.report_grace);
-    // A window that no time of day reaches is no panic.
+    // A window beyond any time of day does not panic.
     assert!(WINDOWS.report_deadline(u64::MAX) > WINDOWS.end_of(PRESENT));
 }
 
 #[test]
-fn a_clock_that_steps_and_steps_back_is_not_followed() {
+fn a_clock_that_jumps_and_jumps_back_is_not_followed() {
     let (mut steady, start) = (SteadyClock::default(), Duration::from_secs(1_800_000_000));
     let mut read = |running: u64, wall: i64| {
         let wall = Duration::from_millis((start.as_millis() as i64 + wall) as u64);
@@ -41,17 +41,17 @@
     assert_eq!(read(4_000, 4_000), 4_000);
     // A slewed clock is followed.
     assert_eq!(read(5_000, 5_100), 5_100);
-    // A step that lasts is a correction.
+    // A jump that lasts is a correction.
     assert_eq!(read(6_000, 9_000), 6_100);
     assert_eq!(read(65_999, 68_999), 66_099);
     assert_eq!(read(66_000, 69_000), 69_000);
     assert_eq!(read(67_000, 70_000), 70_000);
 }
 
-/// A node whose clock was wrong as it started goes by what most say, a single one is not
-/// believed, and one that is right stays with its own clock.
+/// A node whose clock is wrong from the start follows the median of the reported times; a single
+/// report is ignored, and a node whose clock is right keeps to its own clock.
 #[test]
-fn a_clock_that_was_wrong_from_the_start_gives_way_to_the_others() {
+fn a_clock_that_is_wrong_from_the_start_is_overruled_by_the_others() {
     let (start, ahead) = (Duration::from_secs(1_800_000_000), Duration::from_secs(7));
     let at = Duration::from_secs;
     let mut agreed = AgreedClock::default();
@@ -60,9 +60,9 @@
     assert_eq!(agreed.read(at(2), start + at(2) + ahead), start + at(2) + ahead);
     agreed.record_peer(&name("b"), start + at(2), at(2));
     assert_eq!(agreed.read(at(2), start + at(2) + ahead), start + at(2));
-    // Its clock is set right: nothing jumps.
+    // Its clock is corrected: the time does not jump.
     assert_eq!(agreed.read(at(3), start + at(3)), start + at(3));
-    // Nobody says anything for long: it goes by itself, which has not followed the step yet.
+    // Without recent reports it uses its own clock, which has not followed the correction yet.
     assert_eq!(agreed.read(at(40), start + at(40)), start + at(40) + ahead);
 
     let mut right = AgreedClock::default();
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_window_is_closed_once_nothing_of_it_is_open() {
+fn a_window_is_closed_once_all_its_requests_are_settled() {
     let mut meter = Meter::default();
     meter.request_sent(PRESENT);
     meter.request_sent(PRESENT);
@@ -91,23 +91,23 @@
 }
 
 #[test]
-fn a_note_of_a_far_window_is_left_out_and_told() {
+fn a_note_of_a_distant_window_is_left_out_and_returned() {
     let mut ledger = Ledger::default();
     let note = |window| WindowNote { window, closed: true, counts: Counts::from([(name("o"), 1)]) };
-    let life = name("a");
-    let strange = ledger.record(&life, &[note(u64::MAX), note(0), note(PRESENT)], PRESENT);
-    assert_eq!(strange, [u64::MAX, 0]);
-    assert_eq!(ledger.total(PRESENT, std::slice::from_ref(&life)).counts[&name("o")], 1);
-    assert_eq!(ledger.total(u64::MAX, &[life]).counts, Counts::new());
+    let incarnation = name("a");
+    let rejected = ledger.record(&incarnation, &[note(u64::MAX), note(0), note(PRESENT)], PRESENT);
+    assert_eq!(rejected, [u64::MAX, 0]);
+    assert_eq!(ledger.total(PRESENT, std::slice::from_ref(&incarnation)).counts[&name("o")], 1);
+    assert_eq!(ledger.total(u64::MAX, &[incarnation]).counts, Counts::new());
 }
 
 #[test]
-fn counts_that_overflow_stay_at_the_most() {
+fn overflowing_counts_stay_at_the_maximum() {
     let mut ledger = Ledger::default();
-    for life in ["a", "b"] {
+    for incarnation in ["a", "b"] {
         let counts = Counts::from([(name("o"), u64::MAX)]);
         ledger.record(
-            &name(life),
+            &name(incarnation),
             &[WindowNote { window: PRESENT, closed: true, counts }],
             PRESENT,
         );
@@ -116,16 +116,16 @@
 }
 
 proptest! {
-    /// Notes of growing counts may be lost, repeated and overtake each other: once each node's
-    /// last note was heard, every request is counted once.
+    /// Notes of growing counts may be lost, repeated and reordered: once each node's last note has
+    /// been recorded, every request is counted once.
     #[test]
     fn every_request_is_counted_once(
         runs in prop::collection::vec((0..3_usize, 0..4_usize, any::<bool>()), 0..60),
         order in prop::collection::vec((0..3_usize, 0..60_usize), 0..90),
     ) {
-        let lives = ["a", "b", "c"].map(name);
+        let incarnations = ["a", "b", "c"].map(name);
         let mut meters = [Meter::default(), Meter::default(), Meter::default()];
-        let mut told: [Vec<Vec<WindowNote>>; 3] = Default::default();
+        let mut sent: [Vec<Vec<WindowNote>>; 3] = Default::default();
         let mut truth = Counts::new();
         for (node, organisation, ran) in runs {
             let organisation = name(&format!("o{organisation}"));
@@ -134,19 +134,19 @@
             if ran {
                 *truth.entry(organisation).or_default() += 1;
             }
-            told[node].push(meters[node].window_notes(PRESENT));
+            sent[node].push(meters[node].window_notes(PRESENT));
         }
         let mut ledger = Ledger::default();
         for (node, index) in order {
-            if let Some(notes) = told[node].get(index) {
-                ledger.record(&lives[node], notes, PRESENT);
+            if let Some(notes) = sent[node].get(index) {
+                ledger.record(&incarnations[node], notes, PRESENT);
             }
         }
-        prop_assert_eq!(ledger.total(PRESENT, &lives).unclosed.len(), 3);
+        prop_assert_eq!(ledger.total(PRESENT, &incarnations).unclosed.len(), 3);
         for (node, meter) in meters.iter_mut().enumerate() {
-            ledger.record(&lives[node], &meter.window_notes(PRESENT + 1), PRESENT + 1);
+            ledger.record(&incarnations[node], &meter.window_notes(PRESENT + 1), PRESENT + 1);
         }
-        let total = ledger.total(PRESENT, &lives);
+        let total = ledger.total(PRESENT, &incarnations);
         prop_assert_eq!((total.counts, total.unclosed.len()), (truth, 0));
     }
 }
--- /dev/null
+++ b/tests/weight_loads.rs
@@ -0,0 +1,183 @@
+//! Weight loads: as many as a model's share of the replicas needs, never too many at once.
+#![allow(clippy::unwrap_used)]
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use mulberrycourse::Name;
+use mulberrycourse::decide::Demand;
+use mulberrycourse::decide::weight_loads::{
+    ReplicaWeights, assign_replicas, max_concurrent_loads, model_weights, next_loads,
+};
+use proptest::prelude::*;
+
+fn replicas_with(count: usize, models: &[&str]) -> Vec<ReplicaWeights> {
+    let versions: BTreeMap<Name, u64> = models.iter().map(|m| (Name::from(*m), 1)).collect();
+    (0..count)
+        .map(|i| ReplicaWeights {
+            id: format!("r{i:02}").into(),
+            versions: versions.clone(),
+            loading: None,
+        })
+        .collect()
+}
+
+fn announced(models: &[&str], version: u64) -> BTreeMap<Name, u64> {
+    models.iter().map(|m| (Name::from(*m), version)).collect()
+}
+
+/// Weights of models whose steps bring equal work.
+fn equal_weights(models: &[&str]) -> BTreeMap<Name, u64> {
+    model_weights(&announced(models, 1), &BTreeMap::new())
+}
+
+/// The number of replicas that each model has.
+fn counts(shares: &BTreeMap<Name, u64>, replicas: &[ReplicaWeights]) -> Vec<usize> {
+    assign_replicas(shares, replicas).values().map(Vec::len).collect()
+}
+
+/// Load pattern: six trainers on ten replicas, whose steps bring 1 to 3.4 times the work.
+#[test]
+fn replicas_follow_the_work_of_a_step() {
+    let models = ["a", "b", "c", "d", "e", "f"];
+    let replicas = replicas_with(10, &models);
+    let work = [20, 32, 67, 32, 67, 67];
+    let demand = models.iter().map(|m| Name::from(*m)).zip(work).collect();
+    let shares = model_weights(&announced(&models, 2), &demand);
+    let worst = |shares| {
+        let counts = counts(shares, &replicas);
+        work.iter().zip(counts).map(|(work, count)| work / count as u64).max().unwrap()
+    };
+    assert_eq!(worst(&shares), 33, "three models need two replicas each");
+    assert_eq!(
+        worst(&equal_weights(&models)),
+        67,
+        "without a report of the work all models are equal"
+    );
+}
+
+/// Guards against loading the first announced model on every replica, which took 12 loads in 12
+/// seconds while the steps of the others waited.
+#[test]
+fn the_first_announced_model_loads_only_its_share() {
+    let models = ["a", "b", "c", "d", "e"];
+    let demand: BTreeMap<Name, u64> = models.iter().map(|m| (Name::from(*m), 10)).collect();
+    let mut replicas = replicas_with(10, &models);
+    let mut loads = 0;
+    loop {
+        let loads_to_order = next_loads(&announced(&["a"], 2), &demand, &replicas);
+        if loads_to_order.is_empty() {
+            break;
+        }
+        for load in loads_to_order {
+            let replica = replicas.iter_mut().find(|r| r.id == load.id).unwrap();
+            replica.versions.insert(load.model, load.version);
+            loads += 1;
+        }
+    }
+    assert_eq!(loads, 2);
+}
+
+/// A step that differs a little from the last one makes no replica change its model, which would
+/// cost a load.
+#[test]
+fn varying_estimates_move_no_replica() {
+    let model = Name::from("a");
+    let mut demand = Demand::default();
+    for (i, work) in [100, 120, 81, 110, 90].into_iter().enumerate() {
+        demand.record(&model, work, Duration::from_secs(i as u64));
+        assert_eq!(demand.by_model(Duration::from_secs(i as u64))[&model], 100);
+    }
+    demand.record(&model, 200, Duration::from_secs(5));
+    assert_eq!(demand.by_model(Duration::from_secs(5))[&model], 200);
+    assert!(demand.by_model(Duration::from_secs(70)).is_empty(), "the trainer has stopped");
+}
+
+/// Carries out all loads until none is left, and returns the number of loads of each model.
+fn run_all_loads(
+    announced: &BTreeMap<Name, u64>,
+    replicas: &mut [ReplicaWeights],
+) -> BTreeMap<Name, usize> {
+    let mut loads = BTreeMap::new();
+    loop {
+        let loads_to_order = next_loads(announced, &BTreeMap::new(), replicas);
+        if loads_to_order.is_empty() {
+            return loads;
+        }
+        assert!(loads_to_order.len() <= max_concurrent_loads(replicas.len()));
+        for load in loads_to_order {
+            let replica = replicas.iter_mut().find(|r| r.id == load.id).unwrap();
+            replica.versions.insert(load.model.clone(), load.version);
+            *loads.entry(load.model).or_default() += 1;
+        }
+    }
+}
+
+#[test]
+fn two_models_share_the_replicas_and_keep_their_shares() {
+    let mut replicas = replicas_with(9, &["a", "b"]);
+    let first = assign_replicas(&equal_weights(&["a", "b"]), &replicas);
+    for version in 2..8 {
+        let loads = run_all_loads(&announced(&["a", "b"], version), &mut replicas);
+        let mut counts: Vec<usize> = loads.values().copied().collect();
+        counts.sort_unstable();
+        assert_eq!(counts, [4, 5], "version {version}");
+    }
+    assert_eq!(assign_replicas(&equal_weights(&["a", "b"]), &replicas), first);
+}
+
+#[test]
+fn removing_a_replica_keeps_the_assignment_of_the_others() {
+    let mut replicas = replicas_with(9, &["a", "b"]);
+    run_all_loads(&announced(&["a", "b"], 2), &mut replicas);
+    let before = assign_replicas(&equal_weights(&["a", "b"]), &replicas);
+    replicas.remove(4);
+    let after = assign_replicas(&equal_weights(&["a", "b"]), &replicas);
+    let stayed = |model: &str| {
+        let old = &before[model];
+        after[model].iter().filter(|id| old.contains(*id)).count()
+    };
+    assert!(stayed("a") + stayed("b") >= 7);
+}
+
+#[test]
+fn two_thirds_of_a_models_replicas_keep_beginning_samples() {
+    let models = ["a", "b", "c", "d"];
+    let mut replicas = replicas_with(36, &models);
+    run_all_loads(&announced(&models, 2), &mut replicas);
+    let mut newer = announced(&models, 2);
+    newer.insert("a".into(), 3);
+    let loads_to_order = next_loads(&newer, &BTreeMap::new(), &replicas);
+    assert_eq!(loads_to_order.len(), 3, "{loads_to_order:?}");
+    for replica in &mut replicas {
+        if loads_to_order.iter().any(|m| m.id == replica.id) {
+            replica.loading = Some("a".into());
+        }
+    }
+    assert_eq!(next_loads(&newer, &BTreeMap::new(), &replicas), []);
+    // A model whose own replicas are not loading is not held up.
+    newer.insert("b".into(), 3);
+    assert_eq!(next_loads(&newer, &BTreeMap::new(), &replicas).len(), 3);
+}
+
+proptest! {
+    #[test]
+    fn concurrent_loads_stay_within_the_limit_of_the_weight_store(
+        count in 1_usize..60,
+        busy in proptest::collection::vec(any::<bool>(), 60),
+        version in 2_u64..5,
+    ) {
+        let mut replicas = replicas_with(count, &["a", "b", "c"]);
+        for (replica, busy) in replicas.iter_mut().zip(busy) {
+            replica.loading = busy.then(|| "a".into());
+        }
+        let running = replicas.iter().filter(|r| r.loading.is_some()).count();
+        let loads_to_order = next_loads(&announced(&["a", "b", "c"], version), &BTreeMap::new(), &replicas);
+        prop_assert!(loads_to_order.len() + running <= max_concurrent_loads(count).max(running));
+        for load in &loads_to_order {
+            let replica = replicas.iter().find(|r| r.id == load.id).unwrap();
+            prop_assert!(replica.loading.is_none());
+            prop_assert!(replica.versions[&load.model] < load.version);
+        }
+    }
+}
