--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -11,7 +11,7 @@
 impl App {
     /// The addresses for a client of an availability zone; none if none is known.
     pub fn addresses(&self, zone: &str) -> Vec<SocketAddr> {
-        let mut nodes = self.live.lock().callers(self.store_time());
+        let mut nodes = self.live.lock().client_addresses(self.store_time());
         let own = self.settings.client_address.filter(|_| self.ready());
         if self.draining() {
             nodes.retain(|(name, _)| *name != self.settings.name);
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -15,8 +15,8 @@
 use super::counted::Counted;
 use super::ended::EndedJobs;
 use super::follow::Feeds;
-use super::homes::Homes;
-use super::live::Live;
+use super::membership::Membership;
+use super::owned_jobs::OwnedJobs;
 use super::peer::{Detour, Peers};
 use super::ports::Ports;
 use super::slots::Slots;
@@ -62,8 +62,8 @@
     /// What the samples of all homes want, at the holder of duties.
     pub(super) load: Mutex<Load>,
     pub(super) slots: Slots,
-    pub(super) live: Mutex<Live>,
-    pub(super) homes: Homes,
+    pub(super) live: Mutex<Membership>,
+    pub(super) homes: OwnedJobs,
     pub(super) ended: EndedJobs,
     pub(super) feeds: Feeds,
     pub(super) views: Views,
@@ -131,7 +131,7 @@
             load: Mutex::default(),
             slots,
             live: Mutex::default(),
-            homes: Homes::default(),
+            homes: OwnedJobs::default(),
             ended: EndedJobs::default(),
             feeds: Feeds::default(),
             views: Views::default(),
@@ -231,7 +231,7 @@
 
     /// Whether a term surely lasts: the lease does, and no other holder was seen.
     pub(super) fn holds(&self, fence: u64) -> bool {
-        let seen = self.live.lock().holder().map(|seen| seen.revision);
+        let seen = self.live.lock().leader().map(|seen| seen.revision);
         self.may_order() && seen.is_none_or(|revision| revision <= fence)
     }
 
--- a/src/entry/counted.rs
+++ b/src/entry/counted.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::keys::{LIVE, own_use};
+use super::keys::{MEMBERSHIP_PREFIX, key_use};
 use crate::edge::notice::Notices;
 use crate::edge::store::{Answer, Item, Page, Store, StoreError, Txn, TxnEnd, Watched};
 use crate::metrics::{StoreCall, StoreEnd, StoreUse, Tally};
@@ -27,12 +27,12 @@
     fn purpose(&self, key: &str) -> StoreUse {
         let notices = &self.notices;
         match key {
-            LIVE => StoreUse::Nodes,
+            MEMBERSHIP_PREFIX => StoreUse::Nodes,
             key if key.starts_with(notices.replicas()) => StoreUse::Replicas,
             key if key.starts_with(notices.versions()) => StoreUse::Versions,
             key if key.starts_with(notices.retirements()) => StoreUse::Retirements,
             key if key.starts_with(notices.routes()) => StoreUse::Routes,
-            key => own_use(key),
+            key => key_use(key),
         }
     }
 
--- a/src/entry/end.rs
+++ b/src/entry/end.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::app::App;
-use super::keys::{HomeValue, home as home_key};
-use super::live::Seen;
-use super::read::Found;
+use super::keys::{JobRecord, job_record_key};
+use super::membership::Stored;
+use super::read::Lookup;
 use crate::edge::store::{Txn, TxnEnd};
 use crate::metrics::JobStep;
 
@@ -17,28 +17,28 @@
 
 impl App {
     /// Ends a job: nothing of it runs any more.
-    pub async fn end(self: &Arc<Self>, job: &str) -> Found<()> {
+    pub async fn end(self: &Arc<Self>, job: &str) -> Lookup<()> {
         let begun = self.now();
         let here = self.homes.get(job);
         if let Some(home) = &here {
-            self.halt(home);
+            self.stop_job(home);
         }
         let known = match here {
-            Some(ref home) => Ok(Some(home.key.lock().clone())),
-            None => self.home_of(job).await,
+            Some(ref home) => Ok(Some(home.record.lock().clone())),
+            None => self.job_record(job).await,
         };
         let mut seen = match known {
             Ok(Some(seen)) => seen,
-            Ok(None) => return Found::Unknown,
-            Err(_) => return Found::Unsure,
+            Ok(None) => return Lookup::Unknown,
+            Err(_) => return Lookup::Unsure,
         };
         loop {
             if seen.value.ended {
-                return Found::There(());
+                return Lookup::Found(());
             }
-            let value = HomeValue { ended: true, done: true, ..seen.value.clone() };
-            let Ok(value) = serde_json::to_vec(&value) else { return Found::Unsure };
-            let key = home_key(job);
+            let value = JobRecord { ended: true, done: true, ..seen.value.clone() };
+            let Ok(value) = serde_json::to_vec(&value) else { return Lookup::Unsure };
+            let key = job_record_key(job);
             let txn = Txn::when(key.clone(), seen.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
                 Ok(TxnEnd::Done(_)) => {
@@ -47,22 +47,22 @@
                     if let Some(home) = here {
                         self.keep_ended(home);
                     }
-                    return Found::There(());
+                    return Lookup::Found(());
                 }
                 Ok(TxnEnd::Conflict(items)) => {
                     let Some(item) = items.into_iter().find(|i| i.key == key) else {
-                        return Found::Unknown;
+                        return Lookup::Unknown;
                     };
                     match serde_json::from_slice(&item.value) {
-                        Ok(value) => seen = Seen { value, revision: item.revision },
-                        Err(_) => return Found::Unsure,
+                        Ok(value) => seen = Stored { value, revision: item.revision },
+                        Err(_) => return Lookup::Unsure,
                     }
                 }
-                Ok(TxnEnd::NoLease) => return Found::Unsure,
+                Ok(TxnEnd::NoLease) => return Lookup::Unsure,
                 Err(e) => {
                     tracing::warn!(event = "end_not_written", job, error = %e);
                     if self.now().saturating_sub(begun) > TRY {
-                        return Found::Unsure;
+                        return Lookup::Unsure;
                     }
                     self.detour.rest(PAUSE).await;
                 }
--- a/src/entry/ended.rs
+++ b/src/entry/ended.rs
@@ -11,8 +11,8 @@
 use parking_lot::Mutex;
 
 use super::app::{App, ByName};
-use super::homes::Home;
-use super::read::{Read, page};
+use super::owned_jobs::OwnedJob;
+use super::read::{ReadResult, results_page};
 use crate::Name;
 use crate::decide::job::{Listing, Spec};
 
@@ -42,8 +42,11 @@
 
 impl Ended {
     /// Results from a position on.
-    pub(super) fn read(&self, after: usize) -> Read {
-        Read::Page { total: self.spec.items.len(), results: page(&self.listed, after) }
+    pub(super) fn read(&self, after: usize) -> ReadResult {
+        ReadResult::Page {
+            total: self.spec.items.len(),
+            results: results_page(&self.listed, after),
+        }
     }
 
     fn bytes(&self) -> usize {
@@ -85,11 +88,11 @@
 impl App {
     /// The store has it that a job which ran here is ended. What this node has of it is all
     /// there will ever be, unless a write of results was not answered.
-    pub(super) fn keep_ended(self: &Arc<Self>, home: Arc<Home>) {
+    pub(super) fn keep_ended(self: &Arc<Self>, home: Arc<OwnedJob>) {
         let app = self.clone();
         self.spawn(async move {
-            let _written = home.writing.lock().await;
-            if home.unsure.load(Ordering::Relaxed) {
+            let _written = home.write_lock.lock().await;
+            if home.write_unknown.load(Ordering::Relaxed) {
                 return;
             }
             let job = home.job.lock();
--- a/src/entry/entry.rs
+++ b/src/entry/entry.rs
@@ -9,7 +9,7 @@
 use super::peer::Peers;
 use super::ports::Ports;
 use super::usage::send_notes;
-use super::{member, mover, takeover};
+use super::{leader, registration, takeover};
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
 
@@ -43,14 +43,14 @@
             app.spawn(follow(app.clone(), Topic::Routes));
             app.spawn(follow(app.clone(), Topic::Replicas));
             app.spawn(follow(app.clone(), Topic::Live));
-            app.spawn(member::keep(app.clone()));
-            app.spawn(takeover::follow(app.clone()));
-            app.spawn(mover::give(app.clone()));
+            app.spawn(registration::maintain_registration(app.clone()));
+            app.spawn(takeover::run_takeover(app.clone()));
+            app.spawn(leader::run_leader(app.clone()));
             if let Some(usage) = app.usage.clone() {
                 app.spawn(send_notes(app.clone(), usage));
             }
             let looking = app.clone();
-            app.spawn(async move { looking.look().await });
+            app.spawn(async move { looking.retry_waiting().await });
         }
         Self { app }
     }
@@ -74,12 +74,12 @@
         // In an outage others take the jobs, and clients go elsewhere, once the lease ends.
         let told = async {
             self.app.hand_over().await;
-            self.app.leave().await;
+            self.app.deregister().await;
         };
         if tokio::time::timeout(grace / TELLING, told).await.is_err() {
             tracing::warn!(event = "leaving_not_told", node = %self.app.settings.name);
         }
-        let kept = Duration::from_secs(self.app.settings.address_ttl) * KEPT + MARGIN;
+        let kept = Duration::from_secs(self.app.settings.ttl_secs) * KEPT + MARGIN;
         let left = (grace / 2 + MARGIN).saturating_sub(self.app.now() - begun);
         tokio::time::sleep(kept.min(left)).await;
     }
--- a/src/entry/record.rs
+++ b/src/entry/fenced_value.rs
@@ -5,12 +5,12 @@
 use serde::de::DeserializeOwned;
 
 use super::app::App;
-use super::keys::HOLDER;
+use super::keys::LEADER_KEY;
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 
 /// A key that only the holder of duties writes, in the term of one fencing token.
 #[derive(Debug)]
-pub(super) struct Record {
+pub(super) struct FencedValue {
     key: &'static str,
     fence: u64,
     /// The revision that the next write replaces; 0 for none.
@@ -19,16 +19,16 @@
 
 /// What a write came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Written {
+pub(super) enum FencedWrite {
     /// It lies there.
     Done,
     /// Another value does, perhaps from a write of this node that was not answered.
-    Other,
+    Conflict,
     /// Another node is holder, or nobody.
-    NotHolder,
+    NotLeader,
 }
 
-impl Record {
+impl FencedValue {
     pub(super) fn new(key: &'static str, fence: u64) -> Self {
         Self { key, fence, revision: 0 }
     }
@@ -52,20 +52,20 @@
         &mut self,
         app: &App,
         value: &T,
-    ) -> Result<Written, StoreError> {
+    ) -> Result<FencedWrite, StoreError> {
         let value = serde_json::to_vec(value).map_err(|e| StoreError::Refused(e.to_string()))?;
-        let txn = Txn::when(self.key, self.revision).and_when(HOLDER, self.fence);
+        let txn = Txn::when(self.key, self.revision).and_when(LEADER_KEY, self.fence);
         match app.store.txn(txn.put(self.key, Bytes::from(value))).await? {
             TxnEnd::Done(revision) => {
                 self.revision = revision;
-                Ok(Written::Done)
+                Ok(FencedWrite::Done)
             }
             TxnEnd::Conflict(items) => {
-                let mut holders = items.iter().filter(|item| *item.key == *HOLDER);
+                let mut holders = items.iter().filter(|item| *item.key == *LEADER_KEY);
                 let held = holders.any(|item| item.revision == self.fence);
-                Ok(if held { Written::Other } else { Written::NotHolder })
+                Ok(if held { FencedWrite::Conflict } else { FencedWrite::NotLeader })
             }
-            TxnEnd::NoLease => Ok(Written::NotHolder),
+            TxnEnd::NoLease => Ok(FencedWrite::NotLeader),
         }
     }
 }
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -27,7 +27,7 @@
                 page.items.iter().for_each(|item| self.notice(item));
             }
         }
-        self.slots.pump(self.now());
+        self.slots.assign_free(self.now());
         self.tell();
     }
 
@@ -39,7 +39,7 @@
         for change in &watched.changes {
             self.change(topic, change);
         }
-        self.slots.pump(self.now());
+        self.slots.assign_free(self.now());
         self.tell();
     }
 
@@ -50,7 +50,7 @@
                 self.unlist(&self.notices.replica_id(key));
             }
             (Topic::Live, change) => {
-                self.live.lock().change(change, self.store_time());
+                self.live.lock().apply_change(change, self.store_time());
                 self.know_peers();
             }
             (_, Change::Put(item)) => self.notice(item),
@@ -61,7 +61,7 @@
 
     /// Who can be asked for a call to the store, in an order of this node's own.
     fn know_peers(&self) {
-        let nodes = self.live.lock().peers();
+        let nodes = self.live.lock().peer_addresses();
         let others = nodes.keys().filter(|n| **n != self.settings.name).map(|n| &**n);
         let ranked = rank(&self.settings.name, others);
         self.detour.know(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
--- a/src/entry/follow/source.rs
+++ b/src/entry/follow/source.rs
@@ -188,7 +188,7 @@
 
     /// The nodes that watch for others; none where each watches for itself.
     pub(super) fn watchers(&self) -> Option<Vec<(Name, SocketAddr)>> {
-        let nodes = self.live.lock().peers_around(self.store_time());
+        let nodes = self.live.lock().stable_peers(self.store_time());
         if nodes.len() <= FEW {
             return None;
         }
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::entry::app::App;
-use crate::entry::keys::LIVE;
+use crate::entry::keys::MEMBERSHIP_PREFIX;
 use crate::entry::peer::Followed;
 
 /// How long before work must have stopped going to a replica that leaves its report has to
@@ -41,7 +41,7 @@
             Self::Versions => app.notices.versions().to_owned(),
             Self::Retirements => app.notices.retirements().to_owned(),
             Self::Replicas => app.notices.replicas().to_owned(),
-            Self::Live => LIVE.to_owned(),
+            Self::Live => MEMBERSHIP_PREFIX.to_owned(),
         }
     }
 
@@ -60,7 +60,7 @@
                     return;
                 }
                 let longer = app.settings.drain_time.saturating_sub(AHEAD + GATHER);
-                let _ = tokio::time::timeout(longer, app.homes.work()).await;
+                let _ = tokio::time::timeout(longer, app.homes.wait_for_work()).await;
             }
         }
     }
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -12,26 +12,27 @@
 use crate::metrics::StoreUse;
 
 /// Nodes and the holder of orders: followed by every node.
-pub(super) const LIVE: &str = "mulberry/live/";
+pub(super) const MEMBERSHIP_PREFIX: &str = "mulberry/live/";
 /// The holder of orders.
-pub(super) const HOLDER: &str = "mulberry/live/holder";
+pub(super) const LEADER_KEY: &str = "mulberry/live/holder";
 
 /// The last usage report that is fixed.
-pub(super) const USAGE: &str = "mulberry/usage";
+pub(super) const USAGE_KEY: &str = "mulberry/usage";
 
 /// What is ordered of each service.
-pub(super) const SCALE: &str = "mulberry/scale";
+pub(super) const SCALE_KEY: &str = "mulberry/scale";
 
-const NODES: &str = "mulberry/live/node/";
+const NODE_PREFIX: &str = "mulberry/live/node/";
 /// Where each job is.
-pub(super) const HOMES: &str = "mulberry/home/";
-const JOBS: &str = "mulberry/job/";
+pub(super) const JOB_RECORD_PREFIX: &str = "mulberry/home/";
+const JOB_DATA_PREFIX: &str = "mulberry/job/";
 
 /// A node that is alive; under the node's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct NodeValue {
+pub(super) struct NodeRecord {
     /// The incarnation of its process.
-    pub life: Name,
+    #[serde(rename = "life")]
+    pub incarnation: Name,
     /// Where clients connect; none where nobody does.
     pub callers: Option<SocketAddr>,
     /// Where other nodes connect; none where nobody does.
@@ -41,59 +42,65 @@
 
 /// Where a job is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct HomeValue {
+pub(super) struct JobRecord {
     /// The incarnation of the process that runs it.
-    pub life: Name,
+    #[serde(rename = "life")]
+    pub incarnation: Name,
     /// The number of its samples.
-    pub total: usize,
+    #[serde(rename = "total")]
+    pub sample_count: usize,
     /// How many values its submission lies in.
-    pub parts: usize,
+    #[serde(rename = "parts")]
+    pub part_count: usize,
     /// Nothing more is to be done: every sample is listed, or its trainer ended it.
     pub done: bool,
     /// Its trainer ended it.
     pub ended: bool,
     /// When it was accepted, in milliseconds of the time of day.
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub accepted_ms: u64,
 }
 
 /// Who gives orders; under that node's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct HolderValue {
+pub(super) struct LeaderRecord {
     /// The incarnation of its process.
-    pub life: Name,
+    #[serde(rename = "life")]
+    pub incarnation: Name,
 }
 
-/// What a key under [`LIVE`] is about.
+/// What a key under [`MEMBERSHIP_PREFIX`] is about.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum LiveKey<'a> {
+pub(super) enum MembershipKey<'a> {
     Node(&'a str),
-    Holder,
+    Leader,
 }
 
-pub(super) fn live_key(key: &str) -> Option<LiveKey<'_>> {
-    if key == HOLDER {
-        return Some(LiveKey::Holder);
+pub(super) fn parse_membership_key(key: &str) -> Option<MembershipKey<'_>> {
+    if key == LEADER_KEY {
+        return Some(MembershipKey::Leader);
     }
-    key.strip_prefix(NODES).map(LiveKey::Node)
+    key.strip_prefix(NODE_PREFIX).map(MembershipKey::Node)
 }
 
 /// What a key or prefix of this service is about.
-pub(super) fn own_use(key: &str) -> StoreUse {
-    if let Some(live) = live_key(key) {
+pub(super) fn key_use(key: &str) -> StoreUse {
+    if let Some(live) = parse_membership_key(key) {
         return match live {
-            LiveKey::Node(_) => StoreUse::Nodes,
-            LiveKey::Holder => StoreUse::Holder,
+            MembershipKey::Node(_) => StoreUse::Nodes,
+            MembershipKey::Leader => StoreUse::Holder,
         };
     }
     match key {
-        USAGE => return StoreUse::Usage,
-        SCALE => return StoreUse::Scale,
+        USAGE_KEY => return StoreUse::Usage,
+        SCALE_KEY => return StoreUse::Scale,
         _ => {}
     }
-    if key.starts_with(HOMES) {
+    if key.starts_with(JOB_RECORD_PREFIX) {
         return StoreUse::Homes;
     }
-    let Some(part) = key.strip_prefix(JOBS).and_then(|rest| rest.split('/').nth(1)) else {
+    let Some(part) = key.strip_prefix(JOB_DATA_PREFIX).and_then(|rest| rest.split('/').nth(1))
+    else {
         return StoreUse::Other;
     };
     match part {
@@ -104,45 +111,45 @@
     }
 }
 
-pub(super) fn node(name: &str) -> Name {
-    format!("{NODES}{name}").into()
+pub(super) fn node_key(name: &str) -> Name {
+    format!("{NODE_PREFIX}{name}").into()
 }
 
-pub(super) fn home(job: &str) -> Name {
-    format!("{HOMES}{job}").into()
+pub(super) fn job_record_key(job: &str) -> Name {
+    format!("{JOB_RECORD_PREFIX}{job}").into()
 }
 
 /// One part of a submission.
-pub(super) fn part(job: &str, index: usize) -> Name {
-    format!("{JOBS}{job}/spec/{index:04}").into()
+pub(super) fn spec_part_key(job: &str, index: usize) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/spec/{index:04}").into()
 }
 
 /// The prefix of all parts of a submission.
-pub(super) fn parts(job: &str) -> Name {
-    format!("{JOBS}{job}/spec/").into()
+pub(super) fn spec_prefix(job: &str) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/spec/").into()
 }
 
 /// The results that begin at a position.
-pub(super) fn results(job: &str, position: usize) -> Name {
-    format!("{JOBS}{job}/results/{position:06}").into()
+pub(super) fn results_key(job: &str, position: usize) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/results/{position:06}").into()
 }
 
 /// The prefix of all results.
-pub(super) fn all_results(job: &str) -> Name {
-    format!("{JOBS}{job}/results/").into()
+pub(super) fn results_prefix(job: &str) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/results/").into()
 }
 
 /// A write of unfinished texts.
-pub(super) fn texts(job: &str, index: usize) -> Name {
-    format!("{JOBS}{job}/texts/{index:06}").into()
+pub(super) fn texts_key(job: &str, index: usize) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/texts/{index:06}").into()
 }
 
 /// The prefix of all of these.
-pub(super) fn all_texts(job: &str) -> Name {
-    format!("{JOBS}{job}/texts/").into()
+pub(super) fn texts_prefix(job: &str) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/texts/").into()
 }
 
 /// The prefix of all that a job is made of, its home's key aside.
-pub(super) fn whole_job(job: &str) -> Name {
-    format!("{JOBS}{job}/").into()
+pub(super) fn job_data_prefix(job: &str) -> Name {
+    format!("{JOB_DATA_PREFIX}{job}/").into()
 }
--- a/src/entry/mover.rs
+++ b/src/entry/leader.rs
@@ -11,7 +11,7 @@
 
 use super::app::App;
 use super::follow::{Topic, follow};
-use super::keys::{HOLDER, HolderValue};
+use super::keys::{LEADER_KEY, LeaderRecord};
 use super::scale::scale;
 use super::usage::report;
 use crate::Name;
@@ -21,43 +21,43 @@
 use crate::edge::store::{Txn, TxnEnd};
 
 /// How much longer each next node in rank waits before it tries to be holder.
-const STEP: Duration = Duration::from_millis(400);
+const RANK_DELAY: Duration = Duration::from_millis(400);
 /// How often a node that is not holder looks, and a holder looks again after a failure.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// How long one order or question may take.
-const CALL: Duration = Duration::from_millis(800);
+const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long a load takes at least: asking sooner is a question for nothing.
-const LOAD: Duration = Duration::from_millis(850);
+const MIN_LOAD_TIME: Duration = Duration::from_millis(850);
 /// The pause between questions whether a load is done.
-const ASK: Duration = Duration::from_millis(120);
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(120);
 /// Questions until a load counts as failed: eight seconds, as many loads at once are slow.
-const ASKS: u32 = 60;
+const MAX_LOAD_POLLS: u32 = 60;
 
 /// How a move ended.
-enum Moved {
+enum MoveResult {
     Done,
     Failed,
     Fenced,
 }
 
 /// Holds orders whenever it is this node's turn, until the process stops.
-pub(super) async fn give(app: Arc<App>) {
+pub(super) async fn run_leader(app: Arc<App>) {
     loop {
         tokio::select! {
             () = app.stop.cancelled() => return,
-            fence = acquire(&app) => {
+            fence = acquire_leadership(&app) => {
                 tracing::info!(event = "orders_held", fence);
                 tokio::select! {
                     () = app.stop.cancelled() => {}
-                    () = hold(&app, fence) => {}
+                    () = issue_orders(&app, fence) => {}
                     () = app.hear_demand() => {}
                     () = report(&app, fence) => {}
                     () = scale(&app, fence) => {}
                     () = follow(app.clone(), Topic::Versions) => {}
                 }
                 tracing::info!(event = "orders_given_up", fence);
-                app.rest_from_orders().await;
-                let txn = Txn::when(HOLDER, fence).remove(HOLDER);
+                app.wait_out_last_order().await;
+                let txn = Txn::when(LEADER_KEY, fence).remove(LEADER_KEY);
                 if let Err(e) = app.store.txn(txn).await {
                     tracing::warn!(event = "holder_not_removed", fence, error = %e);
                 }
@@ -67,35 +67,35 @@
 }
 
 /// Waits until this node is holder and returns its fencing token.
-async fn acquire(app: &Arc<App>) -> u64 {
+async fn acquire_leadership(app: &Arc<App>) -> u64 {
     let mut news = app.news.subscribe();
     let mut free = None;
     loop {
-        let _ = tokio::time::timeout(LOOK, news.changed()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, news.changed()).await;
         let now = app.now();
         let (taken, able) = {
             let live = app.live.lock();
-            (live.holder().cloned(), live.able())
+            (live.leader().cloned(), live.serving_incarnations())
         };
         if let Some(seen) = taken {
             free = None;
             // A key of an earlier term of this very process.
-            if seen.value.life == app.life && app.leased() {
+            if seen.value.incarnation == app.life && app.leased() {
                 return seen.revision;
             }
             continue;
         }
         let since = *free.get_or_insert(now);
-        let ranked = rank(HOLDER, able.iter().map(|l| &**l));
+        let ranked = rank(LEADER_KEY, able.iter().map(|l| &**l));
         let Some(place) = ranked.iter().position(|l| **l == *app.life) else { continue };
         let lease = app.lease.lock().id;
-        if lease == 0 || !app.leased() || now < since + STEP * place as u32 {
+        if lease == 0 || !app.leased() || now < since + RANK_DELAY * place as u32 {
             continue;
         }
-        let Ok(value) = serde_json::to_vec(&HolderValue { life: app.life.clone() }) else {
+        let Ok(value) = serde_json::to_vec(&LeaderRecord { incarnation: app.life.clone() }) else {
             continue;
         };
-        let txn = Txn::when(HOLDER, 0).put_leased(HOLDER, value, lease);
+        let txn = Txn::when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
         match app.store.txn(txn).await {
             Ok(TxnEnd::Done(fence)) => return fence,
             Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => {}
@@ -105,41 +105,41 @@
 }
 
 /// Gives orders until the term is over.
-async fn hold(app: &Arc<App>, fence: u64) {
+async fn issue_orders(app: &Arc<App>, fence: u64) {
     tokio::time::sleep(app.turn()).await;
     let mut news = app.news.subscribe();
     let mut busy: BTreeMap<Name, Name> = BTreeMap::new();
-    let mut running: JoinSet<(Name, Moved)> = JoinSet::new();
+    let mut running: JoinSet<(Name, MoveResult)> = JoinSet::new();
     loop {
         if !app.holds(fence) {
             return;
         }
-        for wanted in wanted(app, &busy) {
+        for wanted in plan_moves(app, &busy) {
             let Some(target) = target(app, &wanted.id) else { continue };
             busy.insert(wanted.id.clone(), wanted.model.clone());
             let (app, id) = (app.clone(), wanted.id.clone());
-            running.spawn(async move { (id, carry_out(&app, target, wanted, fence).await) });
+            running.spawn(async move { (id, execute_move(&app, target, wanted, fence).await) });
         }
         tokio::select! {
             _ = news.changed() => {}
             Some(ended) = running.join_next() => match ended {
-                Ok((id, Moved::Done)) => drop(busy.remove(&id)),
-                Ok((id, Moved::Failed)) => {
+                Ok((id, MoveResult::Done)) => drop(busy.remove(&id)),
+                Ok((id, MoveResult::Failed)) => {
                     busy.remove(&id);
-                    tokio::time::sleep(ASK).await;
+                    tokio::time::sleep(LOAD_POLL_INTERVAL).await;
                 }
-                Ok((_, Moved::Fenced)) => return,
+                Ok((_, MoveResult::Fenced)) => return,
                 Err(e) => {
                     tracing::error!(event = "move_failed", error = %e);
                     return;
                 }
             },
-            () = tokio::time::sleep(LOOK), if !busy.is_empty() => {}
+            () = tokio::time::sleep(CHECK_INTERVAL), if !busy.is_empty() => {}
         }
     }
 }
 
-fn wanted(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
+fn plan_moves(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
     let named = app.versions.lock().clone();
     let demand = app.demand.lock().by_model(app.now());
     let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
@@ -163,21 +163,23 @@
     app.slots.fleet.lock().get(id).map(|l| l.target.clone())
 }
 
-async fn carry_out(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> Moved {
-    let Ok(stance) = app.replicas.stance(&target, CALL).await else { return Moved::Failed };
+async fn execute_move(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> MoveResult {
+    let Ok(stance) = app.replicas.stance(&target, REPLICA_CALL_TIMEOUT).await else {
+        return MoveResult::Failed;
+    };
     if stance.is_of_another(&target) {
         // It started again; its entry will say so.
-        return Moved::Failed;
+        return MoveResult::Failed;
     }
     let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
     if let Some(has) = has
         && has >= wanted.version
     {
         app.slots.fleet.lock().seen(&target, &wanted.model, has);
-        return Moved::Done;
+        return MoveResult::Done;
     }
     if stance.busy || !app.holds(fence) {
-        return Moved::Failed;
+        return MoveResult::Failed;
     }
     let one_version = app.routes().is_some_and(|r| r.any_one_version());
     let order = Order {
@@ -189,7 +191,7 @@
         sequence: stance.sequence,
     };
     *app.ordered.lock() = Some(app.now());
-    let end = app.replicas.order(&target, order, CALL).await;
+    let end = app.replicas.order(&target, order, REPLICA_CALL_TIMEOUT).await;
     tracing::info!(
         event = "order_given",
         replica = %target.id,
@@ -201,34 +203,36 @@
     );
     app.tally.order(end);
     match end {
-        OrderEnd::Accepted | OrderEnd::Unknown => wait(app, &target, &wanted).await,
+        OrderEnd::Accepted | OrderEnd::Unknown => await_load(app, &target, &wanted).await,
         OrderEnd::Holds => {
             app.slots.fleet.lock().seen(&target, &wanted.model, wanted.version);
-            Moved::Done
+            MoveResult::Done
         }
-        OrderEnd::Busy | OrderEnd::Refused => Moved::Failed,
-        OrderEnd::Fenced => Moved::Fenced,
+        OrderEnd::Busy | OrderEnd::Refused => MoveResult::Failed,
+        OrderEnd::Fenced => MoveResult::Fenced,
     }
 }
 
 /// Waits until a replica has loaded what it was ordered to.
-async fn wait(app: &App, target: &Target, wanted: &Move) -> Moved {
-    tokio::time::sleep(LOAD).await;
-    for _ in 0..ASKS {
-        let Ok(stance) = app.replicas.stance(target, CALL).await else { return Moved::Failed };
+async fn await_load(app: &App, target: &Target, wanted: &Move) -> MoveResult {
+    tokio::time::sleep(MIN_LOAD_TIME).await;
+    for _ in 0..MAX_LOAD_POLLS {
+        let Ok(stance) = app.replicas.stance(target, REPLICA_CALL_TIMEOUT).await else {
+            return MoveResult::Failed;
+        };
         if stance.is_of_another(target) {
-            return Moved::Failed;
+            return MoveResult::Failed;
         }
         let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
         if has.is_some_and(|has| has >= wanted.version) {
             app.slots.fleet.lock().seen(target, &wanted.model, wanted.version);
-            app.slots.pump(app.now());
-            return Moved::Done;
+            app.slots.assign_free(app.now());
+            return MoveResult::Done;
         }
         if !stance.busy {
-            return Moved::Failed;
+            return MoveResult::Failed;
         }
-        tokio::time::sleep(ASK).await;
+        tokio::time::sleep(LOAD_POLL_INTERVAL).await;
     }
-    Moved::Failed
+    MoveResult::Failed
 }
--- a/src/entry/live.rs
+++ b/src/entry/membership.rs
@@ -4,47 +4,47 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::keys::{HolderValue, LiveKey, NodeValue, live_key};
+use super::keys::{LeaderRecord, MembershipKey, NodeRecord, parse_membership_key};
 use crate::edge::store::{Change, Item, Page};
 use crate::{Moment, Name};
 
 /// How long nodes count as alive after they vanished together, by the time in which the store
 /// could be heard. An outage of the store ends the leases of nodes that go on serving; they are
 /// back within a renewal of its return, and can't be before.
-const HOLD: Duration = Duration::from_millis(2_500);
-/// Part of the nodes whose leases end within [`HOLD`] of each other in an outage of the store.
-const MANY: usize = 2;
+const OUTAGE_RETENTION: Duration = Duration::from_millis(2_500);
+/// Part of the nodes whose leases end within [`OUTAGE_RETENTION`] of each other in an outage of the store.
+const OUTAGE_FRACTION: usize = 2;
 
 /// A value with its revision.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Seen<T> {
+pub(super) struct Stored<T> {
     pub value: T,
     pub revision: u64,
 }
 
 /// The view.
 #[derive(Debug, Default)]
-pub(super) struct Live {
-    nodes: BTreeMap<Name, NodeValue>,
+pub(super) struct Membership {
+    nodes: BTreeMap<Name, NodeRecord>,
     /// Nodes whose key went, and when.
-    gone: HashMap<Name, (NodeValue, Moment)>,
-    holder: Option<Seen<HolderValue>>,
+    departed: HashMap<Name, (NodeRecord, Moment)>,
+    leader: Option<Stored<LeaderRecord>>,
     loaded: bool,
     /// Counts nodes whose key went.
     departures: u64,
 }
 
-impl Live {
+impl Membership {
     /// Takes over the whole prefix.
     pub(super) fn load(&mut self, page: &Page, now: Moment) {
         let before = std::mem::take(&mut self.nodes);
-        self.holder = None;
+        self.leader = None;
         for item in &page.items {
             self.put(item);
         }
         for (name, value) in before {
             if !self.nodes.contains_key(&name) {
-                self.gone.insert(name, (value, now));
+                self.departed.insert(name, (value, now));
                 self.departures += 1;
             }
         }
@@ -52,18 +52,18 @@
     }
 
     /// Takes over a change.
-    pub(super) fn change(&mut self, change: &Change, now: Moment) {
+    pub(super) fn apply_change(&mut self, change: &Change, now: Moment) {
         match change {
             Change::Put(item) => self.put(item),
-            Change::Removed { key, .. } => match live_key(key) {
-                Some(LiveKey::Node(name)) => {
+            Change::Removed { key, .. } => match parse_membership_key(key) {
+                Some(MembershipKey::Node(name)) => {
                     if let Some((name, value)) = self.nodes.remove_entry(name) {
-                        self.gone.insert(name, (value, now));
+                        self.departed.insert(name, (value, now));
                         self.departures += 1;
                     }
                 }
-                Some(LiveKey::Holder) => {
-                    self.holder = None;
+                Some(MembershipKey::Leader) => {
+                    self.leader = None;
                 }
                 None => {}
             },
@@ -71,13 +71,13 @@
     }
 
     fn put(&mut self, item: &Item) {
-        let parsed = match live_key(&item.key) {
-            Some(LiveKey::Node(name)) => serde_json::from_slice(&item.value).map(|value| {
-                self.gone.remove(name);
+        let parsed = match parse_membership_key(&item.key) {
+            Some(MembershipKey::Node(name)) => serde_json::from_slice(&item.value).map(|value| {
+                self.departed.remove(name);
                 self.nodes.insert(name.into(), value);
             }),
-            Some(LiveKey::Holder) => serde_json::from_slice(&item.value).map(|value| {
-                self.holder = Some(Seen { value, revision: item.revision });
+            Some(MembershipKey::Leader) => serde_json::from_slice(&item.value).map(|value| {
+                self.leader = Some(Stored { value, revision: item.revision });
             }),
             None => return,
         };
@@ -87,13 +87,13 @@
     }
 
     /// Whether the view was ever read.
-    pub(super) fn loaded(&self) -> bool {
+    pub(super) fn is_loaded(&self) -> bool {
         self.loaded
     }
 
     /// Where clients may connect: nodes that are alive, and those whose keys went together.
-    pub(super) fn callers(&self, now: Moment) -> Vec<(Name, SocketAddr)> {
-        let held = self.held_back(now);
+    pub(super) fn client_addresses(&self, now: Moment) -> Vec<(Name, SocketAddr)> {
+        let held = self.retained(now);
         let nodes = self.nodes.iter().chain(held.into_iter().map(|(n, (v, _))| (n, v)));
         nodes.filter_map(|(name, value)| Some((name.clone(), value.callers?))).collect()
     }
@@ -104,61 +104,64 @@
     }
 
     /// Where the nodes that have their key are asked.
-    pub(super) fn peers(&self) -> BTreeMap<Name, SocketAddr> {
+    pub(super) fn peer_addresses(&self) -> BTreeMap<Name, SocketAddr> {
         let nodes = self.nodes.iter();
         nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
     }
 
     /// The same, with nodes whose keys went together: who watches for others is to stay the
     /// same over an outage.
-    pub(super) fn peers_around(&self, now: Moment) -> BTreeMap<Name, SocketAddr> {
-        let held = self.held_back(now).into_iter().map(|(n, (v, _))| (n, v));
+    pub(super) fn stable_peers(&self, now: Moment) -> BTreeMap<Name, SocketAddr> {
+        let held = self.retained(now).into_iter().map(|(n, (v, _))| (n, v));
         let nodes = held.chain(self.nodes.iter());
         nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
     }
 
     /// Where an incarnation that has its key is asked.
-    pub(super) fn peer(&self, life: &str) -> Option<SocketAddr> {
-        self.nodes.values().find(|v| *v.life == *life)?.peers
+    pub(super) fn peer_of(&self, life: &str) -> Option<SocketAddr> {
+        self.nodes.values().find(|v| *v.incarnation == *life)?.peers
     }
 
     /// The incarnation of a node that has its key, and where it is asked.
-    pub(super) fn life(&self, node: &str) -> Option<(Name, SocketAddr)> {
+    pub(super) fn incarnation_of(&self, node: &str) -> Option<(Name, SocketAddr)> {
         let value = self.nodes.get(node)?;
-        Some((value.life.clone(), value.peers?))
+        Some((value.incarnation.clone(), value.peers?))
     }
 
     /// The incarnations that are alive, or whose keys went together a moment ago.
-    pub(super) fn lives(&self, now: Moment) -> Vec<Name> {
-        let held = self.held_back(now).into_iter().map(|(_, (value, _))| value.life.clone());
-        self.nodes.values().map(|v| v.life.clone()).chain(held).collect()
+    pub(super) fn live_incarnations(&self, now: Moment) -> Vec<Name> {
+        let held = self.retained(now).into_iter().map(|(_, (value, _))| value.incarnation.clone());
+        self.nodes.values().map(|v| v.incarnation.clone()).chain(held).collect()
     }
 
     /// Whether an incarnation has its key.
-    pub(super) fn listed(&self, life: &str) -> bool {
-        self.nodes.values().any(|v| *v.life == *life)
+    pub(super) fn is_registered(&self, life: &str) -> bool {
+        self.nodes.values().any(|v| *v.incarnation == *life)
     }
 
     /// The incarnations of nodes that take clients and have their key.
-    pub(super) fn able(&self) -> Vec<Name> {
+    pub(super) fn serving_incarnations(&self) -> Vec<Name> {
         let nodes = self.nodes.values().filter(|v| v.callers.is_some());
-        nodes.map(|v| v.life.clone()).collect()
+        nodes.map(|v| v.incarnation.clone()).collect()
     }
 
-    fn held_back(&self, now: Moment) -> Vec<(&Name, &(NodeValue, Moment))> {
-        let fresh: Vec<_> =
-            self.gone.iter().filter(|(_, (_, at))| now.saturating_sub(*at) < HOLD).collect();
+    fn retained(&self, now: Moment) -> Vec<(&Name, &(NodeRecord, Moment))> {
+        let fresh: Vec<_> = self
+            .departed
+            .iter()
+            .filter(|(_, (_, at))| now.saturating_sub(*at) < OUTAGE_RETENTION)
+            .collect();
         let all = fresh.len() + self.nodes.len();
-        if fresh.len() > 1 && fresh.len() * MANY >= all { fresh } else { Vec::new() }
+        if fresh.len() > 1 && fresh.len() * OUTAGE_FRACTION >= all { fresh } else { Vec::new() }
     }
 
     /// Forgets nodes that went long ago.
-    pub(super) fn forget(&mut self, now: Moment) {
-        self.gone.retain(|_, (_, at)| now.saturating_sub(*at) < HOLD);
+    pub(super) fn forget_departed(&mut self, now: Moment) {
+        self.departed.retain(|_, (_, at)| now.saturating_sub(*at) < OUTAGE_RETENTION);
     }
 
     /// Who gives orders.
-    pub(super) fn holder(&self) -> Option<&Seen<HolderValue>> {
-        self.holder.as_ref()
+    pub(super) fn leader(&self) -> Option<&Stored<LeaderRecord>> {
+        self.leader.as_ref()
     }
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -6,25 +6,25 @@
 
 mod addresses;
 mod app;
+mod attempt;
 mod counted;
 mod end;
 mod ended;
 mod entry;
+mod fenced_value;
 mod follow;
-mod home;
-mod homes;
 mod keys;
-mod listing;
-mod live;
-mod member;
-mod mover;
+mod leader;
+mod membership;
+mod owned_jobs;
 mod peer;
 mod ports;
 mod read;
-mod record;
+mod registration;
 mod relay;
+mod results;
 mod retire;
-mod run;
+mod runner;
 mod sample;
 mod scale;
 mod score;
@@ -42,6 +42,6 @@
     Door, Followed, PeerAsk, PeerDoor, PeerLine, PeerReply, Peers, StoreAsk, StoreReply,
 };
 pub use ports::Ports;
-pub use read::{Found, Read};
-pub use relay::{Ask, Given};
-pub use submit::Submitted;
+pub use read::{Lookup, ReadResult};
+pub use relay::{RelayRequest, RelayResponse};
+pub use submit::SubmitResult;
--- a/src/entry/peer/door.rs
+++ b/src/entry/peer/door.rs
@@ -10,7 +10,7 @@
 use crate::edge::peer::{PeerHandler, PeerListener};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::submit::Submitted;
+use crate::entry::submit::SubmitResult;
 use crate::metrics::Traffic;
 
 /// What answers other nodes.
@@ -73,22 +73,22 @@
         let app = &self.app;
         match ask {
             PeerAsk::Submit(spec) => PeerReply::Submitted(if app.leased() {
-                app.accept(spec).await
+                app.accept_here(spec).await
             } else {
-                Submitted::Refused("no_lease".into())
+                SubmitResult::Refused("no_lease".into())
             }),
             PeerAsk::Find(job) => {
                 let home = app.homes.get(&job).is_some() && app.leased();
                 PeerReply::Found(home || app.ended.get(&job).is_some())
             }
-            PeerAsk::Body { job, item } => PeerReply::Body(app.own_body(&job, &item)),
+            PeerAsk::Body { job, item } => PeerReply::Body(app.local_body(&job, &item)),
             PeerAsk::Read { job, after, wait } => {
                 if let Some(ended) = app.ended.get(&job) {
                     return PeerReply::Read(Some(ended.read(after)));
                 }
                 // Without a lease another node may be home by now, and have shown more.
                 let read = match app.homes.get(&job).filter(|_| app.leased()) {
-                    Some(home) => app.read_home(&home, after, app.now() + wait).await,
+                    Some(home) => app.read_owned(&home, after, app.now() + wait).await,
                     None => None,
                 };
                 PeerReply::Read(read.filter(|_| app.leased()))
--- a/src/entry/peer/home.rs
+++ b/src/entry/peer/home.rs
@@ -16,8 +16,8 @@
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
 use crate::entry::follow::News;
-use crate::entry::read::Read;
-use crate::entry::submit::Submitted;
+use crate::entry::read::ReadResult;
+use crate::entry::submit::SubmitResult;
 use crate::entry::views::{At, View};
 
 /// How long a home may take to accept a job: one write, in the slowest store that was seen
@@ -55,8 +55,8 @@
         let Some(to) = self.preferred(spec) else { return Passed::Not };
         let reply = self.ask(to, PeerAsk::Submit(spec.clone()), SUBMIT).await;
         let passed = match &reply {
-            Ok(PeerReply::Submitted(Submitted::Kept)) => Passed::Kept,
-            Ok(PeerReply::Submitted(Submitted::Refused(_))) => Passed::Not,
+            Ok(PeerReply::Submitted(SubmitResult::Accepted)) => Passed::Kept,
+            Ok(PeerReply::Submitted(SubmitResult::Refused(_))) => Passed::Not,
             Err(PeerError::Connect { .. }) => Passed::Not,
             Ok(_) | Err(_) => Passed::Unsure,
         };
@@ -72,7 +72,7 @@
     fn preferred(&self, spec: &Spec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
-        let nodes = self.live.lock().peers();
+        let nodes = self.live.lock().peer_addresses();
         let names: Vec<Name> = nodes.keys().cloned().collect();
         let homes = affinity::preferred(&routes.batch(), &names);
         let home = homes.get(&route.name).filter(|home| **home != self.settings.name)?;
@@ -86,10 +86,10 @@
         job: &str,
         after: usize,
         wait: Duration,
-    ) -> Result<Option<Read>, StoreError> {
+    ) -> Result<Option<ReadResult>, StoreError> {
         let view = self.views.get(job);
         let Some(life) = self.at(job, &view).await? else { return Ok(None) };
-        let Some(to) = self.live.lock().peer(&life).filter(|to| !self.shunned(*to)) else {
+        let Some(to) = self.live.lock().peer_of(&life).filter(|to| !self.shunned(*to)) else {
             return Ok(None);
         };
         let ask = PeerAsk::Read { job: job.into(), after, wait };
@@ -112,7 +112,7 @@
             At::Store | At::Unknown => None,
         };
         let life = self.find(job, known).await?;
-        let to = self.live.lock().peer(&life)?;
+        let to = self.live.lock().peer_of(&life)?;
         let ask = PeerAsk::Body { job: job.into(), item: item.into() };
         match self.ask(to, ask, READ).await {
             Ok(PeerReply::Body(body)) => body,
@@ -140,15 +140,15 @@
     fn likely_homes(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
         let live = self.live.lock();
         if let Some(life) = known
-            && let Some(to) = live.peer(&life)
+            && let Some(to) = live.peer_of(&life)
         {
             return vec![(life, to)];
         }
-        let names: Vec<Name> = live.peers().keys().cloned().collect();
+        let names: Vec<Name> = live.peer_addresses().keys().cloned().collect();
         let routes = self.routes().map(|routes| routes.batch()).unwrap_or_default();
         let homes = affinity::preferred(&routes, &names);
         let others = homes.values().filter(|name| **name != self.settings.name);
-        let mut likely: Vec<_> = others.filter_map(|name| live.life(name)).collect();
+        let mut likely: Vec<_> = others.filter_map(|name| live.incarnation_of(name)).collect();
         likely.dedup();
         likely
     }
@@ -193,16 +193,16 @@
             view.state.lock().at = At::Home { life: life.clone(), sure };
             return Ok(Some(life));
         }
-        let Some(seen) = self.home_of(job).await? else { return Ok(None) };
+        let Some(seen) = self.job_record(job).await? else { return Ok(None) };
         let mut state = view.state.lock();
-        state.total = Some(seen.value.total);
+        state.total = Some(seen.value.sample_count);
         if seen.value.ended {
             state.at = At::Store;
             state.ended = true;
             return Ok(None);
         }
-        state.at = At::Home { life: seen.value.life.clone(), sure };
-        Ok(Some(seen.value.life))
+        state.at = At::Home { life: seen.value.incarnation.clone(), sure };
+        Ok(Some(seen.value.incarnation))
     }
 
     /// Asks a node for changes after a revision; none if it can't say.
--- a/src/entry/peer/message.rs
+++ b/src/entry/peer/message.rs
@@ -11,8 +11,8 @@
 use crate::edge::peer::Message;
 use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
 use crate::entry::follow::News;
-use crate::entry::read::Read;
-use crate::entry::submit::Submitted;
+use crate::entry::read::ReadResult;
+use crate::entry::submit::SubmitResult;
 use crate::metrics::PeerUse;
 
 /// A request to another node.
@@ -112,9 +112,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// What became of a submission.
-    Submitted(Submitted),
+    Submitted(SubmitResult),
     /// The results; none where this node is not surely home.
-    Read(Option<Read>),
+    Read(Option<ReadResult>),
     /// Whether this node is surely home to it, or has all of it.
     Found(bool),
     /// The body; none where this node does not have it.
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::app::App;
-use super::homes::Home;
-use super::keys::{HomeValue, all_results, home as home_key, parts};
-use super::live::Seen;
+use super::keys::{JobRecord, job_record_key, results_prefix, spec_prefix};
+use super::membership::Stored;
+use super::owned_jobs::OwnedJob;
 use super::views::{View, ViewState};
 use crate::Moment;
 use crate::decide::job::{Listing, Spec, State};
@@ -18,18 +18,18 @@
 
 /// Text in one answer, in bytes: half of the megabyte that answers may have, as text grows
 /// when it is quoted.
-const PAGE: usize = 500_000;
+const MAX_PAGE_BYTES: usize = 500_000;
 /// The longest single watch for results.
-const WATCH: Duration = Duration::from_millis(1_000);
+const MAX_WATCH: Duration = Duration::from_millis(1_000);
 /// How long a view may rest and still go on by a watch. The store keeps its history for 20 s
 /// or less, and a watch from before that hears nothing instead of an error.
-const RESTED: Duration = Duration::from_secs(3);
+const MAX_WATCH_GAP: Duration = Duration::from_secs(3);
 /// The shortest watch: what the store has already.
-const ONCE: Duration = Duration::from_millis(1);
+const MIN_WATCH: Duration = Duration::from_millis(1);
 
 /// What a read of a job's results found.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Read {
+pub enum ReadResult {
     /// Results from the asked position on.
     Page {
         /// The number of the job's samples.
@@ -45,9 +45,9 @@
 
 /// What a lookup found.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Found<T> {
+pub enum Lookup<T> {
     /// This.
-    There(T),
+    Found(T),
     /// There is none.
     Unknown,
     /// The store does not say.
@@ -56,10 +56,10 @@
 
 impl App {
     /// Results of a job from a position on; waits for one if there is none yet.
-    pub async fn read(self: &Arc<Self>, job: &str, after: usize, wait: Duration) -> Read {
+    pub async fn read(self: &Arc<Self>, job: &str, after: usize, wait: Duration) -> ReadResult {
         let ends = self.now() + wait;
         if let Some(home) = self.homes.get(job)
-            && let Some(read) = self.read_home(&home, after, ends).await
+            && let Some(read) = self.read_owned(&home, after, ends).await
         {
             return read;
         }
@@ -75,24 +75,29 @@
             Ok(read) => read,
             Err(e) => {
                 tracing::info!(event = "read_unsure", job, error = %e);
-                Read::Unsure
+                ReadResult::Unsure
             }
         }
     }
 
     /// Reads from the home itself; none if it lost the job meanwhile.
-    pub(super) async fn read_home(&self, home: &Home, after: usize, ends: Moment) -> Option<Read> {
+    pub(super) async fn read_owned(
+        &self,
+        home: &OwnedJob,
+        after: usize,
+        ends: Moment,
+    ) -> Option<ReadResult> {
         let total = home.job.lock().spec.items.len();
-        let mut listed = home.listed.subscribe();
+        let mut listed = home.result_count.subscribe();
         loop {
-            let results = page(home.job.lock().listed(), after);
+            let results = results_page(home.job.lock().listed(), after);
             // A write that was not answered may show at other nodes already.
-            if home.job.lock().ended() || home.unsure.load(Ordering::Relaxed) {
+            if home.job.lock().ended() || home.write_unknown.load(Ordering::Relaxed) {
                 return None;
             }
             let over = home.job.lock().complete();
             if !results.is_empty() || over || self.now() >= ends {
-                return Some(Read::Page { total, results });
+                return Some(ReadResult::Page { total, results });
             }
             let left = ends.saturating_sub(self.now());
             tokio::select! {
@@ -102,29 +107,41 @@
         }
     }
 
-    async fn read_view(&self, job: &str, after: usize, ends: Moment) -> Result<Read, StoreError> {
+    async fn read_view(
+        &self,
+        job: &str,
+        after: usize,
+        ends: Moment,
+    ) -> Result<ReadResult, StoreError> {
         let view = self.views.get(job);
-        let Some(total) = self.total_of(job, &view).await? else { return Ok(Read::Unknown) };
+        let Some(total) = self.sample_count(job, &view).await? else {
+            return Ok(ReadResult::Unknown);
+        };
         // An empty page is only given from what the store said during this read.
         let mut fresh = false;
-        if !self.sure(&view) {
-            self.fill(job, &view).await?;
+        if !self.can_continue_watch(&view) {
+            self.reload_view(job, &view).await?;
             fresh = true;
         }
         if view.state.lock().all {
-            return Ok(Read::Page { total, results: page(&view.state.lock().listed, after) });
+            return Ok(ReadResult::Page {
+                total,
+                results: results_page(&view.state.lock().listed, after),
+            });
         }
         loop {
-            let results = page(&view.state.lock().listed, after);
+            let results = results_page(&view.state.lock().listed, after);
             let over = view.state.lock().listed.len() >= total;
             let left = ends.saturating_sub(self.now());
             if !results.is_empty() || over || (fresh && left.is_zero()) {
-                return Ok(Read::Page { total, results });
+                return Ok(ReadResult::Page { total, results });
             }
             fresh = true;
             let revision = view.state.lock().revision.unwrap_or_default();
-            let watched =
-                self.store.watch(&all_results(job), revision, left.clamp(ONCE, WATCH)).await;
+            let watched = self
+                .store
+                .watch(&results_prefix(job), revision, left.clamp(MIN_WATCH, MAX_WATCH))
+                .await;
             match watched {
                 Ok(watched) => {
                     let mut state = view.state.lock();
@@ -136,7 +153,7 @@
                         }
                     }
                 }
-                Err(StoreError::Compacted) => self.fill(job, &view).await?,
+                Err(StoreError::Compacted) => self.reload_view(job, &view).await?,
                 Err(e) => {
                     view.state.lock().revision = None;
                     return Err(e);
@@ -146,28 +163,28 @@
     }
 
     /// The number of a job's samples; none if there is no such job.
-    async fn total_of(&self, job: &str, view: &View) -> Result<Option<usize>, StoreError> {
+    async fn sample_count(&self, job: &str, view: &View) -> Result<Option<usize>, StoreError> {
         if let Some(total) = view.state.lock().total {
             return Ok(Some(total));
         }
-        let seen = self.home_of(job).await?;
-        let total = seen.map(|seen| seen.value.total);
+        let seen = self.job_record(job).await?;
+        let total = seen.map(|seen| seen.value.sample_count);
         view.state.lock().total = total;
         Ok(total)
     }
 
     /// Whether a watch can go on from where a view stands.
-    fn sure(&self, view: &View) -> bool {
+    fn can_continue_watch(&self, view: &View) -> bool {
         let state = view.state.lock();
         let rested = self.now().saturating_sub(state.heard);
-        let whole = state.doubts == self.doubts.load(Ordering::Relaxed) && rested < RESTED;
+        let whole = state.doubts == self.doubts.load(Ordering::Relaxed) && rested < MAX_WATCH_GAP;
         state.all || state.revision.is_some() && whole
     }
 
-    async fn fill(&self, job: &str, view: &View) -> Result<(), StoreError> {
+    async fn reload_view(&self, job: &str, view: &View) -> Result<(), StoreError> {
         let doubts = self.doubts.load(Ordering::Relaxed);
         let ended = view.state.lock().ended;
-        let page = self.store.range(&all_results(job)).await?;
+        let page = self.store.range(&results_prefix(job)).await?;
         let mut state = view.state.lock();
         for item in &page.items {
             state.add(job, item);
@@ -180,41 +197,44 @@
     }
 
     /// Where a job is.
-    pub(super) async fn home_of(&self, job: &str) -> Result<Option<Seen<HomeValue>>, StoreError> {
-        let item = self.store.get(&home_key(job)).await?;
+    pub(super) async fn job_record(
+        &self,
+        job: &str,
+    ) -> Result<Option<Stored<JobRecord>>, StoreError> {
+        let item = self.store.get(&job_record_key(job)).await?;
         let Some(item) = item else { return Ok(None) };
         match serde_json::from_slice(&item.value) {
-            Ok(value) => Ok(Some(Seen { value, revision: item.revision })),
+            Ok(value) => Ok(Some(Stored { value, revision: item.revision })),
             Err(e) => Err(StoreError::Refused(e.to_string())),
         }
     }
 
     /// The body of a sample of a job.
-    pub async fn body(&self, job: &str, item: &str) -> Found<Bytes> {
-        if let Some(body) = self.own_body(job, item) {
-            return Found::There(body);
+    pub async fn sample_body(&self, job: &str, item: &str) -> Lookup<Bytes> {
+        if let Some(body) = self.local_body(job, item) {
+            return Lookup::Found(body);
         }
         if let Some(body) = self.body_at_home(job, item).await {
-            return Found::There(body);
+            return Lookup::Found(body);
         }
         let spec = match self.spec_of(job).await {
             Ok(Some(spec)) => spec,
-            Ok(None) => return Found::Unknown,
+            Ok(None) => return Lookup::Unknown,
             Err(e) => {
                 tracing::info!(event = "read_unsure", job, error = %e);
-                return Found::Unsure;
+                return Lookup::Unsure;
             }
         };
-        body_of(&spec, item).map_or(Found::Unknown, Found::There)
+        find_body(&spec, item).map_or(Lookup::Unknown, Lookup::Found)
     }
 
     /// The body of a sample of a job that this node has.
-    pub(super) fn own_body(&self, job: &str, item: &str) -> Option<Bytes> {
+    pub(super) fn local_body(&self, job: &str, item: &str) -> Option<Bytes> {
         let spec = match self.homes.get(job) {
             Some(home) => home.job.lock().spec.clone(),
             None => self.ended.get(job)?.spec.clone(),
         };
-        body_of(&spec, item)
+        find_body(&spec, item)
     }
 
     async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
@@ -222,7 +242,7 @@
         if let Some(spec) = view.spec.lock().clone() {
             return Ok(Some(spec));
         }
-        if self.home_of(job).await?.is_none() {
+        if self.job_record(job).await?.is_none() {
             return Ok(None);
         }
         let spec = self.load_spec(job).await?;
@@ -232,7 +252,7 @@
 
     /// Reads a submission from the store.
     pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<Spec>, StoreError> {
-        let page = self.store.range(&parts(job)).await?;
+        let page = self.store.range(&spec_prefix(job)).await?;
         let mut bytes = Vec::new();
         for item in &page.items {
             bytes.extend_from_slice(&item.value);
@@ -243,7 +263,7 @@
 
     /// Reads all results of a job from the store.
     pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<Listing>>, StoreError> {
-        let page = self.store.range(&all_results(job)).await?;
+        let page = self.store.range(&results_prefix(job)).await?;
         let mut state = ViewState::default();
         for item in &page.items {
             state.add(job, item);
@@ -252,12 +272,12 @@
     }
 }
 
-fn body_of(spec: &Spec, item: &str) -> Option<Bytes> {
+fn find_body(spec: &Spec, item: &str) -> Option<Bytes> {
     spec.items.iter().find(|i| *i.id == *item).map(|item| item.body.clone())
 }
 
 /// The results from a position on that fit one answer; at least one if there is one.
-pub(super) fn page(listed: &[Arc<Listing>], after: usize) -> Vec<Arc<Listing>> {
+pub(super) fn results_page(listed: &[Arc<Listing>], after: usize) -> Vec<Arc<Listing>> {
     let mut size = 0;
     let mut results = Vec::new();
     for listing in listed.iter().skip(after) {
@@ -265,7 +285,7 @@
             State::Completed { output, .. } => output.len(),
             State::Dead => 0,
         };
-        if size > PAGE && !results.is_empty() {
+        if size > MAX_PAGE_BYTES && !results.is_empty() {
             break;
         }
         results.push(listing.clone());
--- a/src/entry/member.rs
+++ b/src/entry/registration.rs
@@ -5,45 +5,45 @@
 use std::time::Duration;
 
 use super::app::{App, Lease};
-use super::keys::{NodeValue, node};
+use super::keys::{NodeRecord, node_key};
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 
 /// Renewals in the time of a lease: two may be lost.
-const RENEWALS: u32 = 3;
+const RENEWALS_PER_TTL: u32 = 3;
 /// The pause after a failed call.
-const PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE: Duration = Duration::from_millis(150);
 /// How often a process that can't serve yet looks again.
-const LOOK: Duration = Duration::from_millis(20);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Keeps the node listed until it stops.
-pub(super) async fn keep(app: Arc<App>) {
-    while app.routes().is_none() || !app.live.lock().loaded() {
-        tokio::time::sleep(LOOK).await;
+pub(super) async fn maintain_registration(app: Arc<App>) {
+    while app.routes().is_none() || !app.live.lock().is_loaded() {
+        tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
     }
     while !app.stop.is_cancelled() {
-        if let Err(e) = hold(&app).await {
+        if let Err(e) = hold_lease(&app).await {
             tracing::warn!(event = "lease_failed", error = %e);
-            app.detour.rest(PAUSE).await;
+            app.detour.rest(RETRY_PAUSE).await;
         }
     }
 }
 
 /// Opens a lease, lists the node under it and renews it until it ends.
-async fn hold(app: &Arc<App>) -> Result<(), StoreError> {
+async fn hold_lease(app: &Arc<App>) -> Result<(), StoreError> {
     let ttl = app.settings.lease_ttl;
     let sent = app.now();
     let lease = app.store.grant(ttl).await?;
     let (callers, peers) = (app.settings.client_address, app.settings.peer_address);
-    let value = NodeValue { life: app.life.clone(), callers, peers };
+    let value = NodeRecord { incarnation: app.life.clone(), callers, peers };
     let value = serde_json::to_vec(&value).map_err(|e| StoreError::Refused(e.to_string()))?;
-    let key = node(&app.settings.name);
+    let key = node_key(&app.settings.name);
     let txn = Txn::default().put_leased(key, value, lease);
     let TxnEnd::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
     *app.lease.lock() = Lease { id: lease, until: sent + ttl, key: written };
     app.listed.store(true, Ordering::Relaxed);
     tracing::info!(event = "node_listed", life = %app.life, lease);
     app.tell();
-    let mut pause = ttl / RENEWALS;
+    let mut pause = ttl / RENEWALS_PER_TTL;
     loop {
         tokio::select! {
             () = app.stop.cancelled() => return Ok(()),
@@ -53,7 +53,7 @@
         match app.store.keep(lease).await {
             Ok(true) => {
                 app.lease.lock().until = sent + ttl;
-                pause = ttl / RENEWALS;
+                pause = ttl / RENEWALS_PER_TTL;
             }
             Ok(false) => {
                 tracing::warn!(event = "lease_ended", lease);
@@ -63,7 +63,7 @@
             }
             Err(e) => {
                 tracing::warn!(event = "lease_not_renewed", lease, error = %e);
-                pause = PAUSE;
+                pause = RETRY_PAUSE;
             }
         }
     }
@@ -71,25 +71,25 @@
 
 impl App {
     /// Waits until this node's last order is as old as the next holder takes it to be.
-    pub(super) async fn rest_from_orders(&self) {
+    pub(super) async fn wait_out_last_order(&self) {
         let Some(last) = *self.ordered.lock() else { return };
         let until = last + self.settings.lease_ttl / 2;
         tokio::time::sleep(until.saturating_sub(self.now())).await;
     }
 
     /// Takes the node off the list: clients are sent elsewhere, and others take its jobs.
-    pub(super) async fn leave(&self) {
+    pub(super) async fn deregister(&self) {
         let lease = std::mem::take(&mut *self.lease.lock());
         if lease.id == 0 {
             return;
         }
-        let key = node(&self.settings.name);
+        let key = node_key(&self.settings.name);
         // Under a condition: an answer may be lost, and this node be back by then.
         let gone = Txn::when(key.clone(), lease.key).remove(key);
         if let Err(e) = self.store.txn(gone).await {
             tracing::warn!(event = "node_not_removed", error = %e);
         }
-        self.rest_from_orders().await;
+        self.wait_out_last_order().await;
         if let Err(e) = self.store.end(lease.id).await {
             tracing::warn!(event = "lease_not_ended", lease = lease.id, error = %e);
         }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, StatusCode};
 
 use super::app::App;
-use super::slots::Held;
+use super::slots::SlotGuard;
 use super::stream;
 use crate::decide::comeback::SOON;
 use crate::decide::{Again, Ended, History, Outcome, Route, Wish};
@@ -18,16 +18,16 @@
 use crate::{Moment, Name};
 
 /// How long a request without a deadline or a route's bound may take.
-const LONGEST: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// An attempt that may be made again elsewhere is given up after this part of the time that
-/// is left, in percent: a silent replica leaves time for two more.
-const PART: u32 = 40;
+/// is left, in percent: a silent replica client_leaves time for two more.
+const ATTEMPT_TIMEOUT_PERCENT: u32 = 40;
 /// It is given at least this: ten times the usual work of a plain service.
-const LEAST: Duration = Duration::from_millis(250);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A request of a client.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct RelayRequest {
     /// Its id.
     pub id: Name,
     /// The method.
@@ -45,14 +45,14 @@
     /// How long the client waits.
     pub deadline: Option<Duration>,
     /// The event after which a stream goes on.
-    pub after: Option<u64>,
+    pub resume_after: Option<u64>,
 }
 
 /// The final answer.
 #[derive(Debug)]
-pub enum Given {
+pub enum RelayResponse {
     /// A replica's whole answer.
-    Whole {
+    Complete {
         /// Its status.
         status: StatusCode,
         /// Its headers.
@@ -71,38 +71,38 @@
         /// Its headers.
         headers: HeaderMap,
         /// The events.
-        body: Opened,
+        body: EventStream,
     },
     /// None.
     Refused(Refusal),
 }
 
 /// The body of a stream that is passed on.
-pub struct Opened(pub Pieces);
+pub struct EventStream(pub Pieces);
 
-impl std::fmt::Debug for Opened {
+impl std::fmt::Debug for EventStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Opened")
     }
 }
 
 /// The state of a request between its attempts.
-pub(super) struct Course {
-    pub ask: Ask,
+pub(super) struct RequestState {
+    pub request: RelayRequest,
     pub route: Arc<Route>,
     pub begun: Moment,
     pub ends: Moment,
-    /// When its client leaves: a stream may last until then, though its head may not.
-    pub leaves: Moment,
-    pub made: u32,
+    /// When its client client_leaves: a stream may last until then, though its head may not.
+    pub client_leaves: Moment,
+    pub attempts: u32,
     pub failures: u32,
     pub avoid: Vec<Name>,
     pub history: History,
 }
 
 /// What an attempt came to.
-enum Came {
-    Given(Given),
+enum AttemptOutcome {
+    Done(RelayResponse),
     /// Another attempt may be made.
     Next,
     /// None may.
@@ -111,52 +111,58 @@
 
 impl App {
     /// Takes a request to its final answer.
-    pub async fn relay(self: &Arc<Self>, route: &Arc<Route>, ask: Ask) -> Given {
-        let mut limit = ask.deadline.unwrap_or(LONGEST);
+    pub async fn relay(
+        self: &Arc<Self>,
+        route: &Arc<Route>,
+        request: RelayRequest,
+    ) -> RelayResponse {
+        let mut limit = request.deadline.unwrap_or(DEFAULT_TIMEOUT);
         if let Some(timeout) = route.timeout {
             limit = limit.min(timeout);
         }
-        let leaves = self.now() + ask.deadline.unwrap_or(LONGEST);
-        let mut course = Course {
-            ask,
+        let client_leaves = self.now() + request.deadline.unwrap_or(DEFAULT_TIMEOUT);
+        let mut course = RequestState {
+            request,
             route: route.clone(),
             begun: self.now(),
             ends: self.now() + limit,
-            leaves,
-            made: 0,
+            client_leaves,
+            attempts: 0,
             failures: 0,
             avoid: Vec::new(),
             history: History::new(),
         };
         loop {
             let given = match self.attempt(&mut course).await {
-                Came::Given(given) => given,
-                Came::Over(refusal) => Given::Refused(course.history.judge(refusal)),
-                Came::Next => continue,
+                AttemptOutcome::Done(given) => given,
+                AttemptOutcome::Over(refusal) => {
+                    RelayResponse::Refused(course.history.judge(refusal))
+                }
+                AttemptOutcome::Next => continue,
             };
             log(self, &course, &given);
             return given;
         }
     }
 
-    async fn attempt(self: &Arc<Self>, course: &mut Course) -> Came {
+    async fn attempt(self: &Arc<Self>, course: &mut RequestState) -> AttemptOutcome {
         let left = course.ends.saturating_sub(self.now());
         if left.is_zero() {
-            return Came::Over(refused(Kind::DeadlinePassed, "no time is left"));
+            return AttemptOutcome::Over(refused(Kind::DeadlinePassed, "no time is left"));
         }
-        if course.made >= course.route.attempts {
-            return Came::Over(refused(Kind::RetriesSpent, "no attempt is left"));
+        if course.attempts >= course.route.attempts {
+            return AttemptOutcome::Over(refused(Kind::RetriesSpent, "no attempt is left"));
         }
         let Some(service) = course.route.service(self.draw()).cloned() else {
-            return Came::Over(refused(Kind::NoUpstream, "the route names no service"));
+            return AttemptOutcome::Over(refused(Kind::NoUpstream, "the route names no service"));
         };
         let wish = Wish { service: &service, weights: None, avoid: &course.avoid, over: true };
-        let Some(mut held) = self.take(&wish) else {
-            return Came::Over(refused(Kind::NoUpstream, "no replica takes work"));
+        let Some(mut held) = self.take_slot(&wish) else {
+            return AttemptOutcome::Over(refused(Kind::NoUpstream, "no replica takes work"));
         };
-        course.made += 1;
+        course.attempts += 1;
         let usage = self.usage.as_ref();
-        let mut metered = usage.map(|u| u.begin(&course.ask.organisation)).unwrap_or_default();
+        let mut metered = usage.map(|u| u.begin(&course.request.organisation)).unwrap_or_default();
         let began = self.now();
         let call = course.call(self.now());
         let limit = course.limit(left);
@@ -174,9 +180,9 @@
                 return course.failed(self, &mut held, Failure::Broken("silent".to_owned()));
             }
         };
-        self.heard(&held.target.id, reply.load);
+        self.record_response_head(&held.target.id, reply.load);
         if course.route.streaming && reply.status.is_success() {
-            return Came::Given(self.open_stream(course, &held, reply));
+            return AttemptOutcome::Done(self.open_stream(course, &held, reply));
         }
         let left = limit.saturating_sub(self.now().saturating_sub(began));
         let status = reply.status;
@@ -187,7 +193,7 @@
             Err(_) => return course.failed(self, &mut held, Failure::Broken("silent".to_owned())),
         };
         let took = self.now().saturating_sub(began);
-        held.ended(Ended::Answered { took, cost: 1 });
+        held.set_end(Ended::Answered { took, cost: 1 });
         if signature.is_none() {
             return course.failed(self, &mut held, Failure::Broken("unsigned".to_owned()));
         }
@@ -197,25 +203,30 @@
             course.failures += 1;
         }
         if failed {
-            held.ended(Ended::Failed);
-            if course.may_repeat() && course.made < course.route.attempts {
+            held.set_end(Ended::Failed);
+            if course.may_repeat() && course.attempts < course.route.attempts {
                 course.history.note(Outcome::Unknown);
                 course.avoid.push(held.target.id.clone());
-                return Came::Next;
+                return AttemptOutcome::Next;
             }
         }
         let failures = course.failures;
-        Came::Given(Given::Whole { status, headers, signature, body, failures })
+        AttemptOutcome::Done(RelayResponse::Complete { status, headers, signature, body, failures })
     }
 
-    fn open_stream(self: &Arc<Self>, course: &mut Course, held: &Held<'_>, reply: Reply) -> Given {
+    fn open_stream(
+        self: &Arc<Self>,
+        course: &mut RequestState,
+        held: &SlotGuard<'_>,
+        reply: Reply,
+    ) -> RelayResponse {
         let (status, headers) = (reply.status, reply.headers.clone());
         let body = stream::forward(self.clone(), course, held.target.clone(), reply);
-        Given::Stream { status, headers, body: Opened(body) }
+        RelayResponse::Stream { status, headers, body: EventStream(body) }
     }
 }
 
-impl Course {
+impl RequestState {
     pub(super) fn may_repeat(&self) -> bool {
         match self.route.again {
             Again::Whole | Again::Resume => true,
@@ -224,46 +235,46 @@
     }
 
     pub(super) fn call(&self, now: Moment) -> Call {
-        let ends = if self.route.streaming { self.leaves } else { self.ends };
+        let ends = if self.route.streaming { self.client_leaves } else { self.ends };
         Call {
-            id: self.ask.id.clone(),
-            method: self.ask.method.clone(),
-            path: self.ask.path.clone(),
-            host: self.ask.host.clone(),
-            organisation: self.ask.organisation.clone(),
-            headers: self.ask.headers.clone(),
-            body: self.ask.body.clone(),
+            id: self.request.id.clone(),
+            method: self.request.method.clone(),
+            path: self.request.path.clone(),
+            host: self.request.host.clone(),
+            organisation: self.request.organisation.clone(),
+            headers: self.request.headers.clone(),
+            body: self.request.body.clone(),
             limit: ends.saturating_sub(now),
-            after: self.ask.after,
+            after: self.request.resume_after,
             rank: None,
         }
     }
 
     /// How long one attempt may take.
     fn limit(&self, left: Duration) -> Duration {
-        if !self.may_repeat() || self.made >= self.route.attempts {
+        if !self.may_repeat() || self.attempts >= self.route.attempts {
             return left;
         }
-        (left * PART / 100).max(LEAST).min(left)
+        (left * ATTEMPT_TIMEOUT_PERCENT / 100).max(MIN_ATTEMPT_TIMEOUT).min(left)
     }
 
-    fn failed(&mut self, app: &App, held: &mut Held<'_>, failure: Failure) -> Came {
+    fn failed(&mut self, app: &App, held: &mut SlotGuard<'_>, failure: Failure) -> AttemptOutcome {
         app.tally.attempt(match failure {
             Failure::Unsent(_) => AttemptEnd::Unsent,
             Failure::NotRun(_) => AttemptEnd::NotRun,
             Failure::Stranger => AttemptEnd::Stranger,
             Failure::Broken(_) => AttemptEnd::Broken,
         });
-        held.ended(match failure {
+        held.set_end(match failure {
             Failure::Unsent(_) | Failure::Stranger => Ended::Unreachable,
             Failure::NotRun(_) => Ended::Full,
             Failure::Broken(_) => Ended::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
-            request = %self.ask.id,
+            request = %self.request.id,
             replica = %held.target.id,
-            attempt = self.made,
+            attempt = self.attempts,
             %failure
         );
         self.avoid.push(held.target.id.clone());
@@ -271,15 +282,15 @@
             self.history.note(Outcome::Refused);
             // It ran nowhere, so it does not count among the replicas that it may run on.
             if self.avoid.len() < 2 * self.route.attempts.max(1) as usize {
-                self.made -= 1;
+                self.attempts -= 1;
             }
-            return Came::Next;
+            return AttemptOutcome::Next;
         }
         self.history.note(Outcome::Unknown);
         if self.may_repeat() {
-            return Came::Next;
+            return AttemptOutcome::Next;
         }
-        Came::Over(refused(Kind::OutcomeUnknown, "the attempt broke off"))
+        AttemptOutcome::Over(refused(Kind::OutcomeUnknown, "the attempt broke off"))
     }
 }
 
@@ -287,15 +298,17 @@
     Refusal::new(kind, detail).after(SOON)
 }
 
-fn log(app: &App, course: &Course, given: &Given) {
-    let (id, attempts) = (&course.ask.id, course.made);
+fn log(app: &App, course: &RequestState, given: &RelayResponse) {
+    let (id, attempts) = (&course.request.id, course.attempts);
     app.tally.answered(app.now().saturating_sub(course.begun));
     match given {
-        Given::Whole { status, .. } => {
+        RelayResponse::Complete { status, .. } => {
             tracing::debug!(event = "answered", request = %id, attempts, status = status.as_u16());
         }
-        Given::Stream { .. } => tracing::debug!(event = "stream_opened", request = %id, attempts),
-        Given::Refused(refusal) => {
+        RelayResponse::Stream { .. } => {
+            tracing::debug!(event = "stream_opened", request = %id, attempts)
+        }
+        RelayResponse::Refused(refusal) => {
             app.tally.refused(refusal.kind);
             tracing::info!(
                 event = "refused",
--- a/src/entry/listing.rs
+++ b/src/entry/results.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use super::app::App;
-use super::homes::{Home, Unsaved};
-use super::keys::{HomeValue, home as home_key, results, texts};
-use super::live::Seen;
-use super::submit::SPARE;
+use super::keys::{JobRecord, job_record_key, results_key, texts_key};
+use super::membership::Stored;
+use super::owned_jobs::{OwnedJob, UnsavedTexts};
+use super::submit::VALUE_RESERVE_BYTES;
 use crate::Name;
 use crate::edge::store::{Item, StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
@@ -16,18 +16,18 @@
 /// How long results are gathered for one write once the trainer may wait for them. A sample
 /// takes a second; a write for each would cost four times the calls, and a longer wait shows
 /// in the time of a step.
-const WINDOW: Duration = Duration::from_millis(100);
+const GATHER_WINDOW: Duration = Duration::from_millis(100);
 /// For how many windows they are gathered before that: what a step's first seconds bring is
 /// of no use to its trainer yet, and is lost with a home at most.
-const WINDOWS: u32 = 4;
+const GATHER_WINDOWS: u32 = 4;
 /// How often unfinished texts are written while no result comes: what is lost with a home.
 /// Only what has come since is written, so a shorter time costs calls but no bytes.
-const SAVE: Duration = Duration::from_millis(500);
+const TEXT_SAVE_INTERVAL: Duration = Duration::from_millis(500);
 /// The pause after a failed write.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// What a write that met a conflict found.
-enum Conflict {
+enum WriteConflict {
     /// The same results lie there already: an earlier try took effect.
     Written,
     /// The home's key changed, and this node is still home.
@@ -37,23 +37,23 @@
 }
 
 /// Writes results as they come, and unfinished texts now and then, until there are no more.
-pub(super) async fn list(app: Arc<App>, home: Arc<Home>, id: Name) {
+pub(super) async fn write_results(app: Arc<App>, home: Arc<OwnedJob>, id: Name) {
     loop {
         tokio::select! {
             () = home.stop.cancelled() => break,
-            () = tokio::time::sleep(SAVE) => {}
-            () = home.fresh.notified() => {}
+            () = tokio::time::sleep(TEXT_SAVE_INTERVAL) => {}
+            () = home.sample_ended.notified() => {}
         }
-        for _ in 0..WINDOWS {
+        for _ in 0..GATHER_WINDOWS {
             if home.job.lock().made() {
                 break;
             }
-            tokio::time::sleep(WINDOW).await;
+            tokio::time::sleep(GATHER_WINDOW).await;
             if home.job.lock().awaited() {
                 break;
             }
         }
-        if !write_all(&app, &home, &id, usize::MAX).await {
+        if !flush(&app, &home, &id, usize::MAX).await {
             return;
         }
         if home.job.lock().complete() {
@@ -66,11 +66,11 @@
 
 /// Writes all that is fresh, a value at a time, each at most `tries` times. False if another
 /// node is home.
-pub(super) async fn write_all(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
-    let _writing = home.writing.lock().await;
+pub(super) async fn flush(app: &Arc<App>, home: &Arc<OwnedJob>, id: &Name, tries: usize) -> bool {
+    let _writing = home.write_lock.lock().await;
     loop {
         let before = home.job.lock().position();
-        if !write(app, home, id, tries).await {
+        if !write_batch(app, home, id, tries).await {
             return false;
         }
         let job = home.job.lock();
@@ -81,8 +81,8 @@
 }
 
 /// Writes what is fresh and fits a value.
-async fn write(app: &Arc<App>, home: &Arc<Home>, id: &Name, tries: usize) -> bool {
-    let (position, batch) = home.job.lock().batch(app.settings.max_value - SPARE);
+async fn write_batch(app: &Arc<App>, home: &Arc<OwnedJob>, id: &Name, tries: usize) -> bool {
+    let (position, batch) = home.job.lock().batch(app.settings.value_bytes - VALUE_RESERVE_BYTES);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
@@ -93,10 +93,10 @@
     };
     let total = home.job.lock().spec.items.len();
     let last = !batch.is_empty() && position + batch.len() == total;
-    let key = home_key(id);
-    let place = results(id, position);
+    let key = job_record_key(id);
+    let place = results_key(id, position);
     for _ in 0..tries {
-        let Seen { value, revision } = home.key.lock().clone();
+        let Stored { value, revision } = home.record.lock().clone();
         // Whoever has read that it is ended takes what lies there for all of it.
         if home.job.lock().ended() {
             return false;
@@ -106,15 +106,15 @@
             txn.expected.push((place.clone(), 0));
             txn = txn.put(place.clone(), bytes.clone());
         }
-        let value = HomeValue { done: true, ..value };
+        let value = JobRecord { done: true, ..value };
         if last {
             txn = txn.put(key.clone(), serde_json::to_vec(&value).unwrap_or_default());
         }
-        let Unsaved { growths, after } = home.growths(app.settings.max_value / 2);
+        let UnsavedTexts { growths, saved } = home.unsaved_texts(app.settings.value_bytes / 2);
         if !growths.is_empty() && !last {
-            let index = *home.saves.lock();
+            let index = *home.text_writes.lock();
             let encoded = bincode::serde::encode_to_vec(&growths, bincode::config::standard());
-            txn = txn.put(texts(id, index), encoded.unwrap_or_default());
+            txn = txn.put(texts_key(id, index), encoded.unwrap_or_default());
         }
         if txn.puts.is_empty() {
             return true;
@@ -122,43 +122,45 @@
         match app.store.txn(txn).await {
             Ok(TxnEnd::Done(written)) => {
                 if last {
-                    *home.key.lock() = Seen { value, revision: written };
+                    *home.record.lock() = Stored { value, revision: written };
                 }
-                if !last && !after.is_empty() {
-                    home.saved(after);
+                if !last && !saved.is_empty() {
+                    home.mark_saved(saved);
                 }
-                kept(home, batch.len());
+                batch_written(home, batch.len());
                 return true;
             }
-            Ok(TxnEnd::Conflict(items)) => match judge(app, home, id, &items, &place, &bytes) {
-                Conflict::Written => {
-                    kept(home, batch.len());
-                    return true;
+            Ok(TxnEnd::Conflict(items)) => {
+                match classify_conflict(app, home, id, &items, &place, &bytes) {
+                    WriteConflict::Written => {
+                        batch_written(home, batch.len());
+                        return true;
+                    }
+                    WriteConflict::Changed => {}
+                    WriteConflict::Lost => {
+                        drop_lost_job(app, home, id);
+                        return false;
+                    }
                 }
-                Conflict::Changed => {}
-                Conflict::Lost => {
-                    lose(app, home, id);
-                    return false;
-                }
-            },
+            }
             Ok(TxnEnd::NoLease) => {}
             Err(e) => {
                 tracing::warn!(event = "results_not_written", job = %id, error = %e);
                 if matches!(e, StoreError::Unknown(_)) && !batch.is_empty() {
-                    home.unsure.store(true, Ordering::Relaxed);
+                    home.write_unknown.store(true, Ordering::Relaxed);
                 }
                 if home.stop.is_cancelled() {
                     return false;
                 }
-                app.detour.rest(PAUSE).await;
+                app.detour.rest(RETRY_PAUSE).await;
             }
         }
     }
     false
 }
 
-fn kept(home: &Home, count: usize) {
-    home.unsure.store(false, Ordering::Relaxed);
+fn batch_written(home: &OwnedJob, count: usize) {
+    home.write_unknown.store(false, Ordering::Relaxed);
     if count == 0 {
         return;
     }
@@ -166,51 +168,51 @@
     job.written(count);
     let listed = job.position();
     drop(job);
-    home.listed.send_replace(listed);
+    home.result_count.send_replace(listed);
 }
 
-fn judge(
+fn classify_conflict(
     app: &Arc<App>,
-    home: &Arc<Home>,
+    home: &Arc<OwnedJob>,
     id: &str,
     items: &[Item],
     place: &str,
     bytes: &[u8],
-) -> Conflict {
-    let own = home_key(id);
-    let Some(item) = items.iter().find(|i| *i.key == *own) else { return Conflict::Lost };
-    if !still(app, home, item) {
-        return Conflict::Lost;
+) -> WriteConflict {
+    let own = job_record_key(id);
+    let Some(item) = items.iter().find(|i| *i.key == *own) else { return WriteConflict::Lost };
+    if !update_record(app, home, item) {
+        return WriteConflict::Lost;
     }
     match items.iter().find(|i| *i.key == *place) {
-        Some(there) if there.value == bytes => Conflict::Written,
-        Some(_) => Conflict::Lost,
-        None => Conflict::Changed,
+        Some(there) if there.value == bytes => WriteConflict::Written,
+        Some(_) => WriteConflict::Lost,
+        None => WriteConflict::Changed,
     }
 }
 
 /// Takes over the home's key as the store has it. False if another node is home.
-pub(super) fn still(app: &Arc<App>, home: &Arc<Home>, item: &Item) -> bool {
-    let Ok(value) = serde_json::from_slice::<HomeValue>(&item.value) else { return false };
-    let mut key = home.key.lock();
+pub(super) fn update_record(app: &Arc<App>, home: &Arc<OwnedJob>, item: &Item) -> bool {
+    let Ok(value) = serde_json::from_slice::<JobRecord>(&item.value) else { return false };
+    let mut key = home.record.lock();
     if item.revision < key.revision {
         return true;
     }
-    if value.life != app.life {
+    if value.incarnation != app.life {
         return false;
     }
     let ended = value.ended;
-    *key = Seen { value, revision: item.revision };
+    *key = Stored { value, revision: item.revision };
     drop(key);
     if ended && !home.job.lock().ended() {
-        app.halt(home);
+        app.stop_job(home);
         app.keep_ended(home.clone());
     }
     true
 }
 
 /// Stops a job that another node is home to.
-pub(super) fn lose(app: &App, home: &Home, id: &Name) {
+pub(super) fn drop_lost_job(app: &App, home: &OwnedJob, id: &Name) {
     app.tally.job(JobStep::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is home");
     home.stop.cancel();
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -7,7 +7,7 @@
 use crate::edge::store::Txn;
 
 /// The pause between tries to tell the operator.
-const PAUSE: Duration = Duration::from_millis(300);
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl App {
     /// An operator asks for a machine's disk to be emptied. Nothing lasts on it, so the
@@ -26,7 +26,7 @@
                     Ok(_) => break tracing::info!(event = "retired"),
                     Err(e) => tracing::warn!(event = "retired_not_told", error = %e),
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         });
     }
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -6,9 +6,9 @@
 use http::{HeaderMap, HeaderName, HeaderValue, Method};
 
 use super::app::App;
-use super::homes::Home;
-use super::run::{Run, Tried};
-use super::score::score;
+use super::attempt::{AttemptResult, TextAttempt};
+use super::owned_jobs::OwnedJob;
+use super::score::request_score;
 use crate::Name;
 use crate::decide::job::{Finished, ItemSpec, Spec, State};
 use crate::decide::{Route, Want};
@@ -16,16 +16,16 @@
 use crate::metrics::SampleEnd;
 
 /// The pause after an attempt that brought nothing, doubled up to eight times.
-const PAUSE: Duration = Duration::from_millis(25);
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 /// The pause while no route or service is there.
-const ABSENT: Duration = Duration::from_millis(200);
+const ROUTE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Replicas that failed a sample and are avoided; older ones are tried again.
-const AVOIDED: usize = 2;
+const MAX_AVOIDED: usize = 2;
 /// The last rank that replicas know.
-const LAST: u8 = 9;
+const MAX_RANK: u8 = 9;
 
 /// Makes a sample and hands its result to the job.
-pub(super) async fn run(app: &Arc<App>, home: &Home, item: &ItemSpec, index: u64) {
+pub(super) async fn make_sample(app: &Arc<App>, home: &OwnedJob, item: &ItemSpec, index: u64) {
     let state = make(app, home, item, index).await;
     let dead = state == State::Dead;
     home.texts.lock().remove(&item.id);
@@ -34,27 +34,27 @@
         Finished::Unwanted => return,
         // A trainer takes whole groups: the rest goes with the next write.
         Finished::Sample => {}
-        Finished::Group => home.fresh.notify_one(),
+        Finished::Group => home.sample_ended.notify_one(),
     }
     app.tally.sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
     let job = home.job.lock().spec.id.clone();
     tracing::info!(event = "sample_made", %job, item = %item.id, dead);
 }
 
-async fn make(app: &Arc<App>, home: &Home, item: &ItemSpec, index: u64) -> State {
+async fn make(app: &Arc<App>, home: &OwnedJob, item: &ItemSpec, index: u64) -> State {
     let spec = home.job.lock().spec.clone();
     let begun = app.now();
-    if !text(app, home, &spec, item, index).await {
+    if !make_text(app, home, &spec, item, index).await {
         return State::Dead;
     }
     let score = match &item.scorer {
         None => None,
-        Some(scorer) => match score(app, &item.id, scorer, begun).await {
+        Some(scorer) => match request_score(app, &item.id, scorer, begun).await {
             Some(score) => Some(score),
             None => return State::Dead,
         },
     };
-    home.text(&item.id, |text| State::Completed {
+    home.with_text(&item.id, |text| State::Completed {
         output: text.output().to_owned(),
         versions: text.versions(),
         score,
@@ -62,14 +62,20 @@
 }
 
 /// Makes the text of a sample. False if it can't be made.
-async fn text(app: &Arc<App>, home: &Home, spec: &Spec, item: &ItemSpec, index: u64) -> bool {
+async fn make_text(
+    app: &Arc<App>,
+    home: &OwnedJob,
+    spec: &Spec,
+    item: &ItemSpec,
+    index: u64,
+) -> bool {
     let begun = app.now();
     let mut failed = 0;
     let mut idle = 0;
     let mut avoid: Vec<Name> = Vec::new();
     loop {
         let Some(routes) = app.routes() else {
-            tokio::time::sleep(ABSENT).await;
+            tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
         let Some(route) = routes.find(&spec.host, &spec.path).cloned() else {
@@ -81,47 +87,47 @@
             return false;
         }
         let Some(service) = route.service(app.draw()).cloned() else {
-            tokio::time::sleep(ABSENT).await;
+            tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
         let want =
             Want { service, model: spec.model.clone(), least: spec.oldest, avoid: avoid.clone() };
         let priority = routes.priority(&route, spec.organisation.as_ref());
-        let turn = (priority, home.turn, index);
-        let Some(mut held) = app.place(turn, want).await else { continue };
-        let before = home.text(&item.id, |text| text.last());
-        let run = Run { app, home, item, spec, route: &route };
+        let turn = (priority, home.queue_order, index);
+        let Some(mut held) = app.wait_for_slot(turn, want).await else { continue };
+        let before = home.with_text(&item.id, |text| text.last());
+        let run = TextAttempt { app, home, item, spec, route: &route };
         let tried = run.attempt(&mut held, call(&route, priority, spec, item, before)).await;
         let replica = held.target.id.clone();
         drop(held);
-        let events = home.text(&item.id, |text| text.last());
+        let events = home.with_text(&item.id, |text| text.last());
         match tried {
-            Tried::Whole => {
+            AttemptResult::Whole => {
                 tracing::debug!(event = "text_whole", item = %item.id, %replica, events);
                 return true;
             }
-            Tried::Impossible => {
+            AttemptResult::Impossible => {
                 tracing::info!(event = "sample_given_up", item = %item.id, reason = "impossible");
                 return false;
             }
-            Tried::Failed => {
+            AttemptResult::Failed => {
                 failed += 1;
                 tracing::info!(event = "sample_failed", item = %item.id, %replica, failed);
                 if failed >= route.attempts {
                     return false;
                 }
             }
-            Tried::Again(end) => {
+            AttemptResult::Again(end) => {
                 tracing::info!(event = "sample_goes_on", item = %item.id, %replica, events, reason = ?end);
             }
         }
         avoid.push(replica);
-        if avoid.len() > AVOIDED {
+        if avoid.len() > MAX_AVOIDED {
             avoid.remove(0);
         }
         idle = if events > before { 0 } else { idle + 1 };
         if idle > 1 {
-            tokio::time::sleep(PAUSE * (1 << (idle - 1).min(3))).await;
+            tokio::time::sleep(RETRY_PAUSE * (1 << (idle - 1).min(3))).await;
         }
     }
 }
@@ -145,6 +151,6 @@
         body: item.body.clone(),
         limit: route.retention,
         after: (last > 0).then_some(last),
-        rank: Some(priority.min(LAST)),
+        rank: Some(priority.min(MAX_RANK)),
     }
 }
--- a/src/entry/scale/order.rs
+++ b/src/entry/scale/order.rs
@@ -11,8 +11,8 @@
 use crate::edge::duty::{DutyEnd, ScaleOrder, Term};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::keys::SCALE;
-use crate::entry::record::{Record, Written};
+use crate::entry::fenced_value::{FencedValue, FencedWrite};
+use crate::entry::keys::SCALE_KEY;
 use crate::{Moment, Name};
 
 /// How often plans are made: as often as homes are asked what their samples want.
@@ -35,7 +35,7 @@
 struct Orders {
     app: Arc<App>,
     fence: u64,
-    record: Record,
+    record: FencedValue,
     planners: BTreeMap<Name, Planner>,
     sent: BTreeMap<(Name, Name), Sent>,
 }
@@ -48,7 +48,7 @@
     let mut orders = Orders {
         app: app.clone(),
         fence,
-        record: Record::new(SCALE, fence),
+        record: FencedValue::new(SCALE_KEY, fence),
         planners: BTreeMap::new(),
         sent: BTreeMap::new(),
     };
@@ -114,9 +114,9 @@
     /// Writes the plans. False if this node is holder no more.
     async fn write(&mut self) -> Result<bool, StoreError> {
         match self.record.write(&self.app, &self.planners).await? {
-            Written::Done => Ok(true),
-            Written::Other => self.read().await,
-            Written::NotHolder => Ok(false),
+            FencedWrite::Done => Ok(true),
+            FencedWrite::Conflict => self.read().await,
+            FencedWrite::NotLeader => Ok(false),
         }
     }
 
--- a/src/entry/score.rs
+++ b/src/entry/score.rs
@@ -7,22 +7,22 @@
 use http::{HeaderMap, Method};
 
 use super::app::App;
-use super::relay::{Ask, Given};
+use super::relay::{RelayRequest, RelayResponse};
 use crate::decide::job::{Score, Scorer};
 use crate::{Moment, Name};
 
 /// How long a scorer may take for one try: plain work, with room for a full queue.
-const TRY: Duration = Duration::from_millis(3_000);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// The pause after a try that brought nothing, doubled up to sixteen times.
-const PAUSE: Duration = Duration::from_millis(25);
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 /// The pause while the scorer's route is not there.
-const ABSENT: Duration = Duration::from_millis(200);
+const ROUTE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a text without a score is kept, where its scorer's route says less.
-const KEPT: Duration = Duration::from_secs(40);
+const MIN_RETENTION: Duration = Duration::from_secs(40);
 
 /// Asks a scorer until it answers; none once it has failed as often as its route allows, or
 /// the sample's time since `begun` is over.
-pub(super) async fn score(
+pub(super) async fn request_score(
     app: &Arc<App>,
     item: &Name,
     scorer: &Scorer,
@@ -33,27 +33,29 @@
     loop {
         let routes = app.routes();
         let route = routes.and_then(|r| r.find(&scorer.host, &scorer.path).cloned());
-        let kept = route.as_ref().map_or(KEPT, |r| r.retention.max(KEPT));
+        let kept = route.as_ref().map_or(MIN_RETENTION, |r| r.retention.max(MIN_RETENTION));
         if app.now().saturating_sub(begun) > kept {
             tracing::info!(event = "score_given_up", %item, request = %scorer.id, reason = "retention");
             return None;
         }
         let Some(route) = route else {
-            tokio::time::sleep(ABSENT).await;
+            tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
         match app.relay(&route, ask(scorer)).await {
-            Given::Whole { status, signature: Some(signature), .. } if status.is_success() => {
+            RelayResponse::Complete { status, signature: Some(signature), .. }
+                if status.is_success() =>
+            {
                 return Some(signature);
             }
-            Given::Whole { status, failures, .. } => {
+            RelayResponse::Complete { status, failures, .. } => {
                 failed += failures;
                 tracing::info!(event = "score_not_given", %item, request = %scorer.id, %status, failed);
             }
-            Given::Stream { .. } => {
+            RelayResponse::Stream { .. } => {
                 tracing::warn!(event = "score_streamed", %item, request = %scorer.id);
             }
-            Given::Refused(refusal) => {
+            RelayResponse::Refused(refusal) => {
                 tracing::info!(event = "score_refused", %item, request = %scorer.id, kind = %refusal.kind);
             }
         }
@@ -62,12 +64,12 @@
             return None;
         }
         idle += 1;
-        tokio::time::sleep(PAUSE * (1 << idle.min(4))).await;
+        tokio::time::sleep(RETRY_PAUSE * (1 << idle.min(4))).await;
     }
 }
 
-fn ask(scorer: &Scorer) -> Ask {
-    Ask {
+fn ask(scorer: &Scorer) -> RelayRequest {
+    RelayRequest {
         id: Name::clone(&scorer.id),
         method: Method::POST,
         path: scorer.path.clone(),
@@ -75,7 +77,7 @@
         organisation: None,
         headers: HeaderMap::new(),
         body: Bytes::clone(&scorer.body),
-        deadline: Some(TRY),
-        after: None,
+        deadline: Some(ATTEMPT_TIMEOUT),
+        resume_after: None,
     }
 }
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -13,7 +13,7 @@
 use crate::{Moment, Name};
 
 /// How often those who wait are looked at again while replicas are left out for a time.
-const LOOK: Duration = Duration::from_millis(50);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 type Queue = Waiting<oneshot::Sender<Target>>;
 
@@ -25,7 +25,7 @@
     /// The time that samples have wanted places.
     pub(super) wanted: Arc<Wanted>,
     /// Told when someone begins to wait.
-    begun: Notify,
+    waiter_added: Notify,
 }
 
 impl Slots {
@@ -34,18 +34,18 @@
             fleet: Mutex::new(Fleet::new(zone)),
             waiting: Mutex::default(),
             wanted: Arc::default(),
-            begun: Notify::new(),
+            waiter_added: Notify::new(),
         }
     }
 
     /// Whether anyone waits.
-    fn waits(&self) -> bool {
+    fn has_waiters(&self) -> bool {
         !self.waiting.lock().is_empty()
     }
 
     /// Gives free places to those who wait, in turn.
-    pub(super) fn pump(&self, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.pump(fleet, now));
+    pub(super) fn assign_free(&self, now: Moment) {
+        self.assign(now, |waiting, fleet| waiting.pump(fleet, now));
     }
 
     /// A place at a replica is free again.
@@ -53,20 +53,20 @@
     /// Load pattern: a step of thousands of texts before thousands of replicas, most of whose
     /// places are taken. Looking through all replicas at each text's end to find the place that
     /// it gave back costs texts times replicas; the others are looked at soon after.
-    fn freed(&self, replica: &str, now: Moment) {
+    fn slot_freed(&self, replica: &str, now: Moment) {
         if self.fleet.lock().many() {
-            self.offer(replica, now);
+            self.assign_at(replica, now);
         } else {
-            self.pump(now);
+            self.assign_free(now);
         }
     }
 
     /// Gives the free places of one replica, in turn.
-    fn offer(&self, replica: &str, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.offer(replica, fleet, now));
+    fn assign_at(&self, replica: &str, now: Moment) {
+        self.assign(now, |waiting, fleet| waiting.offer(replica, fleet, now));
     }
 
-    fn give(
+    fn assign(
         &self,
         now: Moment,
         choose: impl FnOnce(&mut Queue, &mut Fleet) -> Vec<(oneshot::Sender<Target>, Target)>,
@@ -83,7 +83,7 @@
 
 /// A place at a replica. It is given back when dropped.
 #[derive(Debug)]
-pub(super) struct Held<'a> {
+pub(super) struct SlotGuard<'a> {
     app: &'a App,
     pub target: Target,
     model: Option<Name>,
@@ -92,32 +92,32 @@
     _wanted: Option<WantedPlace>,
 }
 
-impl<'a> Held<'a> {
+impl<'a> SlotGuard<'a> {
     /// A place that was counted by [`Fleet::start`] already.
-    pub(super) fn began(app: &'a App, target: Target) -> Self {
+    pub(super) fn started(app: &'a App, target: Target) -> Self {
         Self { app, target, model: None, ended: Ended::Dropped, _wanted: None }
     }
 
     /// Says how the attempt ended.
-    pub(super) fn ended(&mut self, ended: Ended) {
+    pub(super) fn set_end(&mut self, ended: Ended) {
         self.ended = ended;
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         let now = self.app.now();
         let model = self.model.as_deref();
         self.app.slots.fleet.lock().end(&self.target.id, model, self.ended, now);
-        if self.app.slots.waits() {
-            self.app.slots.freed(&self.target.id, now);
+        if self.app.slots.has_waiters() {
+            self.app.slots.slot_freed(&self.target.id, now);
         }
     }
 }
 
 impl App {
     /// The head of a replica's answer came, with its load if it tells that.
-    pub(super) fn heard(&self, replica: &str, load: Option<Load>) {
+    pub(super) fn record_response_head(&self, replica: &str, load: Option<Load>) {
         let now = self.now();
         {
             let mut fleet = self.slots.fleet.lock();
@@ -126,48 +126,48 @@
                 None => fleet.untold(replica),
             }
         }
-        if self.slots.waits() {
-            self.slots.offer(replica, now);
+        if self.slots.has_waiters() {
+            self.slots.assign_at(replica, now);
         }
     }
 
     /// Waits for a free place.
-    pub(super) async fn place(&self, turn: Position, want: Want) -> Option<Held<'_>> {
+    pub(super) async fn wait_for_slot(&self, turn: Position, want: Want) -> Option<SlotGuard<'_>> {
         let (service, model) = (want.service.clone(), want.model.clone());
         let wanted = self.slots.wanted.begin(service.clone());
         let (grant, granted) = oneshot::channel();
         self.slots.waiting.lock().add(turn, want, grant);
-        let mut waiting = Wait { app: self, turn, service, model: model.clone(), granted };
-        self.slots.pump(self.now());
-        self.slots.begun.notify_one();
+        let mut waiting = QueuedWaiter { app: self, turn, service, model: model.clone(), granted };
+        self.slots.assign_free(self.now());
+        self.slots.waiter_added.notify_one();
         let target = (&mut waiting.granted).await.ok()?;
-        Some(Held { app: self, target, model, ended: Ended::Dropped, _wanted: Some(wanted) })
+        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _wanted: Some(wanted) })
     }
 
     /// Looks after those who wait, for as long as someone does.
-    pub(super) async fn look(&self) {
+    pub(super) async fn retry_waiting(&self) {
         loop {
-            self.slots.begun.notified().await;
-            while self.slots.waits() {
-                tokio::time::sleep(LOOK).await;
-                self.slots.pump(self.now());
+            self.slots.waiter_added.notified().await;
+            while self.slots.has_waiters() {
+                tokio::time::sleep(RETRY_INTERVAL).await;
+                self.slots.assign_free(self.now());
             }
         }
     }
 
     /// Takes a place at once, also where all are taken.
-    pub(super) fn take(&self, wish: &Wish<'_>) -> Option<Held<'_>> {
+    pub(super) fn take_slot(&self, wish: &Wish<'_>) -> Option<SlotGuard<'_>> {
         let mut fleet = self.slots.fleet.lock();
         let now = self.now();
         let target = fleet.choose(wish, now)?;
         fleet.start(&target.id, now);
         let model = wish.weights.map(|(model, _)| model.into());
-        Some(Held { app: self, target, model, ended: Ended::Dropped, _wanted: None })
+        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _wanted: None })
     }
 }
 
 /// Takes a waiter out of the queue when its sample gives up.
-struct Wait<'a> {
+struct QueuedWaiter<'a> {
     app: &'a App,
     turn: Position,
     service: Name,
@@ -175,7 +175,7 @@
     granted: oneshot::Receiver<Target>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for QueuedWaiter<'_> {
     fn drop(&mut self) {
         self.app.slots.waiting.lock().remove(self.turn, &self.service, &self.model);
         // A place that was granted but never taken is given back.
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -10,21 +10,21 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use super::app::App;
-use super::relay::Course;
-use super::slots::Held;
+use super::relay::RequestState;
+use super::slots::SlotGuard;
 use crate::decide::job::EventReader;
 use crate::decide::{Again, Ended, Wish};
 use crate::edge::replica::{Pieces, Reply, Target};
 
 /// How long the next event may take before the replica counts as silent.
-const GAP: Duration = Duration::from_millis(1_200);
+const EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Events that wait for a client that reads slowly.
-const AHEAD: usize = 16;
+const MAX_BUFFERED_EVENTS: usize = 16;
 /// The pause between attempts to go on.
-const PAUSE: Duration = Duration::from_millis(25);
+const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
 /// Where a stream stands.
-struct Forward {
+struct StreamForwarder {
     app: Arc<App>,
     call: crate::edge::replica::Call,
     leaves: crate::Moment,
@@ -37,62 +37,70 @@
 }
 
 /// How one replica's part of a stream ended.
-enum Part {
+enum PartEnd {
     Whole,
     Broken,
     ClientLeft,
 }
 
 /// Passes a stream on. It ends in an error if it can't be brought to its end.
-pub(super) fn forward(app: Arc<App>, course: &Course, target: Target, reply: Reply) -> Pieces {
+pub(super) fn forward(
+    app: Arc<App>,
+    course: &RequestState,
+    target: Target,
+    reply: Reply,
+) -> Pieces {
     let listed = app.slots.fleet.lock().get(&target.id).map(|l| l.service.clone());
-    let forward = Forward {
+    let forward = StreamForwarder {
         call: course.call(app.now()),
-        leaves: course.leaves,
+        leaves: course.client_leaves,
         service: listed,
         avoid: course.avoid.clone(),
         resume: course.route.again == Again::Resume,
-        left: course.route.attempts.saturating_sub(course.made),
-        last: course.ask.after,
+        left: course.route.attempts.saturating_sub(course.attempts),
+        last: course.request.resume_after,
         version: reply.version,
         app: app.clone(),
     };
     app.slots.fleet.lock().start(&target.id, app.now());
-    let (sender, receiver) = mpsc::channel(AHEAD);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     // The task ends with the client: a receiver that is gone fails the next send, and the
     // select below notices one that is gone between events.
     app.spawn(forward.run(target, reply, sender));
     ReceiverStream::new(receiver).boxed()
 }
 
-impl Forward {
+impl StreamForwarder {
     async fn run(mut self, target: Target, reply: Reply, to: mpsc::Sender<Result<Bytes, String>>) {
         let app = self.app.clone();
-        let mut held = Some(Held::began(&app, target));
+        let mut held = Some(SlotGuard::started(&app, target));
         let mut reply = Some(reply);
         loop {
             let (Some(place), Some(body)) = (held.as_mut(), reply.take()) else { break };
             let began = app.now();
-            match self.part(body, &to).await {
-                Part::Whole => {
+            match self.forward_part(body, &to).await {
+                PartEnd::Whole => {
                     let took = app.now().saturating_sub(began);
-                    place.ended(Ended::Answered { took, cost: 1 });
+                    place.set_end(Ended::Answered { took, cost: 1 });
                     return;
                 }
-                Part::ClientLeft => return,
-                Part::Broken => place.ended(Ended::Failed),
+                PartEnd::ClientLeft => return,
+                PartEnd::Broken => place.set_end(Ended::Failed),
             }
             self.avoid.push(place.target.id.clone());
             drop(held.take());
             tracing::info!(event = "stream_broke", request = %self.call.id, last = self.last);
-            (held, reply) = self.again(&app).await;
+            (held, reply) = self.resume_elsewhere(&app).await;
         }
         tracing::info!(event = "stream_cut", request = %self.call.id, last = self.last);
         let _ = to.send(Err("the stream broke off".to_owned())).await;
     }
 
     /// Takes the stream up elsewhere.
-    async fn again<'a>(&mut self, app: &'a App) -> (Option<Held<'a>>, Option<Reply>) {
+    async fn resume_elsewhere<'a>(
+        &mut self,
+        app: &'a App,
+    ) -> (Option<SlotGuard<'a>>, Option<Reply>) {
         while self.resume && self.left > 0 {
             self.left -= 1;
             let time = self.leaves.saturating_sub(app.now());
@@ -101,23 +109,27 @@
             }
             let Some(service) = self.service.clone() else { break };
             let wish = Wish { service: &service, weights: None, avoid: &self.avoid, over: true };
-            let Some(held) = app.take(&wish) else { break };
+            let Some(held) = app.take_slot(&wish) else { break };
             let mut call = self.call.clone();
             call.after = self.last;
             call.limit = time;
             let sending = app.replicas.send(&held.target, call);
-            if let Ok(Ok(reply)) = tokio::time::timeout(GAP, sending).await
+            if let Ok(Ok(reply)) = tokio::time::timeout(EVENT_TIMEOUT, sending).await
                 && reply.status.is_success()
             {
                 return (Some(held), Some(reply));
             }
             self.avoid.push(held.target.id.clone());
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         (None, None)
     }
 
-    async fn part(&mut self, reply: Reply, to: &mpsc::Sender<Result<Bytes, String>>) -> Part {
+    async fn forward_part(
+        &mut self,
+        reply: Reply,
+        to: &mpsc::Sender<Result<Bytes, String>>,
+    ) -> PartEnd {
         let field = self.app.replicas.version_field();
         let mut reader = EventReader::new(field);
         let mut body = reply.body;
@@ -125,19 +137,19 @@
         self.version = reply.version;
         loop {
             let piece = tokio::select! {
-                () = to.closed() => return Part::ClientLeft,
-                piece = tokio::time::timeout(GAP, body.next()) => piece,
+                () = to.closed() => return PartEnd::ClientLeft,
+                piece = tokio::time::timeout(EVENT_TIMEOUT, body.next()) => piece,
             };
             let bytes = match piece {
-                Err(_) | Ok(Some(Err(_))) => return Part::Broken,
-                Ok(None) if reader.unfinished() => return Part::Broken,
-                Ok(None) => return Part::Whole,
+                Err(_) | Ok(Some(Err(_))) => return PartEnd::Broken,
+                Ok(None) if reader.unfinished() => return PartEnd::Broken,
+                Ok(None) => return PartEnd::Whole,
                 Ok(Some(Ok(bytes))) => bytes,
             };
-            let Ok(events) = reader.push(&bytes) else { return Part::Broken };
+            let Ok(events) = reader.push(&bytes) else { return PartEnd::Broken };
             for event in events {
                 if self.last.is_some_and(|last| event.id != last + 1) {
-                    return Part::Broken;
+                    return PartEnd::Broken;
                 }
                 self.last = Some(event.id);
                 let stated = event.version.is_some();
@@ -145,11 +157,11 @@
                 if let Some(version) = changed.take().filter(|_| !stated) {
                     let line = Bytes::from(format!("{field}: {version}\n"));
                     if to.send(Ok(line)).await.is_err() {
-                        return Part::ClientLeft;
+                        return PartEnd::ClientLeft;
                     }
                 }
                 if to.send(Ok(event.raw)).await.is_err() {
-                    return Part::ClientLeft;
+                    return PartEnd::ClientLeft;
                 }
             }
         }
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::app::App;
-use super::home::Kept;
-use super::keys::{HomeValue, home, part};
-use super::live::Seen;
+use super::keys::{JobRecord, job_record_key, spec_part_key};
+use super::membership::Stored;
 use super::peer::Passed;
+use super::runner::RestoredJob;
 use super::takeover;
 use crate::Name;
 use crate::decide::job::Spec;
@@ -18,20 +18,20 @@
 use crate::metrics::JobStep;
 
 /// Writes of one transaction, less the home's own key.
-const PARTS: usize = 24;
+const MAX_SPEC_PARTS: usize = 24;
 /// Room that a value keeps free, in bytes.
-pub(super) const SPARE: usize = 4_096;
+pub(super) const VALUE_RESERVE_BYTES: usize = 4_096;
 /// How long a submission whose write was not answered is tried again: a trainer's own
 /// limit for the answer is a few seconds.
-const TRY: Duration = Duration::from_millis(2_000);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// The pause between tries.
-const PAUSE: Duration = Duration::from_millis(100);
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// The end of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Submitted {
+pub enum SubmitResult {
     /// The job is kept, from this submission or an earlier one.
-    Kept,
+    Accepted,
     /// It is not kept, and never will be from this submission.
     Refused(Name),
     /// It may be kept.
@@ -40,71 +40,76 @@
 
 impl App {
     /// Takes in a job.
-    pub async fn submit(self: &Arc<Self>, spec: Spec) -> Submitted {
+    pub async fn submit(self: &Arc<Self>, spec: Spec) -> SubmitResult {
         let kept = self.homes.get(&spec.id).is_some();
         let passed = if kept || self.draining() { Passed::Not } else { self.pass_on(&spec).await };
         match passed {
-            Passed::Kept => Submitted::Kept,
-            Passed::Not => self.accept(spec).await,
+            Passed::Kept => SubmitResult::Accepted,
+            Passed::Not => self.accept_here(spec).await,
             // What the other may have written is found there as this node writes. Where it
             // can't, nobody knows.
-            Passed::Unsure => match self.accept(spec).await {
-                Submitted::Refused(_) => Submitted::Unknown,
+            Passed::Unsure => match self.accept_here(spec).await {
+                SubmitResult::Refused(_) => SubmitResult::Unknown,
                 submitted => submitted,
             },
         }
     }
 
     /// Takes in a job at this node.
-    pub(super) async fn accept(self: &Arc<Self>, spec: Spec) -> Submitted {
-        let submitted = self.take_in(spec).await;
+    pub(super) async fn accept_here(self: &Arc<Self>, spec: Spec) -> SubmitResult {
+        let submitted = self.store_job(spec).await;
         self.tally.job(match submitted {
-            Submitted::Kept => JobStep::Accepted,
-            Submitted::Refused(_) => JobStep::Refused,
-            Submitted::Unknown => JobStep::Unsure,
+            SubmitResult::Accepted => JobStep::Accepted,
+            SubmitResult::Refused(_) => JobStep::Refused,
+            SubmitResult::Unknown => JobStep::Unsure,
         });
         submitted
     }
 
-    async fn take_in(self: &Arc<Self>, spec: Spec) -> Submitted {
+    async fn store_job(self: &Arc<Self>, spec: Spec) -> SubmitResult {
         let id = spec.id.clone();
         if self.homes.get(&id).is_some() {
-            return Submitted::Kept;
+            return SubmitResult::Accepted;
         }
         if self.draining() {
-            return Submitted::Refused("draining".into());
+            return SubmitResult::Refused("draining".into());
         }
         let Ok(bytes) = bincode::serde::encode_to_vec(&spec, bincode::config::standard()) else {
-            return Submitted::Refused("unreadable".into());
+            return SubmitResult::Refused("unreadable".into());
         };
         let parts: Vec<Bytes> = Bytes::from(bytes)
-            .chunks(self.settings.max_value - SPARE)
+            .chunks(self.settings.value_bytes - VALUE_RESERVE_BYTES)
             .map(Bytes::copy_from_slice)
             .collect();
-        if parts.len() > PARTS {
-            return Submitted::Refused("too_large".into());
+        if parts.len() > MAX_SPEC_PARTS {
+            return SubmitResult::Refused("too_large".into());
         }
-        let value = HomeValue {
-            life: self.life.clone(),
-            total: spec.items.len(),
-            parts: parts.len(),
+        let value = JobRecord {
+            incarnation: self.life.clone(),
+            sample_count: spec.items.len(),
+            part_count: parts.len(),
             done: false,
             ended: false,
-            since: unix_millis(),
+            accepted_ms: unix_millis(),
         };
         let Ok(written) = serde_json::to_vec(&value) else {
-            return Submitted::Refused("unreadable".into());
+            return SubmitResult::Refused("unreadable".into());
         };
-        let key = home(&id);
+        let key = job_record_key(&id);
         let mut txn = Txn::when(key.clone(), 0).put(key, written);
         for (index, bytes) in parts.into_iter().enumerate() {
-            txn = txn.put(part(&id, index), bytes);
+            txn = txn.put(spec_part_key(&id, index), bytes);
         }
         let spec = Arc::new(spec);
-        self.write(spec, value, txn).await
+        self.write_submission(spec, value, txn).await
     }
 
-    async fn write(self: &Arc<Self>, spec: Arc<Spec>, value: HomeValue, txn: Txn) -> Submitted {
+    async fn write_submission(
+        self: &Arc<Self>,
+        spec: Arc<Spec>,
+        value: JobRecord,
+        txn: Txn,
+    ) -> SubmitResult {
         let begun = self.now();
         let mut unsure = false;
         let mut looked = false;
@@ -112,24 +117,24 @@
             let reason = match self.store.txn(txn.clone()).await {
                 Ok(TxnEnd::Done(revision)) => {
                     tracing::info!(event = "job_accepted", job = %spec.id, items = spec.items.len(), revision);
-                    self.run(spec, Kept::default(), Seen { value, revision });
-                    return Submitted::Kept;
+                    self.run_job(spec, RestoredJob::default(), Stored { value, revision });
+                    return SubmitResult::Accepted;
                 }
                 // It lies there already: from an earlier try, or through another node.
                 Ok(TxnEnd::Conflict(items)) => {
                     let own = items.first().and_then(|item| {
-                        let value: HomeValue = serde_json::from_slice(&item.value).ok()?;
-                        let seen = Seen { value, revision: item.revision };
-                        (seen.value.life == self.life && !seen.value.done).then_some(seen)
+                        let value: JobRecord = serde_json::from_slice(&item.value).ok()?;
+                        let seen = Stored { value, revision: item.revision };
+                        (seen.value.incarnation == self.life && !seen.value.done).then_some(seen)
                     });
                     // Results may lie there by now: it is read rather than begun anew.
                     if let Some(seen) = own {
                         tracing::info!(event = "job_accepted", job = %spec.id, late = true);
-                        takeover::begin(self, &spec.id, seen).await;
+                        takeover::resume_job(self, &spec.id, seen).await;
                     }
-                    return Submitted::Kept;
+                    return SubmitResult::Accepted;
                 }
-                Ok(TxnEnd::NoLease) => return Submitted::Refused("no_lease".into()),
+                Ok(TxnEnd::NoLease) => return SubmitResult::Refused("no_lease".into()),
                 Err(StoreError::Unknown(reason)) => {
                     unsure = true;
                     reason
@@ -138,19 +143,19 @@
                 Err(StoreError::Compacted) => "compacted".to_owned(),
             };
             tracing::warn!(event = "submission_not_written", job = %spec.id, unsure, %reason);
-            if self.now().saturating_sub(begun) > TRY {
+            if self.now().saturating_sub(begun) > WRITE_TIMEOUT {
                 // An outage that has just ended costs no step: one look, and one try more.
-                if !looked && self.detour.opens(&home(&spec.id)).await {
+                if !looked && self.detour.opens(&job_record_key(&spec.id)).await {
                     looked = true;
                     continue;
                 }
                 if unsure {
-                    self.expect(spec.id.clone());
-                    return Submitted::Unknown;
+                    self.watch_for_late_write(spec.id.clone());
+                    return SubmitResult::Unknown;
                 }
-                return Submitted::Refused("store_away".into());
+                return SubmitResult::Refused("store_away".into());
             }
-            self.detour.rest(PAUSE).await;
+            self.detour.rest(RETRY_PAUSE).await;
         }
     }
 }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use super::app::{App, ByName};
-use super::home::Kept;
-use super::keys::{HOMES, HomeValue, all_texts, home as home_key, whole_job};
-use super::live::Seen;
+use super::keys::{JOB_RECORD_PREFIX, JobRecord, job_data_prefix, job_record_key, texts_prefix};
+use super::membership::Stored;
+use super::runner::RestoredJob;
 use super::submit::unix_millis;
 use crate::decide::job::{Growth, Listing, Saved, Spec, Text};
 use crate::decide::rank;
@@ -21,28 +21,28 @@
 
 /// How much longer each next node in rank waits before it looks: the nodes ahead of it need
 /// two calls to the store for each job.
-const STEP: Duration = Duration::from_millis(500);
+const RANK_DELAY: Duration = Duration::from_millis(500);
 /// Nodes that look at all.
-const LOOKERS: usize = 3;
+const MAX_SCANNERS: usize = 3;
 /// The pause after a look that failed, or found homes that may come back.
-const AGAIN: Duration = Duration::from_millis(300);
+const RESCAN_PAUSE: Duration = Duration::from_millis(300);
 /// How often the first in rank looks without a sign: what every other way has missed.
-const ROUTINE: Duration = Duration::from_secs(10);
+const SCAN_INTERVAL: Duration = Duration::from_secs(10);
 /// Keys that are removed by one write: a transaction takes 32 entries.
-const REMOVED: usize = 30;
+const MAX_KEYS_PER_DELETE: usize = 30;
 /// How long a write that was not answered may still take effect: six seconds were seen.
-const LATE: u32 = 8;
+const LATE_WRITE_POLLS: u32 = 8;
 /// How often it is looked for.
-const ASK: Duration = Duration::from_secs(1);
+const LATE_WRITE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Looks for orphans whenever nodes have changed, until the process stops.
-pub(super) async fn follow(app: Arc<App>) {
+pub(super) async fn run_takeover(app: Arc<App>) {
     let mut news = app.news.subscribe();
     let mut known: BTreeSet<Name> = BTreeSet::new();
     let mut due: Option<Moment> = None;
     loop {
         let now = app.now();
-        let routine = due.map_or(ROUTINE, |at| at.saturating_sub(now));
+        let routine = due.map_or(SCAN_INTERVAL, |at| at.saturating_sub(now));
         tokio::select! {
             () = app.stop.cancelled() => return,
             _ = news.changed() => {}
@@ -54,71 +54,74 @@
         let place = {
             let mut live = app.live.lock();
             let heard = app.store_time();
-            live.forget(heard);
-            app.tidy(now);
-            let lives: BTreeSet<Name> = live.lives(heard).into_iter().collect();
-            let able = live.able();
+            live.forget_departed(heard);
+            app.evict_expired(now);
+            let lives: BTreeSet<Name> = live.live_incarnations(heard).into_iter().collect();
+            let able = live.serving_incarnations();
             if lives != known {
                 known = lives;
                 due = None;
             }
-            rank(HOMES, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.life)
+            rank(JOB_RECORD_PREFIX, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.life)
         };
-        let Some(place) = place.filter(|place| *place < LOOKERS) else {
+        let Some(place) = place.filter(|place| *place < MAX_SCANNERS) else {
             due = None;
             continue;
         };
-        let at = *due.get_or_insert(now + STEP * place as u32);
+        let at = *due.get_or_insert(now + RANK_DELAY * place as u32);
         if now < at {
             continue;
         }
         if !app.leased() {
-            due = Some(now + AGAIN);
+            due = Some(now + RESCAN_PAUSE);
             continue;
         }
-        due = match look(&app).await {
+        due = match scan_jobs(&app).await {
             Ok(true) => None,
-            Ok(false) => Some(app.now() + AGAIN),
+            Ok(false) => Some(app.now() + RESCAN_PAUSE),
             Err(e) => {
                 tracing::warn!(event = "orphans_not_read", error = %e);
-                Some(app.now() + AGAIN)
+                Some(app.now() + RESCAN_PAUSE)
             }
         };
         // Without a sign the next look is the routine one.
-        due = due.or(Some(app.now() + ROUTINE));
+        due = due.or(Some(app.now() + SCAN_INTERVAL));
     }
 }
 
 /// Takes what has no home. False if a home that is gone may still come back.
-async fn look(app: &Arc<App>) -> Result<bool, StoreError> {
-    let page = app.store.range(HOMES).await?;
+async fn scan_jobs(app: &Arc<App>) -> Result<bool, StoreError> {
+    let page = app.store.range(JOB_RECORD_PREFIX).await?;
     let mut settled = true;
     for item in &page.items {
-        let Ok(value) = serde_json::from_slice::<HomeValue>(&item.value) else {
+        let Ok(value) = serde_json::from_slice::<JobRecord>(&item.value) else {
             tracing::error!(event = "value_unreadable", key = %item.key);
             continue;
         };
-        let job: Name = item.key.strip_prefix(HOMES).unwrap_or(&item.key).into();
+        let job: Name = item.key.strip_prefix(JOB_RECORD_PREFIX).unwrap_or(&item.key).into();
         if value.done {
-            if old(app, &value) {
-                forget(app, &job, item.revision).await?;
+            if past_retention(app, &value) {
+                delete_job(app, &job, item.revision).await?;
             }
             continue;
         }
         if app.homes.get(&job).is_some() {
             continue;
         }
-        let seen = Seen { value, revision: item.revision };
-        if seen.value.life == app.life {
-            settled &= begin(app, &job, seen).await;
+        let seen = Stored { value, revision: item.revision };
+        if seen.value.incarnation == app.life {
+            settled &= resume_job(app, &job, seen).await;
             continue;
         }
         let (alive, back) = {
             let live = app.live.lock();
-            (live.lives(app.store_time()).contains(&seen.value.life), live.listed(&seen.value.life))
+            (
+                live.live_incarnations(app.store_time()).contains(&seen.value.incarnation),
+                live.is_registered(&seen.value.incarnation),
+            )
         };
         if !alive {
-            settled &= take(app, &job, seen).await;
+            settled &= take_over(app, &job, seen).await;
         } else if !back {
             settled = false;
         }
@@ -127,32 +130,32 @@
 }
 
 /// Makes this node home to a job. False if that is to be looked at again.
-async fn take(app: &Arc<App>, job: &Name, seen: Seen<HomeValue>) -> bool {
-    let value = HomeValue { life: app.life.clone(), ..seen.value.clone() };
+async fn take_over(app: &Arc<App>, job: &Name, seen: Stored<JobRecord>) -> bool {
+    let value = JobRecord { incarnation: app.life.clone(), ..seen.value.clone() };
     let Ok(written) = serde_json::to_vec(&value) else { return true };
-    let key = home_key(job);
+    let key = job_record_key(job);
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
     match app.store.txn(txn).await {
         Ok(TxnEnd::Done(revision)) => {
             app.tally.job(JobStep::Taken);
-            tracing::info!(event = "job_taken", %job, from = %seen.value.life, revision);
-            begin(app, job, Seen { value, revision }).await
+            tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
+            resume_job(app, job, Stored { value, revision }).await
         }
         // Another node has taken it, or its trainer ended it.
         Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => true,
         Err(e) => {
             tracing::warn!(event = "job_not_taken", %job, error = %e);
-            app.expect(job.clone());
+            app.watch_for_late_write(job.clone());
             false
         }
     }
 }
 
 /// Runs a job that is this node's from what the store has of it. False if that can't be read.
-pub(super) async fn begin(app: &Arc<App>, job: &Name, key: Seen<HomeValue>) -> bool {
-    match load(app, job).await {
-        Ok((spec, kept)) => {
-            app.run(spec, kept, key);
+pub(super) async fn resume_job(app: &Arc<App>, job: &Name, key: Stored<JobRecord>) -> bool {
+    match load_job(app, job).await {
+        Ok((spec, restored)) => {
+            app.run_job(spec, restored, key);
             true
         }
         Err(e) => {
@@ -162,16 +165,16 @@
     }
 }
 
-async fn load(app: &App, job: &str) -> Result<(Arc<Spec>, Kept), StoreError> {
+async fn load_job(app: &App, job: &str) -> Result<(Arc<Spec>, RestoredJob), StoreError> {
     let spec = app.load_spec(job).await?;
-    let listed = app.load_results(job).await?;
-    let page = app.store.range(&all_texts(job)).await?;
-    let (texts, saves) = unfinished(&page, &listed);
-    Ok((spec, Kept { listed, texts, saves }))
+    let results = app.load_results(job).await?;
+    let page = app.store.range(&texts_prefix(job)).await?;
+    let (texts, text_writes) = decode_texts(&page, &results);
+    Ok((spec, RestoredJob { results, texts, text_writes }))
 }
 
 /// The unfinished texts, from all writes of them in turn, and the number for the next write.
-fn unfinished(page: &Page, listed: &[Arc<Listing>]) -> (ByName<(Text, Saved)>, usize) {
+fn decode_texts(page: &Page, listed: &[Arc<Listing>]) -> (ByName<(Text, Saved)>, usize) {
     let mut texts: ByName<(Text, Saved)> = ByName::new();
     for item in &page.items {
         let config = bincode::config::standard();
@@ -199,18 +202,18 @@
 
 /// Whether nobody may ask for a job that is done any more. Twice the time it can be read:
 /// the times of day of two machines differ, and a client may have kept on asking.
-fn old(app: &App, value: &HomeValue) -> bool {
-    let age = Duration::from_millis(unix_millis().saturating_sub(value.since));
-    value.since > 0 && age >= app.settings.job_retention * 2
+fn past_retention(app: &App, value: &JobRecord) -> bool {
+    let age = Duration::from_millis(unix_millis().saturating_sub(value.accepted_ms));
+    value.accepted_ms > 0 && age >= app.settings.job_retention * 2
 }
 
 /// Removes a job that is done: what it is made of first, its home's key last, so that what
 /// a crash leaves behind is found again.
-async fn forget(app: &Arc<App>, job: &Name, revision: u64) -> Result<(), StoreError> {
-    let page = app.store.range(&whole_job(job)).await?;
+async fn delete_job(app: &Arc<App>, job: &Name, revision: u64) -> Result<(), StoreError> {
+    let page = app.store.range(&job_data_prefix(job)).await?;
     let keys: Vec<Name> = page.items.into_iter().map(|item| item.key).collect();
-    let key = home_key(job);
-    for keys in keys.chunks(REMOVED) {
+    let key = job_record_key(job);
+    for keys in keys.chunks(MAX_KEYS_PER_DELETE) {
         let txn = Txn::when(key.clone(), revision);
         let txn = keys.iter().fold(txn, |txn, key| txn.remove(key.clone()));
         app.store.txn(txn).await?;
@@ -225,28 +228,28 @@
 
 impl App {
     /// Forgets views and finished homes that nobody may ask for any more.
-    fn tidy(&self, now: Moment) {
+    fn evict_expired(&self, now: Moment) {
         self.views.forget(now, self.settings.job_retention * 2);
         for (job, home) in self.homes.all() {
             let over = home.job.lock().complete();
-            if over && old(self, &home.key.lock().value) {
+            if over && past_retention(self, &home.record.lock().value) {
                 self.homes.remove(&job);
             }
         }
     }
 
     /// A write that makes this node home to a job was not answered: it may yet take effect.
-    pub(super) fn expect(self: &Arc<Self>, job: Name) {
+    pub(super) fn watch_for_late_write(self: &Arc<Self>, job: Name) {
         let app = self.clone();
         self.spawn(async move {
-            for _ in 0..LATE {
-                tokio::time::sleep(ASK).await;
+            for _ in 0..LATE_WRITE_POLLS {
+                tokio::time::sleep(LATE_WRITE_POLL_INTERVAL).await;
                 if app.draining() || app.homes.get(&job).is_some() {
                     return;
                 }
-                let Ok(Some(seen)) = app.home_of(&job).await else { continue };
-                if seen.value.life == app.life && !seen.value.done {
-                    begin(&app, &job, seen).await;
+                let Ok(Some(seen)) = app.job_record(&job).await else { continue };
+                if seen.value.incarnation == app.life && !seen.value.done {
+                    resume_job(&app, &job, seen).await;
                 }
                 return;
             }
--- a/src/entry/usage/note.rs
+++ b/src/entry/usage/note.rs
@@ -13,7 +13,7 @@
 use crate::decide::rank;
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
-use crate::entry::keys::HOLDER;
+use crate::entry::keys::LEADER_KEY;
 use crate::entry::peer::{PeerAsk, PeerReply};
 
 /// How long counts are gathered for one message.
@@ -92,11 +92,11 @@
     /// while there is no holder, as ranks change with every node that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
         let live = self.live.lock();
-        let Some(seen) = live.holder() else { return Vec::new() };
-        let (able, holder) = (live.able(), &seen.value.life);
-        let ranked = rank(HOLDER, able.iter().map(|l| &**l));
+        let Some(seen) = live.leader() else { return Vec::new() };
+        let (able, holder) = (live.serving_incarnations(), &seen.value.incarnation);
+        let ranked = rank(LEADER_KEY, able.iter().map(|l| &**l));
         let followers = ranked.into_iter().filter(|l| **holder != **l);
         let lives = std::iter::once(&**holder).chain(followers).take(TOLD);
-        lives.filter(|l| **l != *self.life).filter_map(|l| live.peer(l)).collect()
+        lives.filter(|l| **l != *self.life).filter_map(|l| live.peer_of(l)).collect()
     }
 }
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -13,8 +13,8 @@
 use crate::edge::duty::{DutyEnd, Term, UsageReport};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::keys::USAGE;
-use crate::entry::record::{Record, Written};
+use crate::entry::fenced_value::{FencedValue, FencedWrite};
+use crate::entry::keys::USAGE_KEY;
 
 /// How long after its end a window is closed at the latest, in tenths of the time until its
 /// report is late: the rest is for the report.
@@ -40,7 +40,7 @@
     app: Arc<App>,
     usage: Arc<Usage>,
     fence: u64,
-    record: Record,
+    record: FencedValue,
 }
 
 /// How a term goes on.
@@ -54,7 +54,7 @@
 pub(in crate::entry) async fn report(app: &Arc<App>, fence: u64) {
     let Some(usage) = app.usage.clone() else { return std::future::pending().await };
     let mut reporter =
-        Reporter { app: app.clone(), usage, fence, record: Record::new(USAGE, fence) };
+        Reporter { app: app.clone(), usage, fence, record: FencedValue::new(USAGE_KEY, fence) };
     tokio::time::sleep(app.turn()).await;
     let mut next = None;
     loop {
@@ -91,12 +91,12 @@
         };
         let fixed = Fixed { window, counts: total.counts };
         match self.record.write(&self.app, &fixed).await? {
-            Written::Done => *next = Some(window + 1),
-            Written::Other => {
+            FencedWrite::Done => *next = Some(window + 1),
+            FencedWrite::Conflict => {
                 *next = None;
                 return Ok(Course::On);
             }
-            Written::NotHolder => return Ok(Course::Over),
+            FencedWrite::NotLeader => return Ok(Course::Over),
         }
         let missing = total.missing.len();
         let requests: u64 = fixed.counts.values().sum();
@@ -114,7 +114,7 @@
         let latest = windows.end(window) + windows.late / 10 * CLOSING;
         loop {
             let now = self.usage.time();
-            let lives = self.app.live.lock().able();
+            let lives = self.app.live.lock().serving_incarnations();
             let total = self.usage.ledger.lock().total(window, &lives);
             if now > latest || (now > windows.end(window) && total.missing.is_empty()) {
                 return Some(total);
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 
 use super::app::ByName;
-use super::keys::results;
+use super::keys::results_key;
 use crate::decide::job::{Listing, Spec};
 use crate::edge::store::Item;
 use crate::{Moment, Name};
@@ -78,7 +78,7 @@
 impl ViewState {
     /// Takes over results, if they begin where the known ones end.
     pub(super) fn add(&mut self, job: &str, item: &Item) {
-        if *item.key != *results(job, self.listed.len()) {
+        if *item.key != *results_key(job, self.listed.len()) {
             return;
         }
         let config = bincode::config::standard();
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -56,7 +56,7 @@
     /// `[store] address`.
     pub store_address: SocketAddr,
     /// `[store] value`: the largest value, in bytes.
-    pub max_value: usize,
+    pub value_bytes: usize,
     /// `[store] history`: how long the store keeps its history.
     pub store_history: Duration,
     /// `[store] lease`: how long a node counts as alive without a renewal.
@@ -75,7 +75,7 @@
     /// `[stop] grace`: how long stopping may take.
     pub stop_grace: Duration,
     /// `[answers] ttl`: how long callers may keep addresses, in seconds.
-    pub address_ttl: u64,
+    pub ttl_secs: u64,
     /// `[log] level`.
     pub log_level: String,
 }
@@ -102,7 +102,7 @@
             metrics_address: address(&node, "metrics")?,
             has_disk: node.value_or("keeps", false)?,
             store_address: store.value("address")?,
-            max_value: store.within("value", LEAST_VALUE..=64 << 20, VALUE)?,
+            value_bytes: store.within("value", LEAST_VALUE..=64 << 20, VALUE)?,
             store_history: store.duration("history", HISTORY)?,
             lease_ttl: store.duration("lease", LEASE)?,
             drain_time: DRAIN,
@@ -111,7 +111,7 @@
             usage_windows: None,
             order_gap: TURN,
             stop_grace: GRACE,
-            address_ttl: TTL,
+            ttl_secs: TTL,
             log_level: "info".to_owned(),
         };
         node.finish()?;
@@ -141,7 +141,7 @@
             stop.finish()?;
         }
         if let Some(answers) = doc.optional("answers") {
-            settings.address_ttl = answers.within("ttl", 1..=3_600, TTL)?;
+            settings.ttl_secs = answers.within("ttl", 1..=3_600, TTL)?;
             answers.finish()?;
         }
         if let Some(log) = doc.optional("log") {
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::entry::{Found, Read, Submitted};
+use mulberrycourse::entry::{Lookup, ReadResult, SubmitResult};
 use standins::kv::{Away, Faults};
 use standins::replicas::Mood;
 
@@ -14,7 +14,7 @@
 async fn a_job_is_made_scored_and_listed_the_same_at_every_node() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    assert_eq!(a.submit("j", &["i1", "i2", "i3"]).await, Submitted::Kept);
+    assert_eq!(a.submit("j", &["i1", "i2", "i3"]).await, SubmitResult::Accepted);
     let at_a = a.whole("j", 3).await;
     let at_b = b.whole("j", 3).await;
     assert_eq!(at_a, at_b);
@@ -25,8 +25,8 @@
 async fn a_job_is_accepted_once_whichever_nodes_it_comes_to() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    assert_eq!(a.submit("j", &["i1"]).await, Submitted::Kept);
-    assert_eq!(b.submit("j", &["i1"]).await, Submitted::Kept);
+    assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
+    assert_eq!(b.submit("j", &["i1"]).await, SubmitResult::Accepted);
     a.whole("j", 1).await;
     let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(texts, 1);
@@ -37,7 +37,7 @@
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { lose: 1, ..Faults::default() });
-    assert_eq!(a.submit("j", &["i1"]).await, Submitted::Kept);
+    assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
     a.whole("j", 1).await.iter().for_each(|listing| check(listing, 5));
 }
 
@@ -46,11 +46,11 @@
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
-    assert_eq!(a.submit("j", &["i1"]).await, Submitted::Refused("store_away".into()));
+    assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Refused("store_away".into()));
     a.line.fail(Faults::default());
     pass(20_000).await;
     assert!(world.replicas.ran().is_empty());
-    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, Read::Unknown);
+    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -58,7 +58,7 @@
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { lose: 100, late: Duration::from_secs(4), ..Faults::default() });
-    assert_eq!(a.submit("j", &["i1"]).await, Submitted::Unknown);
+    assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Unknown);
     a.line.fail(Faults::default());
     a.whole("j", 1).await.iter().for_each(|listing| check(listing, 5));
 }
@@ -114,7 +114,7 @@
         b.app().submit(spec("j", &["i1", "i2"])).await
     };
     let ((), again) = tokio::join!(a.entry.leave(), again);
-    assert_eq!(again, Submitted::Kept);
+    assert_eq!(again, SubmitResult::Accepted);
     let whole = b.whole("j", 2).await;
     assert_eq!(whole[0], shown[0]);
     let once = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
@@ -125,7 +125,7 @@
 async fn all_nodes_are_killed_after_an_acknowledgement() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    assert_eq!(a.submit("j", &["i1", "i2"]).await, Submitted::Kept);
+    assert_eq!(a.submit("j", &["i1", "i2"]).await, SubmitResult::Accepted);
     drop((a, b));
     let c = world.node("a").await;
     c.whole("j", 2).await.iter().for_each(|l| check(l, 5));
@@ -140,13 +140,13 @@
     }
     a.submit("j", &["i1", "i2", "i3"]).await;
     pass(500).await;
-    assert_eq!(b.app().end("j").await, Found::There(()));
+    assert_eq!(b.app().end("j").await, Lookup::Found(()));
     pass(300).await;
     let ran = world.replicas.ran().len();
     pass(10_000).await;
     assert_eq!(world.replicas.ran().len(), ran);
-    assert_eq!(b.app().end("j").await, Found::There(()));
-    assert_eq!(a.app().end("none").await, Found::Unknown);
+    assert_eq!(b.app().end("j").await, Lookup::Found(()));
+    assert_eq!(a.app().end("none").await, Lookup::Unknown);
 }
 
 #[tokio::test(start_paused = true)]
@@ -206,7 +206,7 @@
     pass(25_000).await;
     assert!(world.kv.items("mulberry/job/j/").is_empty());
     assert!(world.kv.items("mulberry/home/j").is_empty());
-    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, Read::Unknown);
+    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
     // What is still made stays.
     assert!(!world.kv.items("mulberry/job/k/").is_empty());
     a.whole("k", 1).await.iter().for_each(|l| check(l, 900));
@@ -256,7 +256,7 @@
             a.line.fail(Faults::default());
         };
         let (submitted, ()) = tokio::join!(submitting, returning);
-        assert_eq!(submitted, Submitted::Kept, "{before} ms before the return");
+        assert_eq!(submitted, SubmitResult::Accepted, "{before} ms before the return");
         a.whole("j", 1).await;
     }
 }
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::edge::store::Store;
-use mulberrycourse::entry::{Found, PeerAsk, Read, StoreAsk, Submitted};
+use mulberrycourse::entry::{Lookup, PeerAsk, ReadResult, StoreAsk, SubmitResult};
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
@@ -28,7 +28,7 @@
         nodes.push(world.linked(name).await);
     }
     pass(1_000).await;
-    assert_eq!(nodes[0].submit("first", &["f1"]).await, Submitted::Kept);
+    assert_eq!(nodes[0].submit("first", &["f1"]).await, SubmitResult::Accepted);
     let home = homes(world).first().unwrap().split('.').next().unwrap().to_owned();
     nodes.sort_by_key(|node| *node.app().settings.name != *home);
     let nodes: [Node; 3] = nodes.try_into().unwrap_or_else(|_| unreachable!());
@@ -47,7 +47,10 @@
     let world = World::new();
     let nodes = three(&world).await;
     for (i, node) in nodes.iter().enumerate() {
-        assert_eq!(node.submit(&format!("j{i}"), &[&format!("i{i}")]).await, Submitted::Kept);
+        assert_eq!(
+            node.submit(&format!("j{i}"), &[&format!("i{i}")]).await,
+            SubmitResult::Accepted
+        );
     }
     assert_eq!(homes(&world).len(), 1);
     for (i, node) in nodes.iter().enumerate() {
@@ -62,7 +65,7 @@
         let [home, other, _third] = three(&world).await;
         home.link(link);
         for (job, item) in [("j1", "i1"), ("j2", "i2")] {
-            assert_eq!(other.submit(job, &[item]).await, Submitted::Kept, "{link:?}");
+            assert_eq!(other.submit(job, &[item]).await, SubmitResult::Accepted, "{link:?}");
             other.whole(job, 1).await;
         }
         let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
@@ -84,7 +87,7 @@
         home.link(Link::Cut);
     };
     let (submitted, ()) = tokio::join!(other.submit("j", &["i1"]), cut);
-    assert_eq!(submitted, Submitted::Unknown);
+    assert_eq!(submitted, SubmitResult::Unknown);
     assert_eq!(home.whole("j", 1).await.len(), 1);
 }
 
@@ -95,7 +98,7 @@
     let leaving = home.entry.leave();
     let submitting = async {
         pass(1).await;
-        assert_eq!(other.submit("j1", &["i1"]).await, Submitted::Kept);
+        assert_eq!(other.submit("j1", &["i1"]).await, SubmitResult::Accepted);
         other.whole("j1", 1).await;
     };
     tokio::join!(leaving, submitting);
@@ -127,14 +130,16 @@
     world.replicas.length("i2", 2_000);
     home.submit("j", &["i1", "i2"]).await;
     other.whole("j", 1).await;
-    assert_eq!(other.app().end("j").await, Found::There(()));
+    assert_eq!(other.app().end("j").await, Lookup::Found(()));
     pass(1_000).await;
     let count = |node: &Node| calls(node, "Get") + calls(node, "Range") + calls(node, "Watch");
     let before = count(&third);
     for _ in 0..5 {
         let page = third.page("j", 0).await;
         assert_eq!(page.iter().map(|l| &*l.id).collect::<Vec<_>>(), ["i1"]);
-        let Found::There(body) = third.app().body("j", "i2").await else { panic!("no body") };
+        let Lookup::Found(body) = third.app().sample_body("j", "i2").await else {
+            panic!("no body")
+        };
         assert_eq!(body, "body of i2");
         pass(4_000).await;
     }
@@ -160,7 +165,7 @@
     home.isolate();
     home.link(Link::Cut);
     pass(1_500).await;
-    assert_eq!(other.app().end("j").await, Found::There(()));
+    assert_eq!(other.app().end("j").await, Lookup::Found(()));
     let seen = third.page("j", 0).await;
     home.line.fail(Faults::default());
     home.link(Link::Open);
@@ -239,7 +244,7 @@
         home.line.fail(away(how));
         assert_eq!(other.whole("j", 2).await.len(), 2, "{how:?}");
         assert_eq!(homes(&world), before, "{how:?}");
-        assert_eq!(home.submit("k", &["k1"]).await, Submitted::Kept, "{how:?}");
+        assert_eq!(home.submit("k", &["k1"]).await, SubmitResult::Accepted, "{how:?}");
         let asked = world.links.asked().len();
         home.line.fail(Faults::default());
         pass(3_000).await;
@@ -304,7 +309,7 @@
         asked.iter().filter(|a| matches!(a, PeerAsk::Store(StoreAsk::Txn(_)))).count()
     };
     home.line.fail(Faults { lose: 1, ..Faults::default() });
-    assert_eq!(home.submit("j", &["i1"]).await, Submitted::Kept);
+    assert_eq!(home.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert!(writes() <= 1, "the try after it may go through another");
     other.whole("j", 1).await;
     let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
@@ -324,14 +329,14 @@
     assert!(asked <= 3 * 10 * 5, "{asked} requests in ten seconds of three nodes");
     nodes.iter().for_each(|node| node.line.fail(Faults::default()));
     pass(3_000).await;
-    assert_eq!(nodes[1].submit("j", &["i1"]).await, Submitted::Kept);
+    assert_eq!(nodes[1].submit("j", &["i1"]).await, SubmitResult::Accepted);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_unknown_job_is_unknown_at_linked_nodes() {
     let world = World::new();
     let [_home, other, _third] = three(&world).await;
-    assert_eq!(other.app().read("none", 0, Duration::ZERO).await, Read::Unknown);
+    assert_eq!(other.app().read("none", 0, Duration::ZERO).await, ReadResult::Unknown);
 }
 
 /// The same over sockets.
@@ -352,10 +357,10 @@
     let got = line.ask(door.address(), get, limit).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::Item(item))));
     let submitted = line.ask(door.address(), PeerAsk::Submit(spec("j", &["i1"])), limit).await;
-    assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
+    assert_eq!(submitted.unwrap(), PeerReply::Submitted(SubmitResult::Accepted));
     node.whole("j", 1).await;
     let read = PeerAsk::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
-    let PeerReply::Read(Some(Read::Page { total: 1, results })) =
+    let PeerReply::Read(Some(ReadResult::Page { total: 1, results })) =
         line.ask(door.address(), read, limit).await.unwrap()
     else {
         panic!("no page");
--- a/tests/entry/reads.rs
+++ b/tests/entry/reads.rs
@@ -69,11 +69,11 @@
 async fn a_node_that_cannot_be_sure_says_so() {
     use std::time::Duration;
 
-    use mulberrycourse::entry::Read;
+    use mulberrycourse::entry::ReadResult;
     use standins::kv::Away;
 
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
-    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, Read::Unsure);
+    assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unsure);
 }
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -1,13 +1,13 @@
 //! Requests of live callers at replicas that fail.
 
 use futures_util::StreamExt;
-use mulberrycourse::entry::Given;
+use mulberrycourse::entry::RelayResponse;
 use mulberrycourse::error::{Kind, Run};
 use standins::replicas::{Mood, ReplicaFleet};
 
 use crate::world::{HOST, Node, World, ask, pass};
 
-async fn given(node: &Node, id: &str, path: &str) -> Given {
+async fn given(node: &Node, id: &str, path: &str) -> RelayResponse {
     let route = node.app().routes().unwrap().find(HOST, path).cloned().unwrap();
     node.app().relay(&route, ask(id, path)).await
 }
@@ -24,7 +24,8 @@
         world.replicas.mood("p1", mood);
         for i in 0..4 {
             let id = format!("{mood:?}{i}");
-            let Given::Whole { status, body, .. } = given(&node, &id, "/plain/x").await else {
+            let RelayResponse::Complete { status, body, .. } = given(&node, &id, "/plain/x").await
+            else {
                 panic!("{mood:?}");
             };
             assert!(status.is_success(), "{mood:?}");
@@ -40,7 +41,7 @@
     for id in ["p1", "p2"] {
         world.replicas.mood(id, Mood::Breaks(0));
     }
-    let Given::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
+    let RelayResponse::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, Run::Unknown));
     pass(5_000).await;
     assert_eq!(runs(&world, "r1"), 1);
@@ -54,7 +55,7 @@
         world.replicas.mood(id, Mood::Full);
     }
     let begun = tokio::time::Instant::now();
-    let Given::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
+    let RelayResponse::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!(refusal.run(), Run::NotRun);
     assert!(refusal.after.is_some());
     assert!(begun.elapsed().as_millis() < 100);
@@ -70,7 +71,7 @@
     for i in 0..6 {
         let id = format!("r{i}");
         let given = given(&node, &id, "/plain/x").await;
-        let Given::Refused(refusal) = given else { panic!("{given:?}") };
+        let RelayResponse::Refused(refusal) = given else { panic!("{given:?}") };
         assert_eq!(refusal.run() == Run::NotRun, runs(&world, &id) == 0);
     }
 }
@@ -83,7 +84,7 @@
         world.replicas.mood(id, Mood::Silent);
     }
     let begun = tokio::time::Instant::now();
-    let Given::Refused(_) = given(&node, "r1", "/plain/x").await else { panic!() };
+    let RelayResponse::Refused(_) = given(&node, "r1", "/plain/x").await else { panic!() };
     let took = begun.elapsed().as_millis();
     assert!((1_900..=2_050).contains(&took), "{took}");
 }
@@ -96,7 +97,7 @@
     for id in ["e1", "e2"] {
         world.replicas.mood(id, Mood::Breaks(4));
     }
-    let Given::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
     let pieces: Vec<_> = body.0.collect().await;
     let text: String =
         pieces.into_iter().map(|p| String::from_utf8(p.unwrap().to_vec()).unwrap()).collect();
@@ -119,7 +120,7 @@
     // The route keeps nobody waiting for over 4 s; its client waits longer for the whole.
     let mut ask = ask("s1", "/text/x");
     ask.deadline = Some(std::time::Duration::from_secs(9));
-    let Given::Stream { body, .. } = node.app().relay(&route, ask).await else { panic!() };
+    let RelayResponse::Stream { body, .. } = node.app().relay(&route, ask).await else { panic!() };
     body.0.for_each(|piece| async { drop(piece.unwrap()) }).await;
     let ran = world.replicas.ran();
     assert!(ran.len() > 1);
@@ -137,7 +138,7 @@
         world.replicas.mood(id, Mood::Breaks(2));
     }
     world.replicas.length("s1", 50);
-    let Given::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
     let pieces: Vec<_> = body.0.collect().await;
     assert!(pieces.last().unwrap().is_err());
 }
@@ -147,7 +148,7 @@
     let world = World::new();
     let node = world.node("a").await;
     world.replicas.length("s1", 500);
-    let Given::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
     let mut pieces = body.0;
     pieces.next().await.unwrap().unwrap();
     drop(pieces);
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::usage::Counts;
-use mulberrycourse::entry::{Ask, Given, PeerAsk};
+use mulberrycourse::entry::{PeerAsk, RelayRequest, RelayResponse};
 use standins::duties::Reported;
 use standins::kv::{Away, Faults};
 use standins::replicas::Mood;
@@ -19,8 +19,8 @@
 async fn call(node: &Node, organisation: &str, id: &str) -> bool {
     let routes = node.app().routes().unwrap();
     let route = routes.find("host.example", "/plain/x").unwrap();
-    let ask = Ask { organisation: Some(organisation.into()), ..ask(id, "/plain/x") };
-    matches!(node.app().relay(route, ask).await, Given::Whole { status, .. } if status.is_success())
+    let ask = RelayRequest { organisation: Some(organisation.into()), ..ask(id, "/plain/x") };
+    matches!(node.app().relay(route, ask).await, RelayResponse::Complete { status, .. } if status.is_success())
 }
 
 /// Reports that were taken, by window; a window that was reported with two counts fails.
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -110,7 +110,7 @@
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let ask = crate::world::ask("r1", "/plain/x");
     let given = node.app().relay(&route, ask).await;
-    assert!(matches!(given, mulberrycourse::entry::Given::Whole { .. }), "{given:?}");
+    assert!(matches!(given, mulberrycourse::entry::RelayResponse::Complete { .. }), "{given:?}");
     world.replicas.list("plain", "p1", false);
     pass(3_000).await;
     for i in 0..6 {
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -11,7 +11,9 @@
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
 use mulberrycourse::edge::notice::Notice;
-use mulberrycourse::entry::{App, Ask, Entry, PeerAsk, PeerReply, Peers, Ports, Read, Submitted};
+use mulberrycourse::entry::{
+    App, Entry, PeerAsk, PeerReply, Peers, Ports, ReadResult, RelayRequest, SubmitResult,
+};
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
 use standins::kv::{Faults, KvLine, KvService, Words};
@@ -129,7 +131,7 @@
 
     /// The same, where a value may have so many bytes.
     pub(crate) async fn node_that_writes(&self, name: &str, value: usize) -> Node {
-        self.node_with(EntrySettings { max_value: value, ..settings(name) }).await
+        self.node_with(EntrySettings { value_bytes: value, ..settings(name) }).await
     }
 
     /// The same, where the store keeps its history for so long.
@@ -228,7 +230,7 @@
     }
 
     /// Asks another node for results.
-    pub(crate) async fn ask(&self, to: &Node, ask: PeerAsk) -> Option<Option<Read>> {
+    pub(crate) async fn ask(&self, to: &Node, ask: PeerAsk) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
         match self.links.ask(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
@@ -239,7 +241,7 @@
     /// Reads from a position without waiting.
     pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<Listing>> {
         match self.app().read(job, after, Duration::ZERO).await {
-            Read::Page { results, .. } => results,
+            ReadResult::Page { results, .. } => results,
             other => panic!("{other:?}"),
         }
     }
@@ -250,7 +252,7 @@
             let mut all = Vec::new();
             while all.len() < total {
                 match self.app().read(job, all.len(), Duration::from_secs(1)).await {
-                    Read::Page { results, .. } => all.extend(results),
+                    ReadResult::Page { results, .. } => all.extend(results),
                     _ => tokio::time::sleep(Duration::from_millis(200)).await,
                 }
             }
@@ -259,7 +261,7 @@
         tokio::time::timeout(GUARD, reading).await.unwrap()
     }
 
-    pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> Submitted {
+    pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> SubmitResult {
         self.app().submit(spec(job, items)).await
     }
 }
@@ -338,10 +340,10 @@
     }
 }
 
-pub(crate) fn ask(id: &str, path: &str) -> Ask {
+pub(crate) fn ask(id: &str, path: &str) -> RelayRequest {
     let mut headers = HeaderMap::new();
     headers.insert("model", MODEL.parse().unwrap());
-    Ask {
+    RelayRequest {
         id: id.into(),
         method: Method::POST,
         path: path.into(),
@@ -350,7 +352,7 @@
         headers,
         body: Bytes::new(),
         deadline: Some(Duration::from_secs(2)),
-        after: None,
+        resume_after: None,
     }
 }
 
