--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -12,8 +12,8 @@
 use super::app::App;
 use super::follow::{Topic, follow};
 use super::keys::{LEADER_KEY, LeaderRecord};
-use super::scale::scale;
-use super::usage::report;
+use super::scale::run_autoscaling;
+use super::usage::report_usage;
 use crate::Name;
 use crate::decide::moves::{self, Move, Standing};
 use crate::decide::rank;
@@ -50,9 +50,9 @@
                 tokio::select! {
                     () = app.stop.cancelled() => {}
                     () = issue_orders(&app, fence) => {}
-                    () = app.hear_demand() => {}
-                    () = report(&app, fence) => {}
-                    () = scale(&app, fence) => {}
+                    () = app.poll_demand() => {}
+                    () = report_usage(&app, fence) => {}
+                    () = run_autoscaling(&app, fence) => {}
                     () = follow(app.clone(), Topic::Versions) => {}
                 }
                 tracing::info!(event = "orders_given_up", fence);
@@ -68,31 +68,32 @@
 
 /// Waits until this node is holder and returns its fencing token.
 async fn acquire_leadership(app: &Arc<App>) -> u64 {
-    let mut news = app.news.subscribe();
+    let mut news = app.view_changes.subscribe();
     let mut free = None;
     loop {
         let _ = tokio::time::timeout(CHECK_INTERVAL, news.changed()).await;
         let now = app.now();
         let (taken, able) = {
-            let live = app.live.lock();
+            let live = app.membership.lock();
             (live.leader().cloned(), live.serving_incarnations())
         };
         if let Some(seen) = taken {
             free = None;
             // A key of an earlier term of this very process.
-            if seen.value.incarnation == app.life && app.leased() {
+            if seen.value.incarnation == app.incarnation && app.has_lease() {
                 return seen.revision;
             }
             continue;
         }
         let since = *free.get_or_insert(now);
         let ranked = rank(LEADER_KEY, able.iter().map(|l| &**l));
-        let Some(place) = ranked.iter().position(|l| **l == *app.life) else { continue };
+        let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
         let lease = app.lease.lock().id;
-        if lease == 0 || !app.leased() || now < since + RANK_DELAY * place as u32 {
+        if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * place as u32 {
             continue;
         }
-        let Ok(value) = serde_json::to_vec(&LeaderRecord { incarnation: app.life.clone() }) else {
+        let Ok(value) = serde_json::to_vec(&LeaderRecord { incarnation: app.incarnation.clone() })
+        else {
             continue;
         };
         let txn = Txn::when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
@@ -106,12 +107,12 @@
 
 /// Gives orders until the term is over.
 async fn issue_orders(app: &Arc<App>, fence: u64) {
-    tokio::time::sleep(app.turn()).await;
-    let mut news = app.news.subscribe();
+    tokio::time::sleep(app.takeover_delay()).await;
+    let mut news = app.view_changes.subscribe();
     let mut busy: BTreeMap<Name, Name> = BTreeMap::new();
     let mut running: JoinSet<(Name, MoveResult)> = JoinSet::new();
     loop {
-        if !app.holds(fence) {
+        if !app.holds_term(fence) {
             return;
         }
         for wanted in plan_moves(app, &busy) {
@@ -178,7 +179,7 @@
         app.slots.fleet.lock().seen(&target, &wanted.model, has);
         return MoveResult::Done;
     }
-    if stance.busy || !app.holds(fence) {
+    if stance.busy || !app.holds_term(fence) {
         return MoveResult::Failed;
     }
     let one_version = app.routes().is_some_and(|r| r.any_one_version());
@@ -190,7 +191,7 @@
         fence,
         sequence: stance.sequence,
     };
-    *app.ordered.lock() = Some(app.now());
+    *app.last_duty.lock() = Some(app.now());
     let end = app.replicas.order(&target, order, REPLICA_CALL_TIMEOUT).await;
     tracing::info!(
         event = "order_given",
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -11,7 +11,7 @@
 use super::keys::{JobRecord, job_record_key, results_prefix, spec_prefix};
 use super::membership::Stored;
 use super::owned_jobs::OwnedJob;
-use super::views::{View, ViewState};
+use super::remote_jobs::{RemoteJob, RemoteJobState};
 use crate::Moment;
 use crate::decide::job::{Listing, Spec, State};
 use crate::edge::store::{Change, StoreError};
@@ -58,12 +58,12 @@
     /// Results of a job from a position on; waits for one if there is none yet.
     pub async fn read(self: &Arc<Self>, job: &str, after: usize, wait: Duration) -> ReadResult {
         let ends = self.now() + wait;
-        if let Some(home) = self.homes.get(job)
+        if let Some(home) = self.owned_jobs.get(job)
             && let Some(read) = self.read_owned(&home, after, ends).await
         {
             return read;
         }
-        if let Some(ended) = self.ended.get(job) {
+        if let Some(ended) = self.ended_jobs.get(job) {
             return ended.read(after);
         }
         let read = match self.read_at_home(job, after, wait).await {
@@ -113,7 +113,7 @@
         after: usize,
         ends: Moment,
     ) -> Result<ReadResult, StoreError> {
-        let view = self.views.get(job);
+        let view = self.remote_jobs.get(job);
         let Some(total) = self.sample_count(job, &view).await? else {
             return Ok(ReadResult::Unknown);
         };
@@ -123,15 +123,15 @@
             self.reload_view(job, &view).await?;
             fresh = true;
         }
-        if view.state.lock().all {
+        if view.state.lock().complete {
             return Ok(ReadResult::Page {
                 total,
-                results: results_page(&view.state.lock().listed, after),
+                results: results_page(&view.state.lock().results, after),
             });
         }
         loop {
-            let results = results_page(&view.state.lock().listed, after);
-            let over = view.state.lock().listed.len() >= total;
+            let results = results_page(&view.state.lock().results, after);
+            let over = view.state.lock().results.len() >= total;
             let left = ends.saturating_sub(self.now());
             if !results.is_empty() || over || (fresh && left.is_zero()) {
                 return Ok(ReadResult::Page { total, results });
@@ -146,7 +146,7 @@
                 Ok(watched) => {
                     let mut state = view.state.lock();
                     state.revision = state.revision.max(Some(watched.revision));
-                    state.heard = self.now();
+                    state.last_update = self.now();
                     for change in &watched.changes {
                         if let Change::Put(item) = change {
                             state.add(job, item);
@@ -163,26 +163,27 @@
     }
 
     /// The number of a job's samples; none if there is no such job.
-    async fn sample_count(&self, job: &str, view: &View) -> Result<Option<usize>, StoreError> {
-        if let Some(total) = view.state.lock().total {
+    async fn sample_count(&self, job: &str, view: &RemoteJob) -> Result<Option<usize>, StoreError> {
+        if let Some(total) = view.state.lock().sample_count {
             return Ok(Some(total));
         }
         let seen = self.job_record(job).await?;
         let total = seen.map(|seen| seen.value.sample_count);
-        view.state.lock().total = total;
+        view.state.lock().sample_count = total;
         Ok(total)
     }
 
     /// Whether a watch can go on from where a view stands.
-    fn can_continue_watch(&self, view: &View) -> bool {
+    fn can_continue_watch(&self, view: &RemoteJob) -> bool {
         let state = view.state.lock();
-        let rested = self.now().saturating_sub(state.heard);
-        let whole = state.doubts == self.doubts.load(Ordering::Relaxed) && rested < MAX_WATCH_GAP;
-        state.all || state.revision.is_some() && whole
+        let rested = self.now().saturating_sub(state.last_update);
+        let whole =
+            state.watch_gaps == self.watch_gaps.load(Ordering::Relaxed) && rested < MAX_WATCH_GAP;
+        state.complete || state.revision.is_some() && whole
     }
 
-    async fn reload_view(&self, job: &str, view: &View) -> Result<(), StoreError> {
-        let doubts = self.doubts.load(Ordering::Relaxed);
+    async fn reload_view(&self, job: &str, view: &RemoteJob) -> Result<(), StoreError> {
+        let doubts = self.watch_gaps.load(Ordering::Relaxed);
         let ended = view.state.lock().ended;
         let page = self.store.range(&results_prefix(job)).await?;
         let mut state = view.state.lock();
@@ -190,9 +191,9 @@
             state.add(job, item);
         }
         state.revision = state.revision.max(Some(page.revision));
-        state.doubts = doubts;
-        state.all = ended;
-        state.heard = self.now();
+        state.watch_gaps = doubts;
+        state.complete = ended;
+        state.last_update = self.now();
         Ok(())
     }
 
@@ -230,15 +231,15 @@
 
     /// The body of a sample of a job that this node has.
     pub(super) fn local_body(&self, job: &str, item: &str) -> Option<Bytes> {
-        let spec = match self.homes.get(job) {
+        let spec = match self.owned_jobs.get(job) {
             Some(home) => home.job.lock().spec.clone(),
-            None => self.ended.get(job)?.spec.clone(),
+            None => self.ended_jobs.get(job)?.spec.clone(),
         };
         find_body(&spec, item)
     }
 
     async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
-        let view = self.views.get(job);
+        let view = self.remote_jobs.get(job);
         if let Some(spec) = view.spec.lock().clone() {
             return Ok(Some(spec));
         }
@@ -264,11 +265,11 @@
     /// Reads all results of a job from the store.
     pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<Listing>>, StoreError> {
         let page = self.store.range(&results_prefix(job)).await?;
-        let mut state = ViewState::default();
+        let mut state = RemoteJobState::default();
         for item in &page.items {
             state.add(job, item);
         }
-        Ok(state.listed)
+        Ok(state.results)
     }
 }
 
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -152,7 +152,7 @@
                 if home.stop.is_cancelled() {
                     return false;
                 }
-                app.detour.rest(RETRY_PAUSE).await;
+                app.fallback_store.wait_for_recovery(RETRY_PAUSE).await;
             }
         }
     }
@@ -198,7 +198,7 @@
     if item.revision < key.revision {
         return true;
     }
-    if value.incarnation != app.life {
+    if value.incarnation != app.incarnation {
         return false;
     }
     let ended = value.ended;
@@ -206,7 +206,7 @@
     drop(key);
     if ended && !home.job.lock().ended() {
         app.stop_job(home);
-        app.keep_ended(home.clone());
+        app.retain_ended(home.clone());
     }
     true
 }
@@ -216,5 +216,5 @@
     app.tally.job(JobStep::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is home");
     home.stop.cancel();
-    app.homes.remove(id);
+    app.owned_jobs.remove(id);
 }
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -9,7 +9,7 @@
 use super::app::App;
 use super::keys::{JobRecord, job_record_key, spec_part_key};
 use super::membership::Stored;
-use super::peer::Passed;
+use super::peer::ForwardOutcome;
 use super::runner::RestoredJob;
 use super::takeover;
 use crate::Name;
@@ -41,14 +41,18 @@
 impl App {
     /// Takes in a job.
     pub async fn submit(self: &Arc<Self>, spec: Spec) -> SubmitResult {
-        let kept = self.homes.get(&spec.id).is_some();
-        let passed = if kept || self.draining() { Passed::Not } else { self.pass_on(&spec).await };
+        let kept = self.owned_jobs.get(&spec.id).is_some();
+        let passed = if kept || self.draining() {
+            ForwardOutcome::Not
+        } else {
+            self.forward_job(&spec).await
+        };
         match passed {
-            Passed::Kept => SubmitResult::Accepted,
-            Passed::Not => self.accept_here(spec).await,
+            ForwardOutcome::Kept => SubmitResult::Accepted,
+            ForwardOutcome::Not => self.accept_here(spec).await,
             // What the other may have written is found there as this node writes. Where it
             // can't, nobody knows.
-            Passed::Unsure => match self.accept_here(spec).await {
+            ForwardOutcome::Unsure => match self.accept_here(spec).await {
                 SubmitResult::Refused(_) => SubmitResult::Unknown,
                 submitted => submitted,
             },
@@ -68,7 +72,7 @@
 
     async fn store_job(self: &Arc<Self>, spec: Spec) -> SubmitResult {
         let id = spec.id.clone();
-        if self.homes.get(&id).is_some() {
+        if self.owned_jobs.get(&id).is_some() {
             return SubmitResult::Accepted;
         }
         if self.draining() {
@@ -85,7 +89,7 @@
             return SubmitResult::Refused("too_large".into());
         }
         let value = JobRecord {
-            incarnation: self.life.clone(),
+            incarnation: self.incarnation.clone(),
             sample_count: spec.items.len(),
             part_count: parts.len(),
             done: false,
@@ -125,7 +129,8 @@
                     let own = items.first().and_then(|item| {
                         let value: JobRecord = serde_json::from_slice(&item.value).ok()?;
                         let seen = Stored { value, revision: item.revision };
-                        (seen.value.incarnation == self.life && !seen.value.done).then_some(seen)
+                        (seen.value.incarnation == self.incarnation && !seen.value.done)
+                            .then_some(seen)
                     });
                     // Results may lie there by now: it is read rather than begun anew.
                     if let Some(seen) = own {
@@ -145,7 +150,7 @@
             tracing::warn!(event = "submission_not_written", job = %spec.id, unsure, %reason);
             if self.now().saturating_sub(begun) > WRITE_TIMEOUT {
                 // An outage that has just ended costs no step: one look, and one try more.
-                if !looked && self.detour.opens(&job_record_key(&spec.id)).await {
+                if !looked && self.fallback_store.probe(&job_record_key(&spec.id)).await {
                     looked = true;
                     continue;
                 }
@@ -155,7 +160,7 @@
                 }
                 return SubmitResult::Refused("store_away".into());
             }
-            self.detour.rest(RETRY_PAUSE).await;
+            self.fallback_store.wait_for_recovery(RETRY_PAUSE).await;
         }
     }
 }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -37,7 +37,7 @@
 
 /// Looks for orphans whenever nodes have changed, until the process stops.
 pub(super) async fn run_takeover(app: Arc<App>) {
-    let mut news = app.news.subscribe();
+    let mut news = app.view_changes.subscribe();
     let mut known: BTreeSet<Name> = BTreeSet::new();
     let mut due: Option<Moment> = None;
     loop {
@@ -52,7 +52,7 @@
         }
         let now = app.now();
         let place = {
-            let mut live = app.live.lock();
+            let mut live = app.membership.lock();
             let heard = app.store_time();
             live.forget_departed(heard);
             app.evict_expired(now);
@@ -62,7 +62,9 @@
                 known = lives;
                 due = None;
             }
-            rank(JOB_RECORD_PREFIX, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.life)
+            rank(JOB_RECORD_PREFIX, able.iter().map(|l| &**l))
+                .iter()
+                .position(|l| **l == *app.incarnation)
         };
         let Some(place) = place.filter(|place| *place < MAX_SCANNERS) else {
             due = None;
@@ -72,7 +74,7 @@
         if now < at {
             continue;
         }
-        if !app.leased() {
+        if !app.has_lease() {
             due = Some(now + RESCAN_PAUSE);
             continue;
         }
@@ -105,16 +107,16 @@
             }
             continue;
         }
-        if app.homes.get(&job).is_some() {
+        if app.owned_jobs.get(&job).is_some() {
             continue;
         }
         let seen = Stored { value, revision: item.revision };
-        if seen.value.incarnation == app.life {
+        if seen.value.incarnation == app.incarnation {
             settled &= resume_job(app, &job, seen).await;
             continue;
         }
         let (alive, back) = {
-            let live = app.live.lock();
+            let live = app.membership.lock();
             (
                 live.live_incarnations(app.store_time()).contains(&seen.value.incarnation),
                 live.is_registered(&seen.value.incarnation),
@@ -131,7 +133,7 @@
 
 /// Makes this node home to a job. False if that is to be looked at again.
 async fn take_over(app: &Arc<App>, job: &Name, seen: Stored<JobRecord>) -> bool {
-    let value = JobRecord { incarnation: app.life.clone(), ..seen.value.clone() };
+    let value = JobRecord { incarnation: app.incarnation.clone(), ..seen.value.clone() };
     let Ok(written) = serde_json::to_vec(&value) else { return true };
     let key = job_record_key(job);
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
@@ -219,9 +221,9 @@
         app.store.txn(txn).await?;
     }
     app.store.txn(Txn::when(key.clone(), revision).remove(key)).await?;
-    app.homes.remove(job);
-    app.ended.remove(job);
-    app.views.remove(job);
+    app.owned_jobs.remove(job);
+    app.ended_jobs.remove(job);
+    app.remote_jobs.remove(job);
     tracing::info!(event = "job_forgotten", %job, keys = keys.len());
     Ok(())
 }
@@ -229,11 +231,11 @@
 impl App {
     /// Forgets views and finished homes that nobody may ask for any more.
     fn evict_expired(&self, now: Moment) {
-        self.views.forget(now, self.settings.job_retention * 2);
-        for (job, home) in self.homes.all() {
+        self.remote_jobs.forget(now, self.settings.job_retention * 2);
+        for (job, home) in self.owned_jobs.all() {
             let over = home.job.lock().complete();
             if over && past_retention(self, &home.record.lock().value) {
-                self.homes.remove(&job);
+                self.owned_jobs.remove(&job);
             }
         }
     }
@@ -244,11 +246,11 @@
         self.spawn(async move {
             for _ in 0..LATE_WRITE_POLLS {
                 tokio::time::sleep(LATE_WRITE_POLL_INTERVAL).await;
-                if app.draining() || app.homes.get(&job).is_some() {
+                if app.draining() || app.owned_jobs.get(&job).is_some() {
                     return;
                 }
                 let Ok(Some(seen)) = app.job_record(&job).await else { continue };
-                if seen.value.incarnation == app.life && !seen.value.done {
+                if seen.value.incarnation == app.incarnation && !seen.value.done {
                     resume_job(&app, &job, seen).await;
                 }
                 return;
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -12,7 +12,7 @@
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
 use mulberrycourse::edge::notice::Notice;
 use mulberrycourse::entry::{
-    App, Entry, PeerAsk, PeerReply, Peers, Ports, ReadResult, RelayRequest, SubmitResult,
+    App, EntryNode, PeerReply, PeerRequest, Peers, Ports, ReadResult, RelayRequest, SubmitResult,
 };
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
@@ -41,7 +41,7 @@
 }
 
 pub(crate) struct Node {
-    pub(crate) entry: Entry,
+    pub(crate) entry: EntryNode,
     pub(crate) line: KvLine,
     links: Links,
 }
@@ -209,7 +209,7 @@
             duties: Arc::new(self.duties.clone()),
             clock: Arc::new(self.clock.clone()),
         };
-        let entry = Entry::spawn(settings, ports, |_| links);
+        let entry = EntryNode::spawn(settings, ports, |_| links);
         Node { entry, line, links: self.links.clone() }
     }
 }
@@ -230,7 +230,7 @@
     }
 
     /// Asks another node for results.
-    pub(crate) async fn ask(&self, to: &Node, ask: PeerAsk) -> Option<Option<ReadResult>> {
+    pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
         match self.links.ask(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
