--- a/src/entry/fenced_value.rs
+++ b/src/entry/fenced_value.rs
@@ -1,4 +1,4 @@
-//! What the holder of duties writes to the store before it acts on it.
+//! A value that the leader writes to the store before it acts on it.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -8,32 +8,35 @@
 use super::keys::LEADER_KEY;
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 
-/// A key that only the holder of duties writes, in the term of one fencing token.
+/// A key that only the leader writes, within the term of one fencing token.
 #[derive(Debug)]
 pub(super) struct FencedValue {
     key: &'static str,
-    fence: u64,
-    /// The revision that the next write replaces; 0 for none.
+    fencing_token: u64,
+    /// The revision that the next write replaces; 0 if the key does not exist.
     revision: u64,
 }
 
-/// What a write came to.
+/// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FencedWrite {
-    /// It lies there.
+    /// The value is written.
     Done,
-    /// Another value does, perhaps from a write of this node that was not answered.
+    /// The key holds another value, possibly from an earlier write of this node whose answer
+    /// was lost.
     Conflict,
-    /// Another node is holder, or nobody.
+    /// Another node is the leader, or there is none.
     NotLeader,
 }
 
 impl FencedValue {
-    pub(super) fn new(key: &'static str, fence: u64) -> Self {
-        Self { key, fence, revision: 0 }
+    /// A value that is not read yet. [`Self::read`] comes before the first write.
+    pub(super) fn new(key: &'static str, fencing_token: u64) -> Self {
+        Self { key, fencing_token, revision: 0 }
     }
 
-    /// Reads the value. One that does not parse is replaced by the next write.
+    /// Reads the value. One that does not parse is logged and taken for none; the next write
+    /// replaces it.
     pub(super) async fn read<T: DeserializeOwned>(
         &mut self,
         app: &App,
@@ -47,23 +50,24 @@
         }))
     }
 
-    /// Replaces the value that was read or written last.
+    /// Replaces the value that was read or written last, provided that nobody else has changed
+    /// it and this node is still the leader.
     pub(super) async fn write<T: Serialize>(
         &mut self,
         app: &App,
         value: &T,
     ) -> Result<FencedWrite, StoreError> {
         let value = serde_json::to_vec(value).map_err(|e| StoreError::Refused(e.to_string()))?;
-        let txn = Txn::when(self.key, self.revision).and_when(LEADER_KEY, self.fence);
+        let txn = Txn::when(self.key, self.revision).and_when(LEADER_KEY, self.fencing_token);
         match app.store.txn(txn.put(self.key, Bytes::from(value))).await? {
             TxnEnd::Done(revision) => {
                 self.revision = revision;
                 Ok(FencedWrite::Done)
             }
             TxnEnd::Conflict(items) => {
-                let mut holders = items.iter().filter(|item| *item.key == *LEADER_KEY);
-                let held = holders.any(|item| item.revision == self.fence);
-                Ok(if held { FencedWrite::Conflict } else { FencedWrite::NotLeader })
+                let mut leaders = items.iter().filter(|item| *item.key == *LEADER_KEY);
+                let leading = leaders.any(|item| item.revision == self.fencing_token);
+                Ok(if leading { FencedWrite::Conflict } else { FencedWrite::NotLeader })
             }
             TxnEnd::NoLease => Ok(FencedWrite::NotLeader),
         }
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -1,8 +1,9 @@
-//! The keys of this service in the store, and their values.
+//! The keys that this service writes in the store, and the records under them.
 //!
-//! What every node has to know lies under one prefix, so that one watch follows all of it,
-//! and it changes only when nodes come and go. What concerns one job lies apart: only its
-//! home follows it, as each change would cost a call of every node otherwise.
+//! Everything that every node must know lies under one prefix, so that a single watch follows
+//! it; it changes only when nodes join or leave. The data of a job lies elsewhere and is
+//! watched only by the job's owner, because otherwise each change would cost a store call at
+//! every node.
 
 use std::net::SocketAddr;
 
@@ -11,71 +12,78 @@
 use crate::Name;
 use crate::metrics::StoreUse;
 
-/// Nodes and the holder of orders: followed by every node.
+/// Prefix of the node records and the leader record; watched by every node.
 pub(super) const MEMBERSHIP_PREFIX: &str = "mulberry/live/";
-/// The holder of orders.
+/// Key of the leader record.
 pub(super) const LEADER_KEY: &str = "mulberry/live/holder";
 
-/// The last usage report that is fixed.
+/// Key of the last usage report that the leader has fixed.
 pub(super) const USAGE_KEY: &str = "mulberry/usage";
 
-/// What is ordered of each service.
+/// Key of the replica counts that the leader has ordered for each service.
 pub(super) const SCALE_KEY: &str = "mulberry/scale";
 
+/// Prefix of the node records.
 const NODE_PREFIX: &str = "mulberry/live/node/";
-/// Where each job is.
+/// Prefix of the job records.
 pub(super) const JOB_RECORD_PREFIX: &str = "mulberry/home/";
+/// Prefix of the submissions, results and unfinished texts of all jobs.
 const JOB_DATA_PREFIX: &str = "mulberry/job/";
 
-/// A node that is alive; under the node's lease.
+/// A live node. The record is attached to the node's lease and vanishes with it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct NodeRecord {
-    /// The incarnation of its process.
+    /// Identifies one run of the node's process.
     #[serde(rename = "life")]
     pub incarnation: Name,
-    /// Where clients connect; none where nobody does.
+    /// The listen address for clients; none if the node serves none.
     pub callers: Option<SocketAddr>,
-    /// Where other nodes connect; none where nobody does.
+    /// The listen address for other nodes; none if they don't connect to this one.
     #[serde(default)]
     pub peers: Option<SocketAddr>,
 }
 
-/// Where a job is.
+/// Which process owns a job, and how far the job is. Only the owner runs the job's samples and
+/// writes its results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct JobRecord {
-    /// The incarnation of the process that runs it.
+    /// The incarnation of the owner's process.
     #[serde(rename = "life")]
     pub incarnation: Name,
-    /// The number of its samples.
+    /// The number of the job's samples.
     #[serde(rename = "total")]
     pub sample_count: usize,
-    /// How many values its submission lies in.
+    /// The number of values that hold the submission.
     #[serde(rename = "parts")]
     pub part_count: usize,
-    /// Nothing more is to be done: every sample is listed, or its trainer ended it.
+    /// Whether no work is left: every result is written, or the trainer ended the job.
     pub done: bool,
-    /// Its trainer ended it.
+    /// Whether the trainer ended the job.
     pub ended: bool,
-    /// When it was accepted, in milliseconds of the time of day.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     #[serde(rename = "since")]
     pub accepted_ms: u64,
 }
 
-/// Who gives orders; under that node's lease.
+/// The leader. The record is attached to the leader's lease, and the revision that wrote it is
+/// the fencing token of the term.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LeaderRecord {
-    /// The incarnation of its process.
+    /// The incarnation of the leader's process.
     #[serde(rename = "life")]
     pub incarnation: Name,
 }
 
-/// What a key under [`MEMBERSHIP_PREFIX`] is about.
+/// A parsed key under [`MEMBERSHIP_PREFIX`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum MembershipKey<'a> {
+    /// The record of the node of this name.
     Node(&'a str),
+    /// The leader record.
     Leader,
 }
 
+/// Parses a key under [`MEMBERSHIP_PREFIX`]; none for any other key.
 pub(super) fn parse_membership_key(key: &str) -> Option<MembershipKey<'_>> {
     if key == LEADER_KEY {
         return Some(MembershipKey::Leader);
@@ -83,10 +91,10 @@
     key.strip_prefix(NODE_PREFIX).map(MembershipKey::Node)
 }
 
-/// What a key or prefix of this service is about.
+/// Classifies a key or prefix of this service for the store call metrics.
 pub(super) fn key_use(key: &str) -> StoreUse {
-    if let Some(live) = parse_membership_key(key) {
-        return match live {
+    if let Some(parsed) = parse_membership_key(key) {
+        return match parsed {
             MembershipKey::Node(_) => StoreUse::Nodes,
             MembershipKey::Leader => StoreUse::Holder,
         };
@@ -111,45 +119,47 @@
     }
 }
 
+/// Key of a node's record.
 pub(super) fn node_key(name: &str) -> Name {
     format!("{NODE_PREFIX}{name}").into()
 }
 
+/// Key of a job's record.
 pub(super) fn job_record_key(job: &str) -> Name {
     format!("{JOB_RECORD_PREFIX}{job}").into()
 }
 
-/// One part of a submission.
+/// Key of one part of a job's submission.
 pub(super) fn spec_part_key(job: &str, index: usize) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/spec/{index:04}").into()
 }
 
-/// The prefix of all parts of a submission.
+/// Prefix of all parts of a job's submission.
 pub(super) fn spec_prefix(job: &str) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/spec/").into()
 }
 
-/// The results that begin at a position.
+/// Key of the batch of results that begins at a position.
 pub(super) fn results_key(job: &str, position: usize) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/results/{position:06}").into()
 }
 
-/// The prefix of all results.
+/// Prefix of all results of a job.
 pub(super) fn results_prefix(job: &str) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/results/").into()
 }
 
-/// A write of unfinished texts.
+/// Key of one save of unfinished texts; `index` counts the saves of a job.
 pub(super) fn texts_key(job: &str, index: usize) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/texts/{index:06}").into()
 }
 
-/// The prefix of all of these.
+/// Prefix of all saves of unfinished texts of a job.
 pub(super) fn texts_prefix(job: &str) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/texts/").into()
 }
 
-/// The prefix of all that a job is made of, its home's key aside.
+/// Prefix of all data of a job except its record.
 pub(super) fn job_data_prefix(job: &str) -> Name {
     format!("{JOB_DATA_PREFIX}{job}/").into()
 }
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -1,4 +1,4 @@
-//! What the store says of nodes and of the holder of orders.
+//! The live nodes and the leader, as the store has them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -8,34 +8,35 @@
 use crate::edge::store::{Change, Item, Page};
 use crate::{Moment, Name};
 
-/// How long nodes count as alive after they vanished together, by the time in which the store
-/// could be heard. An outage of the store ends the leases of nodes that go on serving; they are
-/// back within a renewal of its return, and can't be before.
+/// How long nodes still count as alive after their records vanished together. Only time in
+/// which the store was reachable counts: an outage of the store ends the leases of nodes that
+/// keep serving, and they can register again only after the store returns, within one renewal.
 const OUTAGE_RETENTION: Duration = Duration::from_millis(2_500);
-/// Part of the nodes whose leases end within [`OUTAGE_RETENTION`] of each other in an outage of the store.
+/// If at least one node in this many lost its record within [`OUTAGE_RETENTION`], the cause is
+/// taken to be an outage of the store.
 const OUTAGE_FRACTION: usize = 2;
 
-/// A value with its revision.
+/// A record together with the store revision that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Stored<T> {
     pub value: T,
     pub revision: u64,
 }
 
-/// The view.
+/// This node's view of the keys under the membership prefix.
 #[derive(Debug, Default)]
 pub(super) struct Membership {
     nodes: BTreeMap<Name, NodeRecord>,
-    /// Nodes whose key went, and when.
+    /// The last records of nodes whose records were removed, and when that was seen.
     departed: HashMap<Name, (NodeRecord, Moment)>,
     leader: Option<Stored<LeaderRecord>>,
     loaded: bool,
-    /// Counts nodes whose key went.
+    /// The number of removed node records so far.
     departures: u64,
 }
 
 impl Membership {
-    /// Takes over the whole prefix.
+    /// Replaces the view by a read of the whole prefix.
     pub(super) fn load(&mut self, page: &Page, now: Moment) {
         let before = std::mem::take(&mut self.nodes);
         self.leader = None;
@@ -51,7 +52,7 @@
         self.loaded = true;
     }
 
-    /// Takes over a change.
+    /// Applies a change from the watch.
     pub(super) fn apply_change(&mut self, change: &Change, now: Moment) {
         match change {
             Change::Put(item) => self.put(item),
@@ -70,6 +71,7 @@
         }
     }
 
+    /// Applies a written record. One that does not parse is logged and ignored.
     fn put(&mut self, item: &Item) {
         let parsed = match parse_membership_key(&item.key) {
             Some(MembershipKey::Node(name)) => serde_json::from_slice(&item.value).map(|value| {
@@ -86,65 +88,69 @@
         }
     }
 
-    /// Whether the view was ever read.
+    /// Whether the prefix was read at least once.
     pub(super) fn is_loaded(&self) -> bool {
         self.loaded
     }
 
-    /// Where clients may connect: nodes that are alive, and those whose keys went together.
+    /// Names and client addresses of nodes that serve clients: the live ones, and those whose
+    /// records vanished together in an outage of the store.
     pub(super) fn client_addresses(&self, now: Moment) -> Vec<(Name, SocketAddr)> {
         let held = self.retained(now);
         let nodes = self.nodes.iter().chain(held.into_iter().map(|(n, (v, _))| (n, v)));
         nodes.filter_map(|(name, value)| Some((name.clone(), value.callers?))).collect()
     }
 
-    /// How many nodes' keys have gone so far.
+    /// The number of node records that were removed so far.
     pub(super) fn departures(&self) -> u64 {
         self.departures
     }
 
-    /// Where the nodes that have their key are asked.
+    /// Peer addresses by node name, of registered nodes only.
     pub(super) fn peer_addresses(&self) -> BTreeMap<Name, SocketAddr> {
         let nodes = self.nodes.iter();
         nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
     }
 
-    /// The same, with nodes whose keys went together: who watches for others is to stay the
-    /// same over an outage.
+    /// Peer addresses by node name, including nodes whose records vanished together, so that
+    /// the choice of nodes that watch the store for others does not change in an outage.
     pub(super) fn stable_peers(&self, now: Moment) -> BTreeMap<Name, SocketAddr> {
         let held = self.retained(now).into_iter().map(|(n, (v, _))| (n, v));
         let nodes = held.chain(self.nodes.iter());
         nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
     }
 
-    /// Where an incarnation that has its key is asked.
-    pub(super) fn peer_of(&self, life: &str) -> Option<SocketAddr> {
-        self.nodes.values().find(|v| *v.incarnation == *life)?.peers
+    /// The peer address of an incarnation, if it is registered.
+    pub(super) fn peer_of(&self, incarnation: &str) -> Option<SocketAddr> {
+        self.nodes.values().find(|v| *v.incarnation == *incarnation)?.peers
     }
 
-    /// The incarnation of a node that has its key, and where it is asked.
+    /// The incarnation and the peer address of a node, if it is registered and has one.
     pub(super) fn incarnation_of(&self, node: &str) -> Option<(Name, SocketAddr)> {
         let value = self.nodes.get(node)?;
         Some((value.incarnation.clone(), value.peers?))
     }
 
-    /// The incarnations that are alive, or whose keys went together a moment ago.
+    /// The incarnations that are registered, or whose records vanished together within
+    /// [`OUTAGE_RETENTION`].
     pub(super) fn live_incarnations(&self, now: Moment) -> Vec<Name> {
         let held = self.retained(now).into_iter().map(|(_, (value, _))| value.incarnation.clone());
         self.nodes.values().map(|v| v.incarnation.clone()).chain(held).collect()
     }
 
-    /// Whether an incarnation has its key.
-    pub(super) fn is_registered(&self, life: &str) -> bool {
-        self.nodes.values().any(|v| *v.incarnation == *life)
+    /// Whether an incarnation has its record in the store.
+    pub(super) fn is_registered(&self, incarnation: &str) -> bool {
+        self.nodes.values().any(|v| *v.incarnation == *incarnation)
     }
 
-    /// The incarnations of nodes that take clients and have their key.
+    /// The incarnations of registered nodes that serve clients.
     pub(super) fn serving_incarnations(&self) -> Vec<Name> {
         let nodes = self.nodes.values().filter(|v| v.callers.is_some());
         nodes.map(|v| v.incarnation.clone()).collect()
     }
 
+    /// The departed nodes that still count as alive: those of the last [`OUTAGE_RETENTION`], if
+    /// they are more than one and a large enough part of all nodes for an outage of the store.
     fn retained(&self, now: Moment) -> Vec<(&Name, &(NodeRecord, Moment))> {
         let fresh: Vec<_> = self
             .departed
@@ -155,12 +161,12 @@
         if fresh.len() > 1 && fresh.len() * OUTAGE_FRACTION >= all { fresh } else { Vec::new() }
     }
 
-    /// Forgets nodes that went long ago.
+    /// Drops departed nodes that no longer count as alive.
     pub(super) fn forget_departed(&mut self, now: Moment) {
         self.departed.retain(|_, (_, at)| now.saturating_sub(*at) < OUTAGE_RETENTION);
     }
 
-    /// Who gives orders.
+    /// The leader's record; none if there is no leader.
     pub(super) fn leader(&self) -> Option<&Stored<LeaderRecord>> {
         self.leader.as_ref()
     }
--- a/src/entry/registration.rs
+++ b/src/entry/registration.rs
@@ -1,4 +1,4 @@
-//! The node's lease and its key in the store.
+//! The node's lease in the store and its record under it.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,14 +8,14 @@
 use super::keys::{NodeRecord, node_key};
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 
-/// Renewals in the time of a lease: two may be lost.
+/// Renewals within the lease's time to live, so that two in a row may be lost.
 const RENEWALS_PER_TTL: u32 = 3;
-/// The pause after a failed call.
+/// Pause after a failed store call.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// How often a process that can't serve yet looks again.
+/// How often a starting process checks whether it can serve.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Keeps the node listed until it stops.
+/// Keeps the node registered from when it can serve until it stops.
 pub(super) async fn maintain_registration(app: Arc<App>) {
     while app.routes().is_none() || !app.membership.lock().is_loaded() {
         tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
@@ -28,7 +28,7 @@
     }
 }
 
-/// Opens a lease, lists the node under it and renews it until it ends.
+/// Opens a lease, registers the node under it and renews it until it ends.
 async fn hold_lease(app: &Arc<App>) -> Result<(), StoreError> {
     let ttl = app.settings.lease_ttl;
     let sent = app.now();
@@ -70,21 +70,24 @@
 }
 
 impl App {
-    /// Waits until this node's last order is as old as the next holder takes it to be.
+    /// Waits until half a lease has passed since this node's last order. The next leader counts
+    /// on at least that much when it computes its own waiting time.
     pub(super) async fn wait_out_last_order(&self) {
         let Some(last) = *self.last_duty.lock() else { return };
         let until = last + self.settings.lease_ttl / 2;
         tokio::time::sleep(until.saturating_sub(self.now())).await;
     }
 
-    /// Takes the node off the list: clients are sent elsewhere, and others take its jobs.
+    /// Removes the node's record, so that clients are sent elsewhere and other nodes take over
+    /// its jobs, and ends its lease.
     pub(super) async fn deregister(&self) {
         let lease = std::mem::take(&mut *self.lease.lock());
         if lease.id == 0 {
             return;
         }
         let key = node_key(&self.settings.name);
-        // Under a condition: an answer may be lost, and this node be back by then.
+        // Conditional on the revision: if the answer is lost and the removal takes effect late,
+        // this node may have registered again by then.
         let gone = Txn::when(key.clone(), lease.key_revision).remove(key);
         if let Err(e) = self.store.txn(gone).await {
             tracing::warn!(event = "node_not_removed", error = %e);
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -1,4 +1,4 @@
-//! Giving up a machine whose disk an operator wants emptied.
+//! Answers an operator's request to empty this machine's disk.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,12 +6,13 @@
 use super::app::App;
 use crate::edge::store::Txn;
 
-/// The pause between tries to tell the operator.
+/// Pause after a failed attempt to write the answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl App {
-    /// An operator asks for a machine's disk to be emptied. Nothing lasts on it, so the
-    /// answer is ready at once; it is the machine itself that gives it.
+    /// Handles a request to empty a machine's disk within a time. Nothing is stored on the
+    /// disk, so the node writes the answer at once. Only the named node answers, and only if
+    /// its machine has a disk.
     pub(super) fn retire(&self, node: &str, within: Duration) {
         if !self.settings.has_disk || *self.settings.name != *node {
             return;
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -1,4 +1,4 @@
-//! The settings of a process on machines where a store holds all that lasts.
+//! The settings of an entry process, which keeps all lasting state in the key-value store.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -8,85 +8,88 @@
 use crate::Name;
 use crate::decide::usage::Windows;
 
-/// How long the lease of a node lasts by default: two renewals may be lost.
-const LEASE: Duration = Duration::from_millis(2_000);
-/// How long callers keep an answer with addresses, in seconds.
-const TTL: u64 = 1;
-/// How long a holder of orders waits before its first order by default.
-const TURN: Duration = Duration::from_millis(3_000);
-/// How long the store keeps its history by default.
-const HISTORY: Duration = Duration::from_secs(20);
-/// How long after a replica has reported that it leaves it may still get work, by default.
-const DRAIN: Duration = Duration::from_millis(2_000);
-/// How long a job can be read after its submission by default.
-const KEPT: Duration = Duration::from_secs(120);
-/// How long a process may take to stop by default.
-const GRACE: Duration = Duration::from_secs(8);
-/// A value below this would hold little beside its frame, in bytes.
-const LEAST_VALUE: usize = 16 << 10;
-/// The shortest window that usage is reported by.
-const LEAST_WINDOW: Duration = Duration::from_secs(1);
-/// The sections that a file may have.
+/// Default time to live of a node's lease; two renewals in a row may be lost.
+const DEFAULT_LEASE_TTL: Duration = Duration::from_millis(2_000);
+/// Default number of seconds for which clients may cache an address answer.
+const DEFAULT_ADDRESS_TTL_SECS: u64 = 1;
+/// Default minimum time between the orders of two successive leaders.
+const DEFAULT_ORDER_GAP: Duration = Duration::from_millis(3_000);
+/// Default time for which the store keeps its revision history.
+const DEFAULT_STORE_HISTORY: Duration = Duration::from_secs(20);
+/// Default time for which a replica may still get work after it has reported that it leaves.
+const DEFAULT_DRAIN_TIME: Duration = Duration::from_millis(2_000);
+/// Default time after its submission for which a job can be read.
+const DEFAULT_JOB_RETENTION: Duration = Duration::from_secs(120);
+/// Default time that a process may take to stop.
+const DEFAULT_STOP_GRACE: Duration = Duration::from_secs(8);
+/// Smallest allowed `[store] value`; a smaller value would hold little more than its encoding.
+const MIN_VALUE_BYTES: usize = 16 << 10;
+/// Shortest allowed usage window, and its default.
+const MIN_USAGE_WINDOW: Duration = Duration::from_secs(1);
+/// Sections that a settings file may have.
 const SECTIONS: [&str; 10] =
     ["node", "store", "replicas", "jobs", "duties", "usage", "orders", "stop", "answers", "log"];
-/// The largest value of the store by default, in bytes.
-const VALUE: usize = 1 << 20;
+/// Default size limit of a value in the store.
+const DEFAULT_VALUE_BYTES: usize = 1 << 20;
 
-/// Everything that a process reads from its file.
+/// The contents of an entry process's settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EntrySettings {
     /// `[node] name`.
     pub name: Name,
     /// `[node] zone`.
     pub zone: Name,
-    /// `[node] callers`: where clients and trainers connect; none where nobody does.
+    /// `[node] callers`: listen address for clients and trainers; none if this node serves
+    /// neither.
     pub client_address: Option<SocketAddr>,
-    /// `[node] ready`: where readiness is asked.
+    /// `[node] ready`: listen address for readiness checks.
     pub readiness_address: Option<SocketAddr>,
-    /// `[node] addresses`: where clients ask which nodes to use.
+    /// `[node] addresses`: listen address where clients ask which nodes to use.
     pub directory_address: Option<SocketAddr>,
-    /// `[node] peers`: where other nodes connect; none where nobody does.
+    /// `[node] peers`: listen address for other nodes; none if they don't connect to this one.
     pub peer_address: Option<SocketAddr>,
-    /// `[node] seeds`: where some other nodes may be asked before any is known.
+    /// `[node] seeds`: peer addresses of some nodes, for requests before any node is known.
     pub seeds: Vec<SocketAddr>,
-    /// `[node] metrics`: where metrics are asked for.
+    /// `[node] metrics`: listen address for metrics.
     pub metrics_address: Option<SocketAddr>,
-    /// `[node] keeps`: whether the machine has a disk that an operator may ask to empty.
+    /// `[node] keeps`: whether the machine has a disk that an operator may ask to have emptied.
     pub has_disk: bool,
-    /// `[store] address`.
+    /// `[store] address`: where the key-value store listens.
     pub store_address: SocketAddr,
-    /// `[store] value`: the largest value, in bytes.
+    /// `[store] value`: the size limit of a value in the store, in bytes.
     pub value_bytes: usize,
-    /// `[store] history`: how long the store keeps its history.
+    /// `[store] history`: how long the store keeps its revision history.
     pub store_history: Duration,
-    /// `[store] lease`: how long a node counts as alive without a renewal.
+    /// `[store] lease`: how long a node counts as alive without renewing its lease.
     pub lease_ttl: Duration,
-    /// `[replicas] drain`: how long after a replica has reported that it leaves it may still
-    /// get work.
+    /// `[replicas] drain`: how long a replica may still get work after it has reported that it
+    /// leaves.
     pub drain_time: Duration,
-    /// `[jobs] kept`: how long a job can be read after its submission.
+    /// `[jobs] kept`: how long after its submission a job can be read.
     pub job_retention: Duration,
-    /// `[duties] address`: where duties are done; none where there are none.
+    /// `[duties] address`: the platform's service for the leader's duties, such as usage reports
+    /// and scaling; none if there are no duties.
     pub duties_address: Option<SocketAddr>,
-    /// `[usage] window`, `late`: how usage is reported; none where it is not.
+    /// `[usage] window`, `late`: the windows by which usage is reported; none if it is not.
     pub usage_windows: Option<Windows>,
-    /// `[orders] turn`: how long orders of two holders must lie apart.
+    /// `[orders] turn`: minimum time between the orders of two successive leaders.
     pub order_gap: Duration,
-    /// `[stop] grace`: how long stopping may take.
+    /// `[stop] grace`: how long the process may take to stop.
     pub stop_grace: Duration,
-    /// `[answers] ttl`: how long callers may keep addresses, in seconds.
+    /// `[answers] ttl`: how long clients may cache addresses, in seconds.
     pub ttl_secs: u64,
-    /// `[log] level`.
+    /// `[log] level`: the filter for log lines.
     pub log_level: String,
 }
 
 impl EntrySettings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn open(path: &Path) -> Result<Self, Invalid> {
         Self::read(&Document::open(path)?)
     }
 
-    /// Checks a parsed text.
+    /// Validates a parsed document. An unknown section or key, a missing key, or a value out of
+    /// bounds is an error.
     pub fn read(doc: &Document) -> Result<Self, Invalid> {
         doc.only(&SECTIONS, &[])?;
         let node = doc.section("node")?;
@@ -94,54 +97,54 @@
         let mut settings = Self {
             name: node.required("name")?.into(),
             zone: node.required("zone")?.into(),
-            client_address: address(&node, "callers")?,
-            readiness_address: address(&node, "ready")?,
-            directory_address: address(&node, "addresses")?,
-            peer_address: address(&node, "peers")?,
+            client_address: optional_address(&node, "callers")?,
+            readiness_address: optional_address(&node, "ready")?,
+            directory_address: optional_address(&node, "addresses")?,
+            peer_address: optional_address(&node, "peers")?,
             seeds: node.list("seeds")?,
-            metrics_address: address(&node, "metrics")?,
+            metrics_address: optional_address(&node, "metrics")?,
             has_disk: node.value_or("keeps", false)?,
             store_address: store.value("address")?,
-            value_bytes: store.within("value", LEAST_VALUE..=64 << 20, VALUE)?,
-            store_history: store.duration("history", HISTORY)?,
-            lease_ttl: store.duration("lease", LEASE)?,
-            drain_time: DRAIN,
-            job_retention: KEPT,
+            value_bytes: store.within("value", MIN_VALUE_BYTES..=64 << 20, DEFAULT_VALUE_BYTES)?,
+            store_history: store.duration("history", DEFAULT_STORE_HISTORY)?,
+            lease_ttl: store.duration("lease", DEFAULT_LEASE_TTL)?,
+            drain_time: DEFAULT_DRAIN_TIME,
+            job_retention: DEFAULT_JOB_RETENTION,
             duties_address: None,
             usage_windows: None,
-            order_gap: TURN,
-            stop_grace: GRACE,
-            ttl_secs: TTL,
+            order_gap: DEFAULT_ORDER_GAP,
+            stop_grace: DEFAULT_STOP_GRACE,
+            ttl_secs: DEFAULT_ADDRESS_TTL_SECS,
             log_level: "info".to_owned(),
         };
         node.finish()?;
         store.finish()?;
         if let Some(replicas) = doc.optional("replicas") {
-            settings.drain_time = replicas.duration("drain", DRAIN)?;
+            settings.drain_time = replicas.duration("drain", DEFAULT_DRAIN_TIME)?;
             replicas.finish()?;
         }
         if let Some(jobs) = doc.optional("jobs") {
-            settings.job_retention = jobs.duration("kept", KEPT)?;
+            settings.job_retention = jobs.duration("kept", DEFAULT_JOB_RETENTION)?;
             jobs.finish()?;
         }
         if let Some(duties) = doc.optional("duties") {
-            settings.duties_address = address(&duties, "address")?;
+            settings.duties_address = optional_address(&duties, "address")?;
             duties.finish()?;
         }
         if let Some(usage) = doc.optional("usage") {
-            settings.usage_windows = Some(windows(&usage)?);
+            settings.usage_windows = Some(usage_windows(&usage)?);
             usage.finish()?;
         }
         if let Some(orders) = doc.optional("orders") {
-            settings.order_gap = orders.duration("turn", TURN)?;
+            settings.order_gap = orders.duration("turn", DEFAULT_ORDER_GAP)?;
             orders.finish()?;
         }
         if let Some(stop) = doc.optional("stop") {
-            settings.stop_grace = stop.duration("grace", GRACE)?;
+            settings.stop_grace = stop.duration("grace", DEFAULT_STOP_GRACE)?;
             stop.finish()?;
         }
         if let Some(answers) = doc.optional("answers") {
-            settings.ttl_secs = answers.within("ttl", 1..=3_600, TTL)?;
+            settings.ttl_secs = answers.within("ttl", 1..=3_600, DEFAULT_ADDRESS_TTL_SECS)?;
             answers.finish()?;
         }
         if let Some(log) = doc.optional("log") {
@@ -152,17 +155,21 @@
     }
 }
 
-fn windows(section: &super::Section<'_>) -> Result<Windows, Invalid> {
-    let length = section.duration("window", LEAST_WINDOW)?;
-    if length < LEAST_WINDOW {
+/// Reads the `[usage]` section. `late` defaults to the length of the window.
+fn usage_windows(section: &super::Section<'_>) -> Result<Windows, Invalid> {
+    let length = section.duration("window", MIN_USAGE_WINDOW)?;
+    if length < MIN_USAGE_WINDOW {
         let text = section.text("window").unwrap_or_default();
         return Err(section.bad("window", text, "shorter than a second".to_owned()));
     }
     Ok(Windows { length, late: section.duration("late", length)? })
 }
 
-/// An address that may be left out or empty.
-fn address(section: &super::Section<'_>, key: &str) -> Result<Option<SocketAddr>, Invalid> {
+/// Reads an address that may be absent or empty.
+fn optional_address(
+    section: &super::Section<'_>,
+    key: &str,
+) -> Result<Option<SocketAddr>, Invalid> {
     match section.text(key) {
         None | Some("") => Ok(None),
         Some(_) => section.value(key).map(Some),
