--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct TextAttempt<'a> {
     pub app: &'a App,
-    pub home: &'a OwnedJob,
+    pub owned: &'a OwnedJob,
     pub item: &'a ItemSpec,
     pub spec: &'a Spec,
     pub route: &'a Route,
@@ -120,7 +120,7 @@
             Err(fault) => {
                 let replica = &held.target.id;
                 tracing::info!(event = "text_begun_anew", item = %self.item.id, %replica, %fault);
-                self.home.with_text(&self.item.id, |text| text.restart());
+                self.owned.with_text(&self.item.id, |text| text.restart());
                 AttemptResult::Again(AttemptEnd::Fault)
             }
         }
@@ -140,14 +140,14 @@
     }
 
     fn last_event(self) -> u64 {
-        self.home.with_text(&self.item.id, |text| text.last())
+        self.owned.with_text(&self.item.id, |text| text.last())
     }
 
     /// Reads events into the text.
     async fn read(self, held: &SlotGuard<'_>, reply: Reply) -> Result<ReadEnd, Fault> {
         let mut reader = EventReader::new(self.app.replicas.version_field());
         let mut body = reply.body;
-        self.home.with_text(&self.item.id, |text| text.at(reply.version));
+        self.owned.with_text(&self.item.id, |text| text.at(reply.version));
         let mut seen = None;
         let mut mark: Option<(Moment, u64)> = None;
         loop {
@@ -181,7 +181,7 @@
 
     /// Adds events to the text and returns the version that made the last.
     fn add_events(self, events: &[Event]) -> Result<Option<u64>, Fault> {
-        self.home.with_text(&self.item.id, |text| {
+        self.owned.with_text(&self.item.id, |text| {
             for event in events {
                 let known = text.versions();
                 let fits = |v| !self.route.one_version || known.iter().all(|k| *k == v);
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -1,7 +1,8 @@
-//! The holder of orders: one node at a time moves replicas to the named versions.
+//! Leader election, and the leader's orders that move replicas to the named weight versions.
 //!
-//! The holder's key lies under its node's lease, and the revision that wrote it is the
-//! fencing token of its orders. A holder that can't be sure of its lease gives no order.
+//! One node at a time is the leader. Its record is attached to its node's lease, and the
+//! revision that wrote the record is the fencing token of its orders. A leader that cannot be
+//! sure of its lease gives no order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,27 +21,33 @@
 use crate::edge::replica::{Order, OrderEnd, Target};
 use crate::edge::store::{Txn, TxnEnd};
 
-/// How much longer each next node in rank waits before it tries to be holder.
+/// How much longer each next node in rank waits before it tries to become the leader.
 const RANK_DELAY: Duration = Duration::from_millis(400);
-/// How often a node that is not holder looks, and a holder looks again after a failure.
+/// How often a node that is not the leader checks for a vacancy, and how often a leader with
+/// orders under way plans anew.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// How long one order or question may take.
+/// Timeout of one order to a replica, or of one status request.
 const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a load takes at least: asking sooner is a question for nothing.
+/// Shortest time that a weight load takes; the replica's status is not polled before.
 const MIN_LOAD_TIME: Duration = Duration::from_millis(850);
-/// The pause between questions whether a load is done.
+/// Pause between status requests during a load, and pause after a failed load.
 const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(120);
-/// Questions until a load counts as failed: eight seconds, as many loads at once are slow.
+/// Status requests until a load counts as failed. They come to eight seconds, because many
+/// simultaneous loads are slow.
 const MAX_LOAD_POLLS: u32 = 60;
 
-/// How a move ended.
-enum MoveResult {
+/// How a weight load ended.
+enum LoadOutcome {
+    /// The replica serves the version.
     Done,
+    /// It does not, or its state is unknown. The load is planned again.
     Failed,
+    /// The replica has accepted an order of a later term.
     Fenced,
 }
 
-/// Holds orders whenever it is this node's turn, until the process stops.
+/// Runs for leader and does the leader's work whenever this node is elected, until the process
+/// stops.
 pub(super) async fn run_leader(app: Arc<App>) {
     loop {
         tokio::select! {
@@ -59,34 +66,34 @@
                 app.wait_out_last_order().await;
                 let txn = Txn::when(LEADER_KEY, fence).remove(LEADER_KEY);
                 if let Err(e) = app.store.txn(txn).await {
-                    tracing::warn!(event = "holder_not_removed", fence, error = %e);
+                    tracing::warn!(event = "leader_not_removed", fence, error = %e);
                 }
             }
         }
     }
 }
 
-/// Waits until this node is holder and returns its fencing token.
+/// Waits until this node is the leader and returns the fencing token of its term.
 async fn acquire_leadership(app: &Arc<App>) -> u64 {
-    let mut news = app.view_changes.subscribe();
-    let mut free = None;
+    let mut view_changes = app.view_changes.subscribe();
+    let mut vacant_since = None;
     loop {
-        let _ = tokio::time::timeout(CHECK_INTERVAL, news.changed()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, view_changes.changed()).await;
         let now = app.now();
-        let (taken, able) = {
+        let (leader, serving) = {
             let live = app.membership.lock();
             (live.leader().cloned(), live.serving_incarnations())
         };
-        if let Some(seen) = taken {
-            free = None;
-            // A key of an earlier term of this very process.
+        if let Some(seen) = leader {
+            vacant_since = None;
+            // The record is from an earlier term of this same process.
             if seen.value.incarnation == app.incarnation && app.has_lease() {
                 return seen.revision;
             }
             continue;
         }
-        let since = *free.get_or_insert(now);
-        let ranked = rank(LEADER_KEY, able.iter().map(|l| &**l));
+        let since = *vacant_since.get_or_insert(now);
+        let ranked = rank(LEADER_KEY, serving.iter().map(|l| &**l));
         let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
         let lease = app.lease.lock().id;
         if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * place as u32 {
@@ -100,38 +107,38 @@
         match app.store.txn(txn).await {
             Ok(TxnEnd::Done(fence)) => return fence,
             Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => {}
-            Err(e) => tracing::warn!(event = "holder_not_written", error = %e),
+            Err(e) => tracing::warn!(event = "leader_not_written", error = %e),
         }
     }
 }
 
-/// Gives orders until the term is over.
+/// Orders weight loads until the term is over.
 async fn issue_orders(app: &Arc<App>, fence: u64) {
     tokio::time::sleep(app.takeover_delay()).await;
-    let mut news = app.view_changes.subscribe();
+    let mut view_changes = app.view_changes.subscribe();
     let mut busy: BTreeMap<Name, Name> = BTreeMap::new();
-    let mut running: JoinSet<(Name, MoveResult)> = JoinSet::new();
+    let mut running: JoinSet<(Name, LoadOutcome)> = JoinSet::new();
     loop {
         if !app.holds_term(fence) {
             return;
         }
-        for wanted in plan_moves(app, &busy) {
+        for wanted in plan_loads(app, &busy) {
             let Some(target) = target(app, &wanted.id) else { continue };
             busy.insert(wanted.id.clone(), wanted.model.clone());
             let (app, id) = (app.clone(), wanted.id.clone());
-            running.spawn(async move { (id, execute_move(&app, target, wanted, fence).await) });
+            running.spawn(async move { (id, execute_load(&app, target, wanted, fence).await) });
         }
         tokio::select! {
-            _ = news.changed() => {}
+            _ = view_changes.changed() => {}
             Some(ended) = running.join_next() => match ended {
-                Ok((id, MoveResult::Done)) => drop(busy.remove(&id)),
-                Ok((id, MoveResult::Failed)) => {
+                Ok((id, LoadOutcome::Done)) => drop(busy.remove(&id)),
+                Ok((id, LoadOutcome::Failed)) => {
                     busy.remove(&id);
                     tokio::time::sleep(LOAD_POLL_INTERVAL).await;
                 }
-                Ok((_, MoveResult::Fenced)) => return,
+                Ok((_, LoadOutcome::Fenced)) => return,
                 Err(e) => {
-                    tracing::error!(event = "move_failed", error = %e);
+                    tracing::error!(event = "weight_load_failed", error = %e);
                     return;
                 }
             },
@@ -140,7 +147,8 @@
     }
 }
 
-fn plan_moves(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
+/// The loads to order now, given the replicas with a load under way and the models they load.
+fn plan_loads(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
     let named = app.versions.lock().clone();
     let demand = app.demand.lock().by_model(app.now());
     let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
@@ -164,23 +172,25 @@
     app.slots.fleet.lock().get(id).map(|l| l.target.clone())
 }
 
-async fn execute_move(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> MoveResult {
+/// Orders one weight load and waits for its end. Gives no order if the replica already has the
+/// version, is busy, or the term may be over.
+async fn execute_load(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> LoadOutcome {
     let Ok(stance) = app.replicas.stance(&target, REPLICA_CALL_TIMEOUT).await else {
-        return MoveResult::Failed;
+        return LoadOutcome::Failed;
     };
     if stance.is_of_another(&target) {
-        // It started again; its entry will say so.
-        return MoveResult::Failed;
+        // The replica has restarted; its next entry in the store will show that.
+        return LoadOutcome::Failed;
     }
     let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
     if let Some(has) = has
         && has >= wanted.version
     {
         app.slots.fleet.lock().seen(&target, &wanted.model, has);
-        return MoveResult::Done;
+        return LoadOutcome::Done;
     }
     if stance.busy || !app.holds_term(fence) {
-        return MoveResult::Failed;
+        return LoadOutcome::Failed;
     }
     let one_version = app.routes().is_some_and(|r| r.any_one_version());
     let order = Order {
@@ -207,33 +217,33 @@
         OrderEnd::Accepted | OrderEnd::Unknown => await_load(app, &target, &wanted).await,
         OrderEnd::Holds => {
             app.slots.fleet.lock().seen(&target, &wanted.model, wanted.version);
-            MoveResult::Done
+            LoadOutcome::Done
         }
-        OrderEnd::Busy | OrderEnd::Refused => MoveResult::Failed,
-        OrderEnd::Fenced => MoveResult::Fenced,
+        OrderEnd::Busy | OrderEnd::Refused => LoadOutcome::Failed,
+        OrderEnd::Fenced => LoadOutcome::Fenced,
     }
 }
 
-/// Waits until a replica has loaded what it was ordered to.
-async fn await_load(app: &App, target: &Target, wanted: &Move) -> MoveResult {
+/// Polls a replica until it has loaded the ordered version.
+async fn await_load(app: &App, target: &Target, wanted: &Move) -> LoadOutcome {
     tokio::time::sleep(MIN_LOAD_TIME).await;
     for _ in 0..MAX_LOAD_POLLS {
         let Ok(stance) = app.replicas.stance(target, REPLICA_CALL_TIMEOUT).await else {
-            return MoveResult::Failed;
+            return LoadOutcome::Failed;
         };
         if stance.is_of_another(target) {
-            return MoveResult::Failed;
+            return LoadOutcome::Failed;
         }
         let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
         if has.is_some_and(|has| has >= wanted.version) {
             app.slots.fleet.lock().seen(target, &wanted.model, wanted.version);
             app.slots.assign_free(app.now());
-            return MoveResult::Done;
+            return LoadOutcome::Done;
         }
         if !stance.busy {
-            return MoveResult::Failed;
+            return LoadOutcome::Failed;
         }
         tokio::time::sleep(LOAD_POLL_INTERVAL).await;
     }
-    MoveResult::Failed
+    LoadOutcome::Failed
 }
--- a/src/entry/owned_jobs.rs
+++ b/src/entry/owned_jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs that this node is home to.
+//! The jobs that this node owns and runs.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -13,12 +13,12 @@
 use crate::Name;
 use crate::decide::job::{Growth, Job, JobOrder, Saved, Spec, Text};
 
-/// What has come to unfinished texts.
+/// The growth of unfinished texts since their last save.
 #[derive(Debug, Default)]
 pub(super) struct UnsavedTexts {
-    /// The growth of each.
+    /// What was added to each text.
     pub growths: Vec<(Name, Growth)>,
-    /// What the store has of each once that is written.
+    /// How much of each text the store has once that is written.
     pub saved: Vec<(Name, Saved)>,
 }
 
@@ -26,41 +26,43 @@
 #[derive(Debug)]
 pub(super) struct OwnedJob {
     pub job: Mutex<Job>,
-    /// The home's key, whose revision makes this node its home.
+    /// The job's record. As long as the store has it at this revision, this node is the owner.
     pub record: Mutex<Stored<JobRecord>>,
-    /// The texts of samples that run, and how much of each the store has.
+    /// The texts of running samples, and how much of each the store has.
     pub texts: Mutex<ByName<(Text, Saved)>>,
-    /// The number of writes of unfinished texts.
+    /// The number of saves of unfinished texts.
     pub text_writes: Mutex<usize>,
-    /// Told when a sample ends.
+    /// Notified when a sample ends whose result may complete something that the trainer takes.
     pub sample_ended: Notify,
-    /// The number of results that last.
+    /// The number of results that are written to the store.
     pub result_count: watch::Sender<usize>,
-    /// Held while results are written: a home that leaves writes beside its usual writer.
+    /// Held while results are written: a leaving owner writes concurrently with the regular
+    /// writer task.
     pub write_lock: tokio::sync::Mutex<()>,
-    /// Whether a write of results was not answered.
+    /// Whether the answer to a write of results was lost.
     pub write_unknown: AtomicBool,
-    /// Cancelled when its samples are to stop.
+    /// Cancelled to stop the job's samples.
     pub stop: CancellationToken,
-    /// Its place among the jobs of this node.
+    /// The job's rank for slots among the jobs of this node.
     pub queue_order: u64,
 }
 
 impl OwnedJob {
-    /// Works on the text of a sample.
+    /// Calls `work` on the text of a sample, which is created empty if it does not exist.
     pub(super) fn with_text<T>(&self, item: &Name, work: impl FnOnce(&mut Text) -> T) -> T {
         let mut texts = self.texts.lock();
         work(&mut texts.entry(item.clone()).or_default().0)
     }
 
-    /// What has come to unfinished texts since the last write of them, at most `most` bytes.
-    pub(super) fn unsaved_texts(&self, most: usize) -> UnsavedTexts {
+    /// The growth of unfinished texts since their last save, at most `max_bytes`. Texts whose
+    /// growth does not fit are left for a later save.
+    pub(super) fn unsaved_texts(&self, max_bytes: usize) -> UnsavedTexts {
         let texts = self.texts.lock();
         let mut size = 0;
         let mut unsaved = UnsavedTexts::default();
         for (item, (text, saved)) in &*texts {
             let Some((growth, after)) = text.growth(*saved) else { continue };
-            if size + growth.bytes() > most {
+            if size + growth.bytes() > max_bytes {
                 continue;
             }
             size += growth.bytes();
@@ -70,7 +72,7 @@
         unsaved
     }
 
-    /// The store has these now.
+    /// Records that a save was written, and how much of each text the store has now.
     pub(super) fn mark_saved(&self, saves: Vec<(Name, Saved)>) {
         let mut texts = self.texts.lock();
         for (item, saved) in saves {
@@ -82,63 +84,66 @@
     }
 }
 
-/// All of them.
+/// All jobs that this node owns.
 #[derive(Debug, Default)]
 pub(super) struct OwnedJobs {
     jobs: Mutex<ByName<Arc<OwnedJob>>>,
     order: Mutex<JobOrder>,
-    /// Told when a job comes.
+    /// Notified when a job is added.
     job_added: Notify,
 }
 
 impl OwnedJobs {
-    /// The place of a job that comes.
+    /// Assigns a new job its rank for slots.
     pub(super) fn assign_order(&self, spec: &Spec) -> u64 {
         self.order.lock().begin(spec.organisation.clone(), spec.items.len())
     }
 
+    /// A job that runs here.
     pub(super) fn get(&self, job: &str) -> Option<Arc<OwnedJob>> {
         self.jobs.lock().get(job).cloned()
     }
 
-    /// Adds a job. None if it runs here already.
-    pub(super) fn insert(&self, id: &Name, home: Arc<OwnedJob>) -> Option<Arc<OwnedJob>> {
-        let mut homes = self.jobs.lock();
-        if homes.contains_key(id) {
-            self.order.lock().end(home.queue_order);
+    /// Adds a job and returns it; none if it runs here already.
+    pub(super) fn insert(&self, id: &Name, owned: Arc<OwnedJob>) -> Option<Arc<OwnedJob>> {
+        let mut jobs = self.jobs.lock();
+        if jobs.contains_key(id) {
+            self.order.lock().end(owned.queue_order);
             return None;
         }
-        homes.insert(id.clone(), home.clone());
+        jobs.insert(id.clone(), owned.clone());
         self.job_added.notify_waiters();
-        Some(home)
+        Some(owned)
     }
 
     /// Whether a job here has samples to make.
     pub(super) fn has_work(&self) -> bool {
-        let homes = self.jobs.lock();
-        homes.values().any(|home| !home.stop.is_cancelled() && !home.job.lock().made())
+        let jobs = self.jobs.lock();
+        jobs.values().any(|owned| !owned.stop.is_cancelled() && !owned.job.lock().made())
     }
 
     /// Waits until a job here has samples to make.
     pub(super) async fn wait_for_work(&self) {
         loop {
-            let come = self.job_added.notified();
+            let added = self.job_added.notified();
             if self.has_work() {
                 return;
             }
-            come.await;
+            added.await;
         }
     }
 
+    /// Removes a job and frees its rank.
     pub(super) fn remove(&self, job: &str) -> Option<Arc<OwnedJob>> {
         let removed = self.jobs.lock().remove(job);
-        if let Some(home) = &removed {
-            self.order.lock().end(home.queue_order);
+        if let Some(owned) = &removed {
+            self.order.lock().end(owned.queue_order);
         }
         removed
     }
 
+    /// All jobs with their ids.
     pub(super) fn all(&self) -> Vec<(Name, Arc<OwnedJob>)> {
-        self.jobs.lock().iter().map(|(id, home)| (id.clone(), home.clone())).collect()
+        self.jobs.lock().iter().map(|(id, owned)| (id.clone(), owned.clone())).collect()
     }
 }
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -1,4 +1,4 @@
-//! Reading jobs, at any node.
+//! Reading a job's results and sample bodies, at any node.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,21 +16,22 @@
 use crate::decide::job::{Listing, Spec, State};
 use crate::edge::store::{Change, StoreError};
 
-/// Text in one answer, in bytes: half of the megabyte that answers may have, as text grows
-/// when it is quoted.
+/// Bytes of text in one answer: half of the megabyte that an answer may have, because text
+/// grows when it is escaped.
 const MAX_PAGE_BYTES: usize = 500_000;
-/// The longest single watch for results.
+/// Longest single watch for results.
 const MAX_WATCH: Duration = Duration::from_millis(1_000);
-/// How long a view may rest and still go on by a watch. The store keeps its history for 20 s
-/// or less, and a watch from before that hears nothing instead of an error.
+/// Longest time since its last update after which a cached job is continued by a watch. The
+/// store keeps its history for 20 s or less, and a watch that starts before that gets nothing
+/// instead of an error.
 const MAX_WATCH_GAP: Duration = Duration::from_secs(3);
-/// The shortest watch: what the store has already.
+/// Shortest watch: returns what the store has already.
 const MIN_WATCH: Duration = Duration::from_millis(1);
 
-/// What a read of a job's results found.
+/// The result of reading a job's results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReadResult {
-    /// Results from the asked position on.
+    /// Results from the requested position on.
     Page {
         /// The number of the job's samples.
         total: usize,
@@ -39,27 +40,28 @@
     },
     /// There is no such job.
     Unknown,
-    /// The store does not say.
+    /// The store did not answer.
     Unsure,
 }
 
-/// What a lookup found.
+/// The result of a lookup.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Lookup<T> {
-    /// This.
+    /// It exists.
     Found(T),
-    /// There is none.
+    /// It does not exist.
     Unknown,
-    /// The store does not say.
+    /// The store did not answer.
     Unsure,
 }
 
 impl App {
-    /// Results of a job from a position on; waits for one if there is none yet.
+    /// Returns results of a job from a position on. If there is none yet, waits for one for at
+    /// most `wait`.
     pub async fn read(self: &Arc<Self>, job: &str, after: usize, wait: Duration) -> ReadResult {
         let ends = self.now() + wait;
-        if let Some(home) = self.owned_jobs.get(job)
-            && let Some(read) = self.read_owned(&home, after, ends).await
+        if let Some(owned) = self.owned_jobs.get(job)
+            && let Some(read) = self.read_owned(&owned, after, ends).await
         {
             return read;
         }
@@ -68,83 +70,84 @@
         }
         let read = match self.read_at_home(job, after, wait).await {
             Ok(Some(read)) => return read,
-            Ok(None) => self.read_view(job, after, ends).await,
+            Ok(None) => self.read_remote(job, after, ends).await,
             Err(e) => Err(e),
         };
         match read {
             Ok(read) => read,
             Err(e) => {
-                tracing::info!(event = "read_unsure", job, error = %e);
+                tracing::info!(event = "job_read_failed", job, error = %e);
                 ReadResult::Unsure
             }
         }
     }
 
-    /// Reads from the home itself; none if it lost the job meanwhile.
+    /// Reads a job that this node owns; none if the job was stopped or lost meanwhile, or what
+    /// the store has of it is uncertain.
     pub(super) async fn read_owned(
         &self,
-        home: &OwnedJob,
+        owned: &OwnedJob,
         after: usize,
         ends: Moment,
     ) -> Option<ReadResult> {
-        let total = home.job.lock().spec.items.len();
-        let mut listed = home.result_count.subscribe();
+        let total = owned.job.lock().spec.items.len();
+        let mut listed = owned.result_count.subscribe();
         loop {
-            let results = results_page(home.job.lock().listed(), after);
-            // A write that was not answered may show at other nodes already.
-            if home.job.lock().ended() || home.write_unknown.load(Ordering::Relaxed) {
+            let results = results_page(owned.job.lock().listed(), after);
+            // Other nodes may already see the results of a write whose answer was lost.
+            if owned.job.lock().ended() || owned.write_unknown.load(Ordering::Relaxed) {
                 return None;
             }
-            let over = home.job.lock().complete();
-            if !results.is_empty() || over || self.now() >= ends {
+            let finished = owned.job.lock().complete();
+            if !results.is_empty() || finished || self.now() >= ends {
                 return Some(ReadResult::Page { total, results });
             }
             let left = ends.saturating_sub(self.now());
             tokio::select! {
-                () = home.stop.cancelled() => return None,
+                () = owned.stop.cancelled() => return None,
                 _ = tokio::time::timeout(left, listed.changed()) => {}
             }
         }
     }
 
-    async fn read_view(
+    async fn read_remote(
         &self,
         job: &str,
         after: usize,
         ends: Moment,
     ) -> Result<ReadResult, StoreError> {
-        let view = self.remote_jobs.get(job);
-        let Some(total) = self.sample_count(job, &view).await? else {
+        let remote = self.remote_jobs.get(job);
+        let Some(total) = self.sample_count(job, &remote).await? else {
             return Ok(ReadResult::Unknown);
         };
-        // An empty page is only given from what the store said during this read.
+        // An empty page is returned only if the store was read during this call.
         let mut fresh = false;
-        if !self.can_continue_watch(&view) {
-            self.reload_view(job, &view).await?;
+        if !self.can_continue_watch(&remote) {
+            self.reload_remote(job, &remote).await?;
             fresh = true;
         }
-        if view.state.lock().complete {
+        if remote.state.lock().complete {
             return Ok(ReadResult::Page {
                 total,
-                results: results_page(&view.state.lock().results, after),
+                results: results_page(&remote.state.lock().results, after),
             });
         }
         loop {
-            let results = results_page(&view.state.lock().results, after);
-            let over = view.state.lock().results.len() >= total;
+            let results = results_page(&remote.state.lock().results, after);
+            let finished = remote.state.lock().results.len() >= total;
             let left = ends.saturating_sub(self.now());
-            if !results.is_empty() || over || (fresh && left.is_zero()) {
+            if !results.is_empty() || finished || (fresh && left.is_zero()) {
                 return Ok(ReadResult::Page { total, results });
             }
             fresh = true;
-            let revision = view.state.lock().revision.unwrap_or_default();
+            let revision = remote.state.lock().revision.unwrap_or_default();
             let watched = self
                 .store
                 .watch(&results_prefix(job), revision, left.clamp(MIN_WATCH, MAX_WATCH))
                 .await;
             match watched {
                 Ok(watched) => {
-                    let mut state = view.state.lock();
+                    let mut state = remote.state.lock();
                     state.revision = state.revision.max(Some(watched.revision));
                     state.last_update = self.now();
                     for change in &watched.changes {
@@ -153,51 +156,55 @@
                         }
                     }
                 }
-                Err(StoreError::Compacted) => self.reload_view(job, &view).await?,
+                Err(StoreError::Compacted) => self.reload_remote(job, &remote).await?,
                 Err(e) => {
-                    view.state.lock().revision = None;
+                    remote.state.lock().revision = None;
                     return Err(e);
                 }
             }
         }
     }
 
-    /// The number of a job's samples; none if there is no such job.
-    async fn sample_count(&self, job: &str, view: &RemoteJob) -> Result<Option<usize>, StoreError> {
-        if let Some(total) = view.state.lock().sample_count {
+    /// The number of a job's samples; none if the job does not exist.
+    async fn sample_count(
+        &self,
+        job: &str,
+        remote: &RemoteJob,
+    ) -> Result<Option<usize>, StoreError> {
+        if let Some(total) = remote.state.lock().sample_count {
             return Ok(Some(total));
         }
         let seen = self.job_record(job).await?;
         let total = seen.map(|seen| seen.value.sample_count);
-        view.state.lock().sample_count = total;
+        remote.state.lock().sample_count = total;
         Ok(total)
     }
 
-    /// Whether a watch can go on from where a view stands.
-    fn can_continue_watch(&self, view: &RemoteJob) -> bool {
-        let state = view.state.lock();
-        let rested = self.now().saturating_sub(state.last_update);
-        let whole =
-            state.watch_gaps == self.watch_gaps.load(Ordering::Relaxed) && rested < MAX_WATCH_GAP;
-        state.complete || state.revision.is_some() && whole
+    /// Whether a watch can continue from the revision of a cached job without a gap.
+    fn can_continue_watch(&self, remote: &RemoteJob) -> bool {
+        let state = remote.state.lock();
+        let since_update = self.now().saturating_sub(state.last_update);
+        let unbroken = state.watch_gaps == self.watch_gaps.load(Ordering::Relaxed)
+            && since_update < MAX_WATCH_GAP;
+        state.complete || state.revision.is_some() && unbroken
     }
 
-    async fn reload_view(&self, job: &str, view: &RemoteJob) -> Result<(), StoreError> {
-        let doubts = self.watch_gaps.load(Ordering::Relaxed);
-        let ended = view.state.lock().ended;
+    async fn reload_remote(&self, job: &str, remote: &RemoteJob) -> Result<(), StoreError> {
+        let watch_gaps = self.watch_gaps.load(Ordering::Relaxed);
+        let ended = remote.state.lock().ended;
         let page = self.store.range(&results_prefix(job)).await?;
-        let mut state = view.state.lock();
+        let mut state = remote.state.lock();
         for item in &page.items {
             state.add(job, item);
         }
         state.revision = state.revision.max(Some(page.revision));
-        state.watch_gaps = doubts;
+        state.watch_gaps = watch_gaps;
         state.complete = ended;
         state.last_update = self.now();
         Ok(())
     }
 
-    /// Where a job is.
+    /// Reads a job's record; none if the job does not exist.
     pub(super) async fn job_record(
         &self,
         job: &str,
@@ -210,7 +217,7 @@
         }
     }
 
-    /// The body of a sample of a job.
+    /// Returns the request body of a sample.
     pub async fn sample_body(&self, job: &str, item: &str) -> Lookup<Bytes> {
         if let Some(body) = self.local_body(job, item) {
             return Lookup::Found(body);
@@ -222,36 +229,36 @@
             Ok(Some(spec)) => spec,
             Ok(None) => return Lookup::Unknown,
             Err(e) => {
-                tracing::info!(event = "read_unsure", job, error = %e);
+                tracing::info!(event = "job_read_failed", job, error = %e);
                 return Lookup::Unsure;
             }
         };
         find_body(&spec, item).map_or(Lookup::Unknown, Lookup::Found)
     }
 
-    /// The body of a sample of a job that this node has.
+    /// Returns the request body of a sample, if this node has its job in memory.
     pub(super) fn local_body(&self, job: &str, item: &str) -> Option<Bytes> {
         let spec = match self.owned_jobs.get(job) {
-            Some(home) => home.job.lock().spec.clone(),
+            Some(owned) => owned.job.lock().spec.clone(),
             None => self.ended_jobs.get(job)?.spec.clone(),
         };
         find_body(&spec, item)
     }
 
     async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
-        let view = self.remote_jobs.get(job);
-        if let Some(spec) = view.spec.lock().clone() {
+        let remote = self.remote_jobs.get(job);
+        if let Some(spec) = remote.spec.lock().clone() {
             return Ok(Some(spec));
         }
         if self.job_record(job).await?.is_none() {
             return Ok(None);
         }
         let spec = self.load_spec(job).await?;
-        *view.spec.lock() = Some(spec.clone());
+        *remote.spec.lock() = Some(spec.clone());
         Ok(Some(spec))
     }
 
-    /// Reads a submission from the store.
+    /// Reads a job's submission from the store.
     pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<Spec>, StoreError> {
         let page = self.store.range(&spec_prefix(job)).await?;
         let mut bytes = Vec::new();
@@ -277,7 +284,7 @@
     spec.items.iter().find(|i| *i.id == *item).map(|item| item.body.clone())
 }
 
-/// The results from a position on that fit one answer; at least one if there is one.
+/// The results from a position on that fit into one answer, but at least one if there is any.
 pub(super) fn results_page(listed: &[Arc<Listing>], after: usize) -> Vec<Arc<Listing>> {
     let mut size = 0;
     let mut results = Vec::new();
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -1,4 +1,5 @@
-//! Writing a job's results and its unfinished texts, under the key that makes a node its home.
+//! Writing a job's results and unfinished texts to the store. Each write is conditional on the
+//! job's record, so that only its owner can write.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,50 +14,51 @@
 use crate::edge::store::{Item, StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
 
-/// How long results are gathered for one write once the trainer may wait for them. A sample
-/// takes a second; a write for each would cost four times the calls, and a longer wait shows
-/// in the time of a step.
+/// How long results are gathered for one write once the trainer may be waiting for them. A
+/// sample takes about a second; a write for each result would cost four times as many calls,
+/// and a longer wait would lengthen the training step.
 const GATHER_WINDOW: Duration = Duration::from_millis(100);
-/// For how many windows they are gathered before that: what a step's first seconds bring is
-/// of no use to its trainer yet, and is lost with a home at most.
+/// Number of windows for which results are gathered before that. The results of a step's first
+/// seconds are of no use to the trainer yet, and at worst they are lost if the owner fails.
 const GATHER_WINDOWS: u32 = 4;
-/// How often unfinished texts are written while no result comes: what is lost with a home.
-/// Only what has come since is written, so a shorter time costs calls but no bytes.
+/// How often unfinished texts are saved while no result comes; this bounds what is lost if the
+/// owner fails. Only the growth is written, so a shorter interval costs calls but no bytes.
 const TEXT_SAVE_INTERVAL: Duration = Duration::from_millis(500);
-/// The pause after a failed write.
+/// Pause after a failed write.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// What a write that met a conflict found.
+/// What the store holds after a write met a conflict.
 enum WriteConflict {
-    /// The same results lie there already: an earlier try took effect.
+    /// The same results: an earlier attempt took effect.
     Written,
-    /// The home's key changed, and this node is still home.
+    /// The job's record has changed, and this node is still the owner.
     Changed,
-    /// Another node is home.
+    /// Another node is the owner.
     Lost,
 }
 
-/// Writes results as they come, and unfinished texts now and then, until there are no more.
-pub(super) async fn write_results(app: Arc<App>, home: Arc<OwnedJob>, id: Name) {
+/// Writes results as they come, and saves unfinished texts at intervals, until the job is
+/// complete or stopped.
+pub(super) async fn write_results(app: Arc<App>, owned: Arc<OwnedJob>, id: Name) {
     loop {
         tokio::select! {
-            () = home.stop.cancelled() => break,
+            () = owned.stop.cancelled() => break,
             () = tokio::time::sleep(TEXT_SAVE_INTERVAL) => {}
-            () = home.sample_ended.notified() => {}
+            () = owned.sample_ended.notified() => {}
         }
         for _ in 0..GATHER_WINDOWS {
-            if home.job.lock().made() {
+            if owned.job.lock().made() {
                 break;
             }
             tokio::time::sleep(GATHER_WINDOW).await;
-            if home.job.lock().awaited() {
+            if owned.job.lock().awaited() {
                 break;
             }
         }
-        if !flush(&app, &home, &id, usize::MAX).await {
+        if !flush(&app, &owned, &id, usize::MAX).await {
             return;
         }
-        if home.job.lock().complete() {
+        if owned.job.lock().complete() {
             app.tally.job(JobStep::Complete);
             tracing::info!(event = "job_complete", job = %id);
             break;
@@ -64,55 +66,66 @@
     }
 }
 
-/// Writes all that is fresh, a value at a time, each at most `tries` times. False if another
-/// node is home.
-pub(super) async fn flush(app: &Arc<App>, home: &Arc<OwnedJob>, id: &Name, tries: usize) -> bool {
-    let _writing = home.write_lock.lock().await;
+/// Writes all unwritten results and text growth, one value at a time, each in at most
+/// `max_attempts` attempts. False if this node is no longer the owner or a write failed.
+pub(super) async fn flush(
+    app: &Arc<App>,
+    owned: &Arc<OwnedJob>,
+    id: &Name,
+    max_attempts: usize,
+) -> bool {
+    let _writing = owned.write_lock.lock().await;
     loop {
-        let before = home.job.lock().position();
-        if !write_batch(app, home, id, tries).await {
+        let before = owned.job.lock().position();
+        if !write_batch(app, owned, id, max_attempts).await {
             return false;
         }
-        let job = home.job.lock();
+        let job = owned.job.lock();
         if !job.fresh() || job.position() == before {
             return true;
         }
     }
 }
 
-/// Writes what is fresh and fits a value.
-async fn write_batch(app: &Arc<App>, home: &Arc<OwnedJob>, id: &Name, tries: usize) -> bool {
-    let (position, batch) = home.job.lock().batch(app.settings.value_bytes - VALUE_RESERVE_BYTES);
+/// Writes the unwritten results and the text growth that fit one value. The write of the last
+/// results also marks the job as done. False as for [`flush`].
+async fn write_batch(
+    app: &Arc<App>,
+    owned: &Arc<OwnedJob>,
+    id: &Name,
+    max_attempts: usize,
+) -> bool {
+    let (position, batch) = owned.job.lock().batch(app.settings.value_bytes - VALUE_RESERVE_BYTES);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
         Err(e) => {
-            tracing::error!(event = "results_unreadable", job = %id, error = %e);
+            tracing::error!(event = "results_not_encoded", job = %id, error = %e);
             return true;
         }
     };
-    let total = home.job.lock().spec.items.len();
+    let total = owned.job.lock().spec.items.len();
     let last = !batch.is_empty() && position + batch.len() == total;
     let key = job_record_key(id);
-    let place = results_key(id, position);
-    for _ in 0..tries {
-        let Stored { value, revision } = home.record.lock().clone();
-        // Whoever has read that it is ended takes what lies there for all of it.
-        if home.job.lock().ended() {
+    let batch_key = results_key(id, position);
+    for _ in 0..max_attempts {
+        let Stored { value, revision } = owned.record.lock().clone();
+        // A node that has read that the job is ended takes the results in the store for final.
+        if owned.job.lock().ended() {
             return false;
         }
         let mut txn = Txn::when(key.clone(), revision);
         if !batch.is_empty() {
-            txn.expected.push((place.clone(), 0));
-            txn = txn.put(place.clone(), bytes.clone());
+            txn.expected.push((batch_key.clone(), 0));
+            txn = txn.put(batch_key.clone(), bytes.clone());
         }
         let value = JobRecord { done: true, ..value };
         if last {
             txn = txn.put(key.clone(), serde_json::to_vec(&value).unwrap_or_default());
         }
-        let UnsavedTexts { growths, saved } = home.unsaved_texts(app.settings.value_bytes / 2);
+        let UnsavedTexts { growths, saved } = owned.unsaved_texts(app.settings.value_bytes / 2);
         if !growths.is_empty() && !last {
-            let index = *home.text_writes.lock();
+            let index = *owned.text_writes.lock();
             let encoded = bincode::serde::encode_to_vec(&growths, bincode::config::standard());
             txn = txn.put(texts_key(id, index), encoded.unwrap_or_default());
         }
@@ -122,23 +135,23 @@
         match app.store.txn(txn).await {
             Ok(TxnEnd::Done(written)) => {
                 if last {
-                    *home.record.lock() = Stored { value, revision: written };
+                    *owned.record.lock() = Stored { value, revision: written };
                 }
                 if !last && !saved.is_empty() {
-                    home.mark_saved(saved);
+                    owned.mark_saved(saved);
                 }
-                batch_written(home, batch.len());
+                batch_written(owned, batch.len());
                 return true;
             }
             Ok(TxnEnd::Conflict(items)) => {
-                match classify_conflict(app, home, id, &items, &place, &bytes) {
+                match classify_conflict(app, owned, id, &items, &batch_key, &bytes) {
                     WriteConflict::Written => {
-                        batch_written(home, batch.len());
+                        batch_written(owned, batch.len());
                         return true;
                     }
                     WriteConflict::Changed => {}
                     WriteConflict::Lost => {
-                        drop_lost_job(app, home, id);
+                        drop_lost_job(app, owned, id);
                         return false;
                     }
                 }
@@ -147,9 +160,9 @@
             Err(e) => {
                 tracing::warn!(event = "results_not_written", job = %id, error = %e);
                 if matches!(e, StoreError::Unknown(_)) && !batch.is_empty() {
-                    home.write_unknown.store(true, Ordering::Relaxed);
+                    owned.write_unknown.store(true, Ordering::Relaxed);
                 }
-                if home.stop.is_cancelled() {
+                if owned.stop.is_cancelled() {
                     return false;
                 }
                 app.fallback_store.wait_for_recovery(RETRY_PAUSE).await;
@@ -159,62 +172,65 @@
     false
 }
 
-fn batch_written(home: &OwnedJob, count: usize) {
-    home.write_unknown.store(false, Ordering::Relaxed);
+/// Records that `count` results are in the store, and notifies their readers.
+fn batch_written(owned: &OwnedJob, count: usize) {
+    owned.write_unknown.store(false, Ordering::Relaxed);
     if count == 0 {
         return;
     }
-    let mut job = home.job.lock();
+    let mut job = owned.job.lock();
     job.written(count);
-    let listed = job.position();
+    let written = job.position();
     drop(job);
-    home.result_count.send_replace(listed);
+    owned.result_count.send_replace(written);
 }
 
+/// Classifies a conflict by the items that the store holds under the written keys.
 fn classify_conflict(
     app: &Arc<App>,
-    home: &Arc<OwnedJob>,
+    owned: &Arc<OwnedJob>,
     id: &str,
     items: &[Item],
-    place: &str,
+    batch_key: &str,
     bytes: &[u8],
 ) -> WriteConflict {
     let own = job_record_key(id);
     let Some(item) = items.iter().find(|i| *i.key == *own) else { return WriteConflict::Lost };
-    if !update_record(app, home, item) {
+    if !update_record(app, owned, item) {
         return WriteConflict::Lost;
     }
-    match items.iter().find(|i| *i.key == *place) {
+    match items.iter().find(|i| *i.key == *batch_key) {
         Some(there) if there.value == bytes => WriteConflict::Written,
         Some(_) => WriteConflict::Lost,
         None => WriteConflict::Changed,
     }
 }
 
-/// Takes over the home's key as the store has it. False if another node is home.
-pub(super) fn update_record(app: &Arc<App>, home: &Arc<OwnedJob>, item: &Item) -> bool {
+/// Updates the job's record from the store, and stops the job if its trainer has ended it.
+/// False if another node is the owner.
+pub(super) fn update_record(app: &Arc<App>, owned: &Arc<OwnedJob>, item: &Item) -> bool {
     let Ok(value) = serde_json::from_slice::<JobRecord>(&item.value) else { return false };
-    let mut key = home.record.lock();
-    if item.revision < key.revision {
+    let mut record = owned.record.lock();
+    if item.revision < record.revision {
         return true;
     }
     if value.incarnation != app.incarnation {
         return false;
     }
     let ended = value.ended;
-    *key = Stored { value, revision: item.revision };
-    drop(key);
-    if ended && !home.job.lock().ended() {
-        app.stop_job(home);
-        app.retain_ended(home.clone());
+    *record = Stored { value, revision: item.revision };
+    drop(record);
+    if ended && !owned.job.lock().ended() {
+        app.stop_job(owned);
+        app.retain_ended(owned.clone());
     }
     true
 }
 
-/// Stops a job that another node is home to.
-pub(super) fn drop_lost_job(app: &App, home: &OwnedJob, id: &Name) {
+/// Stops a job that another node owns now.
+pub(super) fn drop_lost_job(app: &App, owned: &OwnedJob, id: &Name) {
     app.tally.job(JobStep::Lost);
-    tracing::warn!(event = "job_lost", job = %id, "another node is home");
-    home.stop.cancel();
+    tracing::warn!(event = "job_lost", job = %id, "another node is the owner");
+    owned.stop.cancel();
     app.owned_jobs.remove(id);
 }
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -17,7 +17,7 @@
         if !self.settings.has_disk || *self.settings.name != *node {
             return;
         }
-        tracing::info!(event = "retire_asked", node, within_ms = within.as_millis() as u64);
+        tracing::info!(event = "retirement_requested", node, within_ms = within.as_millis() as u64);
         let put = self.notices.retired(node);
         let store: Arc<_> = self.store.clone();
         self.spawn(async move {
@@ -25,7 +25,7 @@
                 let txn = Txn { puts: vec![put.clone()], ..Txn::default() };
                 match store.txn(txn).await {
                     Ok(_) => break tracing::info!(event = "retired"),
-                    Err(e) => tracing::warn!(event = "retired_not_told", error = %e),
+                    Err(e) => tracing::warn!(event = "retirement_not_written", error = %e),
                 }
                 tokio::time::sleep(RETRY_PAUSE).await;
             }
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -1,4 +1,4 @@
-//! Running a job at its home: its samples, its end, and its hand-over.
+//! Running a job at its owner: starting its samples, stopping it, and handing it over.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -19,28 +19,29 @@
 use crate::edge::store::{Change, Item};
 use crate::metrics::JobStep;
 
-/// The pause after a failed write.
+/// Pause after a failed read of the job's record.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Tries of the last write before a job is handed over.
+/// Attempts at the last write of a job before it is handed over.
 const HANDOVER_WRITE_ATTEMPTS: usize = 2;
-/// How long the watch of a job's key may stay without news. Steps last some seconds, so it
-/// is one call for most.
+/// Longest single watch of a job's record. Training steps last some seconds, so that most jobs
+/// need one call.
 const RECORD_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the store has of a job beside its submission.
+/// What the store has of a job besides its submission.
 #[derive(Debug, Default)]
 pub(super) struct RestoredJob {
-    /// Its results.
+    /// The written results.
     pub results: Vec<Arc<Listing>>,
-    /// Its unfinished texts.
+    /// The unfinished texts, and how much of each the store has.
     pub texts: ByName<(Text, Saved)>,
-    /// The number of writes that these lie in.
+    /// The number of saves of unfinished texts so far.
     pub text_writes: usize,
 }
 
 impl App {
-    /// Runs a job that this node is home to since `revision`.
+    /// Runs a job that this node owns, from what the store has of it. Does nothing if the job
+    /// runs here already.
     pub(super) fn run_job(
         self: &Arc<Self>,
         spec: Arc<Spec>,
@@ -54,13 +55,13 @@
         }
         let queue_order = self.owned_jobs.assign_order(&spec);
         let job = Job::new(spec, results);
-        let places = match &job.spec.model {
+        let slots = match &job.spec.model {
             Some(model) => self.slots.fleet.lock().places(model, job.spec.oldest),
             None => job.spec.items.len(),
         };
-        let todo = job.todo(places);
+        let todo = job.todo(slots);
         let count = job.position();
-        let home = Arc::new(OwnedJob {
+        let owned = Arc::new(OwnedJob {
             job: Mutex::new(job),
             record: Mutex::new(record),
             texts: Mutex::new(texts),
@@ -72,42 +73,42 @@
             stop: CancellationToken::new(),
             queue_order,
         });
-        let Some(home) = self.owned_jobs.insert(&id, home) else { return };
-        let unfinished = home.texts.lock().len();
+        let Some(owned) = self.owned_jobs.insert(&id, owned) else { return };
+        let unfinished = owned.texts.lock().len();
         tracing::info!(event = "job_begins", job = %id, listed = count, todo = todo.len(), unfinished);
         for (index, item) in todo.into_iter().enumerate() {
-            let (app, home) = (self.clone(), home.clone());
-            let stop = home.stop.clone();
+            let (app, owned) = (self.clone(), owned.clone());
+            let stop = owned.stop.clone();
             self.spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = sample::make_sample(&app, &home, &item, index as u64) => {}
+                    () = sample::make_sample(&app, &owned, &item, index as u64) => {}
                 }
             });
         }
-        self.spawn(follow_record(self.clone(), home.clone(), id.clone()));
-        self.spawn(write_results(self.clone(), home, id));
+        self.spawn(follow_record(self.clone(), owned.clone(), id.clone()));
+        self.spawn(write_results(self.clone(), owned, id));
     }
 
-    /// The trainer of a job that runs here wants no more of it. What was listed is read from
-    /// the store from now on: a write without an answer may have taken effect there.
-    pub(super) fn stop_job(&self, home: &OwnedJob) {
-        home.job.lock().end();
-        home.stop.cancel();
-        let id = home.job.lock().spec.id.clone();
+    /// Stops a job that its trainer has ended. Its results are read from the store from now on,
+    /// because a write whose answer was lost may have taken effect there.
+    pub(super) fn stop_job(&self, owned: &OwnedJob) {
+        owned.job.lock().end();
+        owned.stop.cancel();
+        let id = owned.job.lock().spec.id.clone();
         self.owned_jobs.remove(&id);
     }
 
-    /// Stops all jobs that run here, so that others can take them, and writes what is there.
+    /// Stops all jobs that run here, writes what they have, and leaves them to other nodes.
     pub(super) async fn hand_over(self: &Arc<Self>) {
-        let homes = self.owned_jobs.all();
-        for (_, home) in &homes {
-            home.stop.cancel();
+        let owned_jobs = self.owned_jobs.all();
+        for (_, owned) in &owned_jobs {
+            owned.stop.cancel();
         }
-        let writes = homes.into_iter().map(|(id, home)| {
+        let writes = owned_jobs.into_iter().map(|(id, owned)| {
             let app = self.clone();
             async move {
-                flush(&app, &home, &id, HANDOVER_WRITE_ATTEMPTS).await;
+                flush(&app, &owned, &id, HANDOVER_WRITE_ATTEMPTS).await;
                 app.owned_jobs.remove(&id);
                 app.tally.job(JobStep::HandedOver);
                 tracing::info!(event = "job_handed_over", job = %id);
@@ -117,14 +118,14 @@
     }
 }
 
-/// Follows the key of a job that runs here: its trainer may end it through any node, and
-/// another node may take it.
-async fn follow_record(app: Arc<App>, home: Arc<OwnedJob>, id: Name) {
+/// Watches the record of a job that runs here: its trainer may end it through any node, and
+/// another node may take it over.
+async fn follow_record(app: Arc<App>, owned: Arc<OwnedJob>, id: Name) {
     let key = job_record_key(&id);
-    let mut revision = home.record.lock().revision;
+    let mut revision = owned.record.lock().revision;
     loop {
         let watched = tokio::select! {
-            () = home.stop.cancelled() => return,
+            () = owned.stop.cancelled() => return,
             watched = app.store.watch(&key, revision, RECORD_WATCH_TIMEOUT) => watched,
         };
         let items = match watched {
@@ -132,13 +133,13 @@
                 revision = watched.revision;
                 put_items(watched.changes)
             }
-            // The history may be gone, so the key itself is read.
+            // The store's history may have been compacted, so the record itself is read.
             Err(_) => match app.store.get(&key).await {
                 Ok(Some(item)) => {
                     revision = revision.max(item.revision);
                     vec![item]
                 }
-                Ok(None) => return drop_lost_job(&app, &home, &id),
+                Ok(None) => return drop_lost_job(&app, &owned, &id),
                 Err(_) => {
                     tokio::time::sleep(RETRY_PAUSE).await;
                     Vec::new()
@@ -146,16 +147,17 @@
             },
         };
         for item in items.iter().filter(|i| i.key == key) {
-            if !update_record(&app, &home, item) {
-                return drop_lost_job(&app, &home, &id);
+            if !update_record(&app, &owned, item) {
+                return drop_lost_job(&app, &owned, &id);
             }
         }
-        if home.job.lock().complete() {
+        if owned.job.lock().complete() {
             return;
         }
     }
 }
 
+/// The written items among some changes.
 fn put_items(changes: Vec<Change>) -> Vec<Item> {
     let puts = changes.into_iter().filter_map(|change| match change {
         Change::Put(item) => Some(item),
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -25,26 +25,26 @@
 const MAX_RANK: u8 = 9;
 
 /// Makes a sample and hands its result to the job.
-pub(super) async fn make_sample(app: &Arc<App>, home: &OwnedJob, item: &ItemSpec, index: u64) {
-    let state = make(app, home, item, index).await;
+pub(super) async fn make_sample(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) {
+    let state = make(app, owned, item, index).await;
     let dead = state == State::Dead;
-    home.texts.lock().remove(&item.id);
-    let finished = home.job.lock().finish(&item.id, state);
+    owned.texts.lock().remove(&item.id);
+    let finished = owned.job.lock().finish(&item.id, state);
     match finished {
         Finished::Unwanted => return,
         // A trainer takes whole groups: the rest goes with the next write.
         Finished::Sample => {}
-        Finished::Group => home.sample_ended.notify_one(),
+        Finished::Group => owned.sample_ended.notify_one(),
     }
     app.tally.sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
-    let job = home.job.lock().spec.id.clone();
+    let job = owned.job.lock().spec.id.clone();
     tracing::info!(event = "sample_made", %job, item = %item.id, dead);
 }
 
-async fn make(app: &Arc<App>, home: &OwnedJob, item: &ItemSpec, index: u64) -> State {
-    let spec = home.job.lock().spec.clone();
+async fn make(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) -> State {
+    let spec = owned.job.lock().spec.clone();
     let begun = app.now();
-    if !make_text(app, home, &spec, item, index).await {
+    if !make_text(app, owned, &spec, item, index).await {
         return State::Dead;
     }
     let score = match &item.scorer {
@@ -54,7 +54,7 @@
             None => return State::Dead,
         },
     };
-    home.with_text(&item.id, |text| State::Completed {
+    owned.with_text(&item.id, |text| State::Completed {
         output: text.output().to_owned(),
         versions: text.versions(),
         score,
@@ -64,7 +64,7 @@
 /// Makes the text of a sample. False if it can't be made.
 async fn make_text(
     app: &Arc<App>,
-    home: &OwnedJob,
+    owned: &OwnedJob,
     spec: &Spec,
     item: &ItemSpec,
     index: u64,
@@ -93,14 +93,14 @@
         let want =
             Want { service, model: spec.model.clone(), least: spec.oldest, avoid: avoid.clone() };
         let priority = routes.priority(&route, spec.organisation.as_ref());
-        let turn = (priority, home.queue_order, index);
+        let turn = (priority, owned.queue_order, index);
         let Some(mut held) = app.wait_for_slot(turn, want).await else { continue };
-        let before = home.with_text(&item.id, |text| text.last());
-        let run = TextAttempt { app, home, item, spec, route: &route };
+        let before = owned.with_text(&item.id, |text| text.last());
+        let run = TextAttempt { app, owned, item, spec, route: &route };
         let tried = run.attempt(&mut held, call(&route, priority, spec, item, before)).await;
         let replica = held.target.id.clone();
         drop(held);
-        let events = home.with_text(&item.id, |text| text.last());
+        let events = owned.with_text(&item.id, |text| text.last());
         match tried {
             AttemptResult::Whole => {
                 tracing::debug!(event = "text_whole", item = %item.id, %replica, events);
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -1,4 +1,4 @@
-//! Taking in a batch job: it lies in the store before it is accepted.
+//! Accepting a batch job: it is written to the store before it is acknowledged.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,29 +17,30 @@
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
 
-/// Writes of one transaction, less the home's own key.
+/// Most parts of a submission: they and the job's record are written in one transaction.
 const MAX_SPEC_PARTS: usize = 24;
-/// Room that a value keeps free, in bytes.
+/// Bytes of a value that are left unused, so that it stays below the store's limit.
 pub(super) const VALUE_RESERVE_BYTES: usize = 4_096;
-/// How long a submission whose write was not answered is tried again: a trainer's own
-/// limit for the answer is a few seconds.
+/// How long the write of a submission is retried. A trainer's own timeout for the answer is a
+/// few seconds.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The pause between tries.
+/// Pause between attempts to write a submission.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The end of a submission.
+/// The result of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SubmitResult {
-    /// The job is kept, from this submission or an earlier one.
+    /// The job is in the store, from this submission or an earlier one.
     Accepted,
-    /// It is not kept, and never will be from this submission.
+    /// The job is not in the store, and this submission never will put it there; with the
+    /// reason.
     Refused(Name),
-    /// It may be kept.
+    /// The job may be in the store.
     Unknown,
 }
 
 impl App {
-    /// Takes in a job.
+    /// Accepts a job, at this node or at one that it forwards the job to.
     pub async fn submit(self: &Arc<Self>, spec: Spec) -> SubmitResult {
         let kept = self.owned_jobs.get(&spec.id).is_some();
         let passed = if kept || self.draining() {
@@ -50,8 +51,8 @@
         match passed {
             ForwardOutcome::Kept => SubmitResult::Accepted,
             ForwardOutcome::Not => self.accept_here(spec).await,
-            // What the other may have written is found there as this node writes. Where it
-            // can't, nobody knows.
+            // If the other node has written the job, this node's own write finds it in the
+            // store. If this write fails as well, the outcome is unknown.
             ForwardOutcome::Unsure => match self.accept_here(spec).await {
                 SubmitResult::Refused(_) => SubmitResult::Unknown,
                 submitted => submitted,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Takes in a job at this node.
+    /// Accepts a job at this node, and counts the outcome.
     pub(super) async fn accept_here(self: &Arc<Self>, spec: Spec) -> SubmitResult {
         let submitted = self.store_job(spec).await;
         self.tally.job(match submitted {
@@ -115,8 +116,8 @@
         txn: Txn,
     ) -> SubmitResult {
         let begun = self.now();
-        let mut unsure = false;
-        let mut looked = false;
+        let mut outcome_unknown = false;
+        let mut probed = false;
         loop {
             let reason = match self.store.txn(txn.clone()).await {
                 Ok(TxnEnd::Done(revision)) => {
@@ -124,7 +125,8 @@
                     self.run_job(spec, RestoredJob::default(), Stored { value, revision });
                     return SubmitResult::Accepted;
                 }
-                // It lies there already: from an earlier try, or through another node.
+                // The job is in the store already: from an earlier attempt, or through another
+                // node.
                 Ok(TxnEnd::Conflict(items)) => {
                     let own = items.first().and_then(|item| {
                         let value: JobRecord = serde_json::from_slice(&item.value).ok()?;
@@ -132,7 +134,8 @@
                         (seen.value.incarnation == self.incarnation && !seen.value.done)
                             .then_some(seen)
                     });
-                    // Results may lie there by now: it is read rather than begun anew.
+                    // The store may have results of it by now, so the job is resumed from the
+                    // store instead of being started anew.
                     if let Some(seen) = own {
                         tracing::info!(event = "job_accepted", job = %spec.id, late = true);
                         takeover::resume_job(self, &spec.id, seen).await;
@@ -141,20 +144,21 @@
                 }
                 Ok(TxnEnd::NoLease) => return SubmitResult::Refused("no_lease".into()),
                 Err(StoreError::Unknown(reason)) => {
-                    unsure = true;
+                    outcome_unknown = true;
                     reason
                 }
                 Err(StoreError::Refused(reason)) => reason,
                 Err(StoreError::Compacted) => "compacted".to_owned(),
             };
-            tracing::warn!(event = "submission_not_written", job = %spec.id, unsure, %reason);
+            tracing::warn!(event = "submission_not_written", job = %spec.id, unsure = outcome_unknown, %reason);
             if self.now().saturating_sub(begun) > WRITE_TIMEOUT {
-                // An outage that has just ended costs no step: one look, and one try more.
-                if !looked && self.fallback_store.probe(&job_record_key(&spec.id)).await {
-                    looked = true;
+                // An outage that has just ended must not cost a training step: the store is
+                // probed once, and the write is tried once more.
+                if !probed && self.fallback_store.probe(&job_record_key(&spec.id)).await {
+                    probed = true;
                     continue;
                 }
-                if unsure {
+                if outcome_unknown {
                     self.watch_for_late_write(spec.id.clone());
                     return SubmitResult::Unknown;
                 }
@@ -165,7 +169,7 @@
     }
 }
 
-/// The time of day.
+/// Milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -1,8 +1,9 @@
-//! Taking over jobs whose home is gone.
+//! Taking over jobs whose owner is gone.
 //!
-//! Load pattern: many machines go at once, or all; each open step waits until someone runs
-//! it again. If every node looked for orphans at every change, their reads would grow with
-//! the square of the fleet: only the nodes first in rank look, one after the other.
+//! Load pattern: many machines fail at once, or all of them, and each open step waits until a
+//! node runs it again. If every node scanned for orphaned jobs at every change, the reads would
+//! grow with the square of the fleet. Therefore only the first nodes in rank scan, one after
+//! the other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,50 +20,52 @@
 use crate::metrics::JobStep;
 use crate::{Moment, Name};
 
-/// How much longer each next node in rank waits before it looks: the nodes ahead of it need
-/// two calls to the store for each job.
+/// How much longer each next node in rank waits before it scans: the nodes ahead of it need
+/// two store calls for each job.
 const RANK_DELAY: Duration = Duration::from_millis(500);
-/// Nodes that look at all.
+/// Number of nodes, the first in rank, that scan.
 const MAX_SCANNERS: usize = 3;
-/// The pause after a look that failed, or found homes that may come back.
+/// Pause after a scan that failed, or that found jobs whose owner may come back.
 const RESCAN_PAUSE: Duration = Duration::from_millis(300);
-/// How often the first in rank looks without a sign: what every other way has missed.
+/// How often a node scans without any change of the membership, to find jobs that were missed
+/// otherwise.
 const SCAN_INTERVAL: Duration = Duration::from_secs(10);
-/// Keys that are removed by one write: a transaction takes 32 entries.
+/// Keys that one write removes. A transaction takes at most 32 entries.
 const MAX_KEYS_PER_DELETE: usize = 30;
-/// How long a write that was not answered may still take effect: six seconds were seen.
+/// Number of checks whether a write whose answer was lost has taken effect late. Writes have
+/// taken effect six seconds late.
 const LATE_WRITE_POLLS: u32 = 8;
-/// How often it is looked for.
+/// Pause before each of these checks.
 const LATE_WRITE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks for orphans whenever nodes have changed, until the process stops.
+/// Scans for orphaned jobs whenever the live nodes change, until the process stops.
 pub(super) async fn run_takeover(app: Arc<App>) {
-    let mut news = app.view_changes.subscribe();
+    let mut view_changes = app.view_changes.subscribe();
     let mut known: BTreeSet<Name> = BTreeSet::new();
     let mut due: Option<Moment> = None;
     loop {
         let now = app.now();
-        let routine = due.map_or(SCAN_INTERVAL, |at| at.saturating_sub(now));
+        let until_scan = due.map_or(SCAN_INTERVAL, |at| at.saturating_sub(now));
         tokio::select! {
             () = app.stop.cancelled() => return,
-            _ = news.changed() => {}
-            () = tokio::time::sleep(routine) => {
+            _ = view_changes.changed() => {}
+            () = tokio::time::sleep(until_scan) => {
                 due.get_or_insert(now);
             }
         }
         let now = app.now();
         let place = {
             let mut live = app.membership.lock();
-            let heard = app.store_time();
-            live.forget_departed(heard);
+            let store_time = app.store_time();
+            live.forget_departed(store_time);
             app.evict_expired(now);
-            let lives: BTreeSet<Name> = live.live_incarnations(heard).into_iter().collect();
-            let able = live.serving_incarnations();
-            if lives != known {
-                known = lives;
+            let alive: BTreeSet<Name> = live.live_incarnations(store_time).into_iter().collect();
+            let serving = live.serving_incarnations();
+            if alive != known {
+                known = alive;
                 due = None;
             }
-            rank(JOB_RECORD_PREFIX, able.iter().map(|l| &**l))
+            rank(JOB_RECORD_PREFIX, serving.iter().map(|l| &**l))
                 .iter()
                 .position(|l| **l == *app.incarnation)
         };
@@ -82,16 +85,17 @@
             Ok(true) => None,
             Ok(false) => Some(app.now() + RESCAN_PAUSE),
             Err(e) => {
-                tracing::warn!(event = "orphans_not_read", error = %e);
+                tracing::warn!(event = "job_scan_failed", error = %e);
                 Some(app.now() + RESCAN_PAUSE)
             }
         };
-        // Without a sign the next look is the routine one.
+        // Unless something changes, the next scan is the regular one.
         due = due.or(Some(app.now() + SCAN_INTERVAL));
     }
 }
 
-/// Takes what has no home. False if a home that is gone may still come back.
+/// Takes over jobs without a live owner, resumes this node's own, and deletes old ones. False if
+/// another scan is needed soon: an owner may still come back, or a call failed.
 async fn scan_jobs(app: &Arc<App>) -> Result<bool, StoreError> {
     let page = app.store.range(JOB_RECORD_PREFIX).await?;
     let mut settled = true;
@@ -131,7 +135,7 @@
     Ok(settled)
 }
 
-/// Makes this node home to a job. False if that is to be looked at again.
+/// Makes this node the owner of a job and runs it. False if that must be tried again.
 async fn take_over(app: &Arc<App>, job: &Name, seen: Stored<JobRecord>) -> bool {
     let value = JobRecord { incarnation: app.incarnation.clone(), ..seen.value.clone() };
     let Ok(written) = serde_json::to_vec(&value) else { return true };
@@ -143,17 +147,17 @@
             tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
             resume_job(app, job, Stored { value, revision }).await
         }
-        // Another node has taken it, or its trainer ended it.
+        // Another node has taken the job over, or its trainer has ended it.
         Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => true,
         Err(e) => {
-            tracing::warn!(event = "job_not_taken", %job, error = %e);
+            tracing::warn!(event = "takeover_failed", %job, error = %e);
             app.watch_for_late_write(job.clone());
             false
         }
     }
 }
 
-/// Runs a job that is this node's from what the store has of it. False if that can't be read.
+/// Runs a job of this node from what the store has of it. False if that can't be read.
 pub(super) async fn resume_job(app: &Arc<App>, job: &Name, key: Stored<JobRecord>) -> bool {
     match load_job(app, job).await {
         Ok((spec, restored)) => {
@@ -167,6 +171,7 @@
     }
 }
 
+/// Reads a job's submission, results and unfinished texts from the store.
 async fn load_job(app: &App, job: &str) -> Result<(Arc<Spec>, RestoredJob), StoreError> {
     let spec = app.load_spec(job).await?;
     let results = app.load_results(job).await?;
@@ -175,7 +180,8 @@
     Ok((spec, RestoredJob { results, texts, text_writes }))
 }
 
-/// The unfinished texts, from all writes of them in turn, and the number for the next write.
+/// Rebuilds the unfinished texts from all their saves in order, and returns them with the index
+/// for the next save.
 fn decode_texts(page: &Page, listed: &[Arc<Listing>]) -> (ByName<(Text, Saved)>, usize) {
     let mut texts: ByName<(Text, Saved)> = ByName::new();
     for item in &page.items {
@@ -185,7 +191,7 @@
         let growths = match decoded {
             Ok((growths, _)) => growths,
             Err(e) => {
-                tracing::error!(event = "texts_unreadable", key = %item.key, error = %e);
+                tracing::error!(event = "texts_not_decoded", key = %item.key, error = %e);
                 continue;
             }
         };
@@ -202,15 +208,15 @@
     (texts, page.items.len())
 }
 
-/// Whether nobody may ask for a job that is done any more. Twice the time it can be read:
-/// the times of day of two machines differ, and a client may have kept on asking.
+/// Whether a finished job may be deleted: after twice the time for which it can be read,
+/// because the clocks of two machines differ and a client may have kept asking.
 fn past_retention(app: &App, value: &JobRecord) -> bool {
     let age = Duration::from_millis(unix_millis().saturating_sub(value.accepted_ms));
     value.accepted_ms > 0 && age >= app.settings.job_retention * 2
 }
 
-/// Removes a job that is done: what it is made of first, its home's key last, so that what
-/// a crash leaves behind is found again.
+/// Deletes a finished job from the store: its data first and its record last, so that a scan
+/// finds what a crash leaves behind.
 async fn delete_job(app: &Arc<App>, job: &Name, revision: u64) -> Result<(), StoreError> {
     let page = app.store.range(&job_data_prefix(job)).await?;
     let keys: Vec<Name> = page.items.into_iter().map(|item| item.key).collect();
@@ -224,23 +230,24 @@
     app.owned_jobs.remove(job);
     app.ended_jobs.remove(job);
     app.remote_jobs.remove(job);
-    tracing::info!(event = "job_forgotten", %job, keys = keys.len());
+    tracing::info!(event = "job_deleted", %job, keys = keys.len());
     Ok(())
 }
 
 impl App {
-    /// Forgets views and finished homes that nobody may ask for any more.
+    /// Drops cached remote jobs and finished owned jobs that are past their retention.
     fn evict_expired(&self, now: Moment) {
         self.remote_jobs.forget(now, self.settings.job_retention * 2);
-        for (job, home) in self.owned_jobs.all() {
-            let over = home.job.lock().complete();
-            if over && past_retention(self, &home.record.lock().value) {
+        for (job, owned) in self.owned_jobs.all() {
+            let over = owned.job.lock().complete();
+            if over && past_retention(self, &owned.record.lock().value) {
                 self.owned_jobs.remove(&job);
             }
         }
     }
 
-    /// A write that makes this node home to a job was not answered: it may yet take effect.
+    /// Watches for a write that makes this node the owner of a job and whose answer was lost.
+    /// If it takes effect late, the job is run.
     pub(super) fn watch_for_late_write(self: &Arc<Self>, job: Name) {
         let app = self.clone();
         self.spawn(async move {
