--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a text at one replica.
+//! One attempt to generate a sample's text at one replica.
 
 use std::time::Duration;
 
@@ -14,16 +14,17 @@
 use crate::edge::replica::{Call, Failure, Reply};
 use crate::metrics::AttemptEnd;
 
-/// How long the head of an answer may take. A place was free, so only the prompt is read
-/// before it: some milliseconds. A load of weights takes 0.9 s.
+/// Timeout for the head of a response. The replica had a free slot, so that it only reads the
+/// prompt before, which takes some milliseconds; but a weight load takes 0.9 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// How long the next event may take: 35 ms usually, four times that at a slow replica.
+/// Timeout for the next event. An event takes 35 ms usually, and four times that at a slow
+/// replica.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Events of one run after which its pace is judged, each time anew: fewer say more of the
-/// load of weights or of a prompt than of the replica.
+/// Number of events over which the pace of a replica is measured, each time anew. Over fewer
+/// events a weight load or the reading of a prompt would dominate.
 const PACE_EVENTS: u64 = 6;
 
-/// What an attempt is made of.
+/// The sample that an attempt is for, and its surroundings.
 #[derive(Clone, Copy)]
 pub(super) struct TextAttempt<'a> {
     pub app: &'a App,
@@ -33,24 +34,24 @@
     pub route: &'a Route,
 }
 
-/// How one attempt at a text ended.
+/// How an attempt ended.
 pub(super) enum AttemptResult {
-    /// The text is whole.
-    Whole,
-    /// The replica ran it and failed.
+    /// The text is complete.
+    Complete,
+    /// The replica ran the request and failed.
     Failed,
-    /// It can never be made.
+    /// The request is invalid and can never succeed.
     Impossible,
-    /// It goes on elsewhere, for this reason.
-    Again(AttemptEnd),
+    /// The text is continued at another replica, for this reason.
+    Continue(AttemptEnd),
 }
 
-/// How the reading of one replica's events ended.
+/// How reading the events of a replica ended.
 enum ReadEnd {
-    /// The text is whole.
-    Whole,
-    /// It broke off.
-    Broken,
+    /// The text is complete.
+    Complete,
+    /// The stream was interrupted.
+    Interrupted,
     /// No event came in time.
     Silent,
     /// Another replica would be faster.
@@ -58,75 +59,76 @@
 }
 
 impl TextAttempt<'_> {
-    /// Makes the attempt, and counts its end.
-    pub(super) async fn attempt(self, held: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
-        let tried = self.execute(held, call).await;
-        self.app.tally.sample_attempt(match tried {
-            AttemptResult::Whole => AttemptEnd::Answered,
+    /// Makes the attempt and counts how it ended.
+    pub(super) async fn attempt(self, slot: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
+        let result = self.call_and_read(slot, call).await;
+        self.app.tally.sample_attempt(match result {
+            AttemptResult::Complete => AttemptEnd::Answered,
             AttemptResult::Failed | AttemptResult::Impossible => AttemptEnd::Failed,
-            AttemptResult::Again(end) => end,
+            AttemptResult::Continue(end) => end,
         });
-        tried
+        result
     }
 
-    async fn execute(self, held: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
-        let begun = self.app.now();
-        let sending = self.app.replicas.send(&held.target, call);
+    async fn call_and_read(self, slot: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
+        let started_at = self.app.now();
+        let sending = self.app.replicas.send(&slot.target, call);
         let reply = match tokio::time::timeout(HEAD_TIMEOUT, sending).await {
             Ok(Ok(reply)) => reply,
-            Ok(Err(failure)) => return self.failed_before_answer(held, &failure),
+            Ok(Err(failure)) => return self.failed_before_answer(slot, &failure),
             Err(_) => {
-                held.set_end(Ended::Failed);
-                return AttemptResult::Again(AttemptEnd::Broken);
+                slot.set_end(Ended::Failed);
+                return AttemptResult::Continue(AttemptEnd::Broken);
             }
         };
-        self.app.record_response_head(&held.target.id, reply.load);
+        self.app.record_response_head(&slot.target.id, reply.load);
         match reply.status {
             StatusCode::UNPROCESSABLE_ENTITY => return AttemptResult::Impossible,
             StatusCode::INTERNAL_SERVER_ERROR => return AttemptResult::Failed,
             status if !status.is_success() || reply.signature.is_none() => {
-                held.set_end(Ended::Failed);
-                return AttemptResult::Again(AttemptEnd::Broken);
+                slot.set_end(Ended::Failed);
+                return AttemptResult::Continue(AttemptEnd::Broken);
             }
             _ => {}
         }
         let before = self.last_event();
-        let read = self.read(held, reply).await;
-        let took = self.app.now().saturating_sub(begun);
+        let read = self.read_events(slot, reply).await;
+        let took = self.app.now().saturating_sub(started_at);
         let cost = self.last_event().saturating_sub(before).max(1) as u32;
         let answered = Ended::Answered { took, cost };
         match read {
-            Ok(ReadEnd::Whole) => {
-                held.set_end(answered);
-                AttemptResult::Whole
+            Ok(ReadEnd::Complete) => {
+                slot.set_end(answered);
+                AttemptResult::Complete
             }
             Ok(ReadEnd::Slow) => {
-                held.set_end(answered);
-                AttemptResult::Again(AttemptEnd::Slow)
+                slot.set_end(answered);
+                AttemptResult::Continue(AttemptEnd::Slow)
             }
-            Ok(ReadEnd::Broken) => {
-                held.set_end(Ended::Failed);
-                AttemptResult::Again(AttemptEnd::Broken)
+            Ok(ReadEnd::Interrupted) => {
+                slot.set_end(Ended::Failed);
+                AttemptResult::Continue(AttemptEnd::Broken)
             }
             Ok(ReadEnd::Silent) => {
-                held.set_end(Ended::Failed);
-                AttemptResult::Again(AttemptEnd::Broken)
+                slot.set_end(Ended::Failed);
+                AttemptResult::Continue(AttemptEnd::Broken)
             }
             Err(Fault::Version(version)) if version < self.spec.oldest => {
-                // The event was not taken: what came before it stays.
-                self.note_older_version(held, version);
-                AttemptResult::Again(AttemptEnd::Fault)
+                // The event was not added to the text; the events before it stay.
+                self.note_older_version(slot, version);
+                AttemptResult::Continue(AttemptEnd::Fault)
             }
             Err(fault) => {
-                let replica = &held.target.id;
-                tracing::info!(event = "text_begun_anew", item = %self.item.id, %replica, %fault);
+                let replica = &slot.target.id;
+                tracing::info!(event = "text_restarted", item = %self.item.id, %replica, %fault);
                 self.owned.with_text(&self.item.id, |text| text.restart());
-                AttemptResult::Again(AttemptEnd::Fault)
+                AttemptResult::Continue(AttemptEnd::Fault)
             }
         }
     }
 
-    fn failed_before_answer(self, held: &mut SlotGuard<'_>, failure: &Failure) -> AttemptResult {
+    /// Records a call that failed before the head of the response.
+    fn failed_before_answer(self, slot: &mut SlotGuard<'_>, failure: &Failure) -> AttemptResult {
         let (ended, end) = match failure {
             Failure::Unsent(_) => (Ended::Unreachable, AttemptEnd::Unsent),
             Failure::NotRun(_) if self.spec.model.is_some() => (Ended::Loading, AttemptEnd::NotRun),
@@ -134,52 +136,54 @@
             Failure::Stranger => (Ended::Unreachable, AttemptEnd::Stranger),
             Failure::Broken(_) => (Ended::Failed, AttemptEnd::Broken),
         };
-        held.set_end(ended);
+        slot.set_end(ended);
         tracing::debug!(event = "attempt_failed", item = %self.item.id, %failure);
-        AttemptResult::Again(end)
+        AttemptResult::Continue(end)
     }
 
+    /// The id of the text's last event; 0 if there is none.
     fn last_event(self) -> u64 {
         self.owned.with_text(&self.item.id, |text| text.last())
     }
 
-    /// Reads events into the text.
-    async fn read(self, held: &SlotGuard<'_>, reply: Reply) -> Result<ReadEnd, Fault> {
+    /// Reads events from a response and adds them to the text.
+    async fn read_events(self, slot: &SlotGuard<'_>, reply: Reply) -> Result<ReadEnd, Fault> {
         let mut reader = EventReader::new(self.app.replicas.version_field());
         let mut body = reply.body;
         self.owned.with_text(&self.item.id, |text| text.at(reply.version));
-        let mut seen = None;
-        let mut mark: Option<(Moment, u64)> = None;
+        let mut seen_version = None;
+        let mut measure_start: Option<(Moment, u64)> = None;
         loop {
             let piece = match tokio::time::timeout(EVENT_TIMEOUT, body.next()).await {
                 Err(_) => return Ok(ReadEnd::Silent),
-                Ok(Some(Err(_))) => return Ok(ReadEnd::Broken),
+                Ok(Some(Err(_))) => return Ok(ReadEnd::Interrupted),
                 Ok(None) if reader.unfinished() || self.last_event() == 0 => {
-                    return Ok(ReadEnd::Broken);
+                    return Ok(ReadEnd::Interrupted);
                 }
-                Ok(None) => return Ok(ReadEnd::Whole),
+                Ok(None) => return Ok(ReadEnd::Complete),
                 Ok(Some(Ok(bytes))) => bytes,
             };
             let version = self.add_events(&reader.push(&piece)?)?;
-            if version.is_some() && seen != version {
-                seen = version;
-                self.note_version(held, version);
+            if version.is_some() && seen_version != version {
+                seen_version = version;
+                self.note_version(slot, version);
             }
             let last = self.last_event();
             let now = self.app.now();
-            let (since, from) = *mark.get_or_insert((now, last));
-            let events = last - from;
+            let (since, first) = *measure_start.get_or_insert((now, last));
+            let events = last - first;
             if events >= PACE_EVENTS {
-                mark = Some((now, last));
-                let beat = now.saturating_sub(since).as_secs_f64() / events as f64;
-                if self.note_pace(held, beat) {
+                measure_start = Some((now, last));
+                let event_seconds = now.saturating_sub(since).as_secs_f64() / events as f64;
+                if self.note_pace(slot, event_seconds) {
                     return Ok(ReadEnd::Slow);
                 }
             }
         }
     }
 
-    /// Adds events to the text and returns the version that made the last.
+    /// Adds events to the text and returns the weight version that generated the last one. An
+    /// event of a version that the sample does not allow is an error.
     fn add_events(self, events: &[Event]) -> Result<Option<u64>, Fault> {
         self.owned.with_text(&self.item.id, |text| {
             for event in events {
@@ -191,29 +195,30 @@
         })
     }
 
-    /// A replica was seen to have a version.
-    fn note_version(self, held: &SlotGuard<'_>, version: Option<u64>) {
+    /// Records the weight version that a replica was seen to serve.
+    fn note_version(self, slot: &SlotGuard<'_>, version: Option<u64>) {
         if let (Some(model), Some(version)) = (&self.spec.model, version) {
-            self.app.slots.fleet.lock().seen(&held.target, model, version);
+            self.app.slots.fleet.lock().seen(&slot.target, model, version);
         }
     }
 
-    /// A replica was seen to have an older version than its work asks for. A load that came
-    /// meanwhile shows in its next entry.
-    fn note_older_version(self, held: &SlotGuard<'_>, version: u64) {
+    /// Records that a replica serves an older weight version than the sample requires. If the
+    /// replica has loaded a newer one since, its next entry in the store will show that.
+    fn note_older_version(self, slot: &SlotGuard<'_>, version: u64) {
         if let Some(model) = &self.spec.model {
-            let replica = &held.target.id;
+            let replica = &slot.target.id;
             tracing::info!(event = "replica_older", %replica, %model, version);
-            self.app.slots.fleet.lock().shown(&held.target, model, version);
+            self.app.slots.fleet.lock().shown(&slot.target, model, version);
         }
     }
 
-    /// Takes note of the time that an event took of late. True if the run is better moved.
-    fn note_pace(self, held: &SlotGuard<'_>, beat: f64) -> bool {
+    /// Records the seconds that an event took on average of late. True if another replica would
+    /// be faster and the text should move there.
+    fn note_pace(self, slot: &SlotGuard<'_>, event_seconds: f64) -> bool {
         let now = self.app.now();
         let weights = self.spec.model.as_deref().map(|model| (model, self.spec.oldest));
         let mut fleet = self.app.slots.fleet.lock();
-        fleet.beat(&held.target.id, beat, now);
-        fleet.faster(&held.target.id, weights, beat, now)
+        fleet.beat(&slot.target.id, event_seconds, now);
+        fleet.faster(&slot.target.id, weights, event_seconds, now)
     }
 }
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -170,7 +170,7 @@
             let mut note = |life: &Name, wanted: Vec<(Name, u64)>| {
                 wanted.iter().for_each(|(service, total)| load.note(life, service, *total, now));
             };
-            note(&self.incarnation, self.slots.wanted.totals());
+            note(&self.incarnation, self.slots.demand.totals());
             for reply in heard {
                 let Ok(PeerReply::Demand { steps, life, wanted }) = reply else { continue };
                 steps.iter().for_each(|(model, work)| demand.note(model, *work, now));
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -110,7 +110,7 @@
                 PeerReply::Demand {
                     steps: demand.into_iter().collect(),
                     life: app.incarnation.clone(),
-                    wanted: app.slots.wanted.totals(),
+                    wanted: app.slots.demand.totals(),
                 }
             }
             PeerRequest::Store(ask) => PeerReply::Store(self.store(ask).await),
--- a/src/entry/registration.rs
+++ b/src/entry/registration.rs
@@ -88,8 +88,8 @@
         let key = node_key(&self.settings.name);
         // Conditional on the revision: if the answer is lost and the removal takes effect late,
         // this node may have registered again by then.
-        let gone = Txn::when(key.clone(), lease.key_revision).remove(key);
-        if let Err(e) = self.store.txn(gone).await {
+        let removal = Txn::when(key.clone(), lease.key_revision).remove(key);
+        if let Err(e) = self.store.txn(removal).await {
             tracing::warn!(event = "node_not_removed", error = %e);
         }
         self.wait_out_last_order().await;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! One client's request at one replica, or at several in turn where it may be repeated.
+//! Relaying a client's request to a replica, or to several in turn if its route allows retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 use crate::metrics::AttemptEnd;
 use crate::{Moment, Name};
 
-/// How long a request without a deadline or a route's bound may take.
+/// Time limit of a request that has no deadline and whose route has no timeout.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// An attempt that may be made again elsewhere is given up after this part of the time that
-/// is left, in percent: a silent replica client_leaves time for two more.
+/// Percentage of the remaining time that an attempt gets if it may be repeated elsewhere, so
+/// that a silent replica leaves time for two more attempts.
 const ATTEMPT_TIMEOUT_PERCENT: u32 = 40;
-/// It is given at least this: ten times the usual work of a plain service.
+/// Minimum time for such an attempt: ten times the usual work of a plain service.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request of a client.
+/// A client's request.
 #[derive(Debug, Clone)]
 pub struct RelayRequest {
-    /// Its id.
+    /// The request id.
     pub id: Name,
     /// The method.
     pub method: Method,
@@ -36,35 +36,36 @@
     pub path: Name,
     /// The host.
     pub host: Name,
-    /// The organisation that asks; none without a key.
+    /// The client's organisation; none without an API key.
     pub organisation: Option<Name>,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// How long the client waits.
+    /// How long the client waits; none if it did not say.
     pub deadline: Option<Duration>,
-    /// The event after which a stream goes on.
+    /// The id of the event after which a stream continues.
     pub resume_after: Option<u64>,
 }
 
-/// The final answer.
+/// The final response to a client.
 #[derive(Debug)]
 pub enum RelayResponse {
-    /// A replica's whole answer.
+    /// A replica's complete response.
     Complete {
         /// Its status.
         status: StatusCode,
         /// Its headers.
         headers: HeaderMap,
-        /// Its signature.
+        /// The replica's signature of it.
         signature: Option<Name>,
         /// Its body.
         body: Bytes,
-        /// Replicas that ran it and failed. One whose time was over has not.
+        /// The number of replicas that ran the request and failed. One that ran out of time does
+        /// not count.
         failures: u32,
     },
-    /// A replica's stream, as it comes.
+    /// A replica's stream of events, forwarded as it arrives.
     Stream {
         /// Its status.
         status: StatusCode,
@@ -73,11 +74,11 @@
         /// The events.
         body: EventStream,
     },
-    /// None.
+    /// No replica's response, but a refusal.
     Refused(Refusal),
 }
 
-/// The body of a stream that is passed on.
+/// The body of a forwarded stream.
 pub struct EventStream(pub Pieces);
 
 impl std::fmt::Debug for EventStream {
@@ -86,31 +87,38 @@
     }
 }
 
-/// The state of a request between its attempts.
+/// A request and the state of its attempts.
 pub(super) struct RequestState {
     pub request: RelayRequest,
     pub route: Arc<Route>,
-    pub begun: Moment,
+    pub started_at: Moment,
+    /// When the client must have a response, or the head of a stream.
     pub ends: Moment,
-    /// When its client client_leaves: a stream may last until then, though its head may not.
+    /// When the client stops waiting. A stream may last until then, but its head must come by
+    /// `ends`.
     pub client_leaves: Moment,
+    /// The attempts that count toward the route's limit.
     pub attempts: u32,
+    /// The replicas that ran the request and failed.
     pub failures: u32,
+    /// The replicas that are not tried again.
     pub avoid: Vec<Name>,
+    /// What is known of the attempts, for the final refusal.
     pub history: History,
 }
 
-/// What an attempt came to.
+/// What follows from an attempt.
 enum AttemptOutcome {
+    /// The client gets this response.
     Done(RelayResponse),
-    /// Another attempt may be made.
-    Next,
-    /// None may.
-    Over(Refusal),
+    /// Another attempt is made, if the route and the time allow it.
+    Retry,
+    /// The client gets a refusal.
+    Failed(Refusal),
 }
 
 impl App {
-    /// Takes a request to its final answer.
+    /// Relays a request until there is a final response.
     pub async fn relay(
         self: &Arc<Self>,
         route: &Arc<Route>,
@@ -121,10 +129,10 @@
             limit = limit.min(timeout);
         }
         let client_leaves = self.now() + request.deadline.unwrap_or(DEFAULT_TIMEOUT);
-        let mut course = RequestState {
+        let mut state = RequestState {
             request,
             route: route.clone(),
-            begun: self.now(),
+            started_at: self.now(),
             ends: self.now() + limit,
             client_leaves,
             attempts: 0,
@@ -133,100 +141,106 @@
             history: History::new(),
         };
         loop {
-            let given = match self.attempt(&mut course).await {
-                AttemptOutcome::Done(given) => given,
-                AttemptOutcome::Over(refusal) => {
-                    RelayResponse::Refused(course.history.judge(refusal))
+            let response = match self.attempt(&mut state).await {
+                AttemptOutcome::Done(response) => response,
+                AttemptOutcome::Failed(refusal) => {
+                    RelayResponse::Refused(state.history.judge(refusal))
                 }
-                AttemptOutcome::Next => continue,
+                AttemptOutcome::Retry => continue,
             };
-            log(self, &course, &given);
-            return given;
+            log(self, &state, &response);
+            return response;
         }
     }
 
-    async fn attempt(self: &Arc<Self>, course: &mut RequestState) -> AttemptOutcome {
-        let left = course.ends.saturating_sub(self.now());
+    /// Makes one attempt at one replica.
+    async fn attempt(self: &Arc<Self>, state: &mut RequestState) -> AttemptOutcome {
+        let left = state.ends.saturating_sub(self.now());
         if left.is_zero() {
-            return AttemptOutcome::Over(refused(Kind::DeadlinePassed, "no time is left"));
+            return AttemptOutcome::Failed(refused(
+                Kind::DeadlinePassed,
+                "the deadline has passed",
+            ));
         }
-        if course.attempts >= course.route.attempts {
-            return AttemptOutcome::Over(refused(Kind::RetriesSpent, "no attempt is left"));
+        if state.attempts >= state.route.attempts {
+            return AttemptOutcome::Failed(refused(Kind::RetriesSpent, "all attempts are used"));
         }
-        let Some(service) = course.route.service(self.draw()).cloned() else {
-            return AttemptOutcome::Over(refused(Kind::NoUpstream, "the route names no service"));
+        let Some(service) = state.route.service(self.draw()).cloned() else {
+            return AttemptOutcome::Failed(refused(Kind::NoUpstream, "the route names no service"));
         };
-        let wish = Wish { service: &service, weights: None, avoid: &course.avoid, over: true };
-        let Some(mut held) = self.take_slot(&wish) else {
-            return AttemptOutcome::Over(refused(Kind::NoUpstream, "no replica takes work"));
+        let wish = Wish { service: &service, weights: None, avoid: &state.avoid, over: true };
+        let Some(mut slot) = self.take_slot(&wish) else {
+            return AttemptOutcome::Failed(refused(Kind::NoUpstream, "no replica accepts work"));
         };
-        course.attempts += 1;
+        state.attempts += 1;
         let usage = self.usage.as_ref();
-        let mut metered = usage.map(|u| u.begin(&course.request.organisation)).unwrap_or_default();
-        let began = self.now();
-        let call = course.call(self.now());
-        let limit = course.limit(left);
-        let sending = self.replicas.send(&held.target, call);
+        let mut metered = usage.map(|u| u.begin(&state.request.organisation)).unwrap_or_default();
+        let started_at = self.now();
+        let call = state.call(self.now());
+        let limit = state.limit(left);
+        let sending = self.replicas.send(&slot.target, call);
         let reply = match tokio::time::timeout(limit, sending).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(failure)) => {
                 if failure.not_run() {
                     metered.not_run();
                 }
-                return course.failed(self, &mut held, failure);
+                return state.failed(self, &mut slot, failure);
             }
             Err(_) => {
                 metered.not_run();
-                return course.failed(self, &mut held, Failure::Broken("silent".to_owned()));
+                return state.failed(self, &mut slot, Failure::Broken("silent".to_owned()));
             }
         };
-        self.record_response_head(&held.target.id, reply.load);
-        if course.route.streaming && reply.status.is_success() {
-            return AttemptOutcome::Done(self.open_stream(course, &held, reply));
+        self.record_response_head(&slot.target.id, reply.load);
+        if state.route.streaming && reply.status.is_success() {
+            return AttemptOutcome::Done(self.open_stream(state, &slot, reply));
         }
-        let left = limit.saturating_sub(self.now().saturating_sub(began));
+        let left = limit.saturating_sub(self.now().saturating_sub(started_at));
         let status = reply.status;
         let (headers, signature) = (reply.headers, reply.signature);
         let body = match tokio::time::timeout(left, gather(reply.body)).await {
             Ok(Ok(body)) => body,
-            Ok(Err(reason)) => return course.failed(self, &mut held, Failure::Broken(reason)),
-            Err(_) => return course.failed(self, &mut held, Failure::Broken("silent".to_owned())),
+            Ok(Err(reason)) => return state.failed(self, &mut slot, Failure::Broken(reason)),
+            Err(_) => return state.failed(self, &mut slot, Failure::Broken("silent".to_owned())),
         };
-        let took = self.now().saturating_sub(began);
-        held.set_end(Ended::Answered { took, cost: 1 });
+        let took = self.now().saturating_sub(started_at);
+        slot.set_end(Ended::Answered { took, cost: 1 });
         if signature.is_none() {
-            return course.failed(self, &mut held, Failure::Broken("unsigned".to_owned()));
+            return state.failed(self, &mut slot, Failure::Broken("unsigned".to_owned()));
         }
         let failed = status.is_server_error();
         self.tally.attempt(if failed { AttemptEnd::Failed } else { AttemptEnd::Answered });
         if status == StatusCode::INTERNAL_SERVER_ERROR {
-            course.failures += 1;
+            state.failures += 1;
         }
         if failed {
-            held.set_end(Ended::Failed);
-            if course.may_repeat() && course.attempts < course.route.attempts {
-                course.history.note(Outcome::Unknown);
-                course.avoid.push(held.target.id.clone());
-                return AttemptOutcome::Next;
+            slot.set_end(Ended::Failed);
+            if state.may_repeat() && state.attempts < state.route.attempts {
+                state.history.note(Outcome::Unknown);
+                state.avoid.push(slot.target.id.clone());
+                return AttemptOutcome::Retry;
             }
         }
-        let failures = course.failures;
+        let failures = state.failures;
         AttemptOutcome::Done(RelayResponse::Complete { status, headers, signature, body, failures })
     }
 
+    /// Starts forwarding a replica's stream to the client.
     fn open_stream(
         self: &Arc<Self>,
-        course: &mut RequestState,
-        held: &SlotGuard<'_>,
+        state: &mut RequestState,
+        slot: &SlotGuard<'_>,
         reply: Reply,
     ) -> RelayResponse {
         let (status, headers) = (reply.status, reply.headers.clone());
-        let body = stream::forward(self.clone(), course, held.target.clone(), reply);
+        let body = stream::forward(self.clone(), state, slot.target.clone(), reply);
         RelayResponse::Stream { status, headers, body: EventStream(body) }
     }
 }
 
 impl RequestState {
+    /// Whether the route allows the request to run more than once.
     pub(super) fn may_repeat(&self) -> bool {
         match self.route.again {
             Again::Whole | Again::Resume => true,
@@ -234,6 +248,7 @@
         }
     }
 
+    /// The call to a replica, limited to the time that is left.
     pub(super) fn call(&self, now: Moment) -> Call {
         let ends = if self.route.streaming { self.client_leaves } else { self.ends };
         Call {
@@ -250,7 +265,7 @@
         }
     }
 
-    /// How long one attempt may take.
+    /// The time limit of one attempt, given the time left for the request.
     fn limit(&self, left: Duration) -> Duration {
         if !self.may_repeat() || self.attempts >= self.route.attempts {
             return left;
@@ -258,14 +273,15 @@
         (left * ATTEMPT_TIMEOUT_PERCENT / 100).max(MIN_ATTEMPT_TIMEOUT).min(left)
     }
 
-    fn failed(&mut self, app: &App, held: &mut SlotGuard<'_>, failure: Failure) -> AttemptOutcome {
+    /// Records a failed attempt and decides whether another may follow.
+    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: Failure) -> AttemptOutcome {
         app.tally.attempt(match failure {
             Failure::Unsent(_) => AttemptEnd::Unsent,
             Failure::NotRun(_) => AttemptEnd::NotRun,
             Failure::Stranger => AttemptEnd::Stranger,
             Failure::Broken(_) => AttemptEnd::Broken,
         });
-        held.set_end(match failure {
+        slot.set_end(match failure {
             Failure::Unsent(_) | Failure::Stranger => Ended::Unreachable,
             Failure::NotRun(_) => Ended::Full,
             Failure::Broken(_) => Ended::Failed,
@@ -273,35 +289,38 @@
         tracing::info!(
             event = "attempt_failed",
             request = %self.request.id,
-            replica = %held.target.id,
+            replica = %slot.target.id,
             attempt = self.attempts,
             %failure
         );
-        self.avoid.push(held.target.id.clone());
+        self.avoid.push(slot.target.id.clone());
         if failure.not_run() {
             self.history.note(Outcome::Refused);
-            // It ran nowhere, so it does not count among the replicas that it may run on.
+            // The replica did not run the request, so the attempt does not count toward the
+            // route's limit, unless too many replicas were tried already.
             if self.avoid.len() < 2 * self.route.attempts.max(1) as usize {
                 self.attempts -= 1;
             }
-            return AttemptOutcome::Next;
+            return AttemptOutcome::Retry;
         }
         self.history.note(Outcome::Unknown);
         if self.may_repeat() {
-            return AttemptOutcome::Next;
+            return AttemptOutcome::Retry;
         }
-        AttemptOutcome::Over(refused(Kind::OutcomeUnknown, "the attempt broke off"))
+        AttemptOutcome::Failed(refused(Kind::OutcomeUnknown, "the attempt was interrupted"))
     }
 }
 
+/// A refusal that asks the client to come back soon.
 fn refused(kind: Kind, detail: &str) -> Refusal {
     Refusal::new(kind, detail).after(SOON)
 }
 
-fn log(app: &App, course: &RequestState, given: &RelayResponse) {
-    let (id, attempts) = (&course.request.id, course.attempts);
-    app.tally.answered(app.now().saturating_sub(course.begun));
-    match given {
+/// Counts and logs a final response.
+fn log(app: &App, state: &RequestState, response: &RelayResponse) {
+    let (id, attempts) = (&state.request.id, state.attempts);
+    app.tally.answered(app.now().saturating_sub(state.started_at));
+    match response {
         RelayResponse::Complete { status, .. } => {
             tracing::debug!(event = "answered", request = %id, attempts, status = status.as_u16());
         }
@@ -313,9 +332,9 @@
             tracing::info!(
                 event = "refused",
                 request = %id,
-                route = %course.route.name,
+                route = %state.route.name,
                 attempts,
-                replicas = ?course.avoid,
+                replicas = ?state.avoid,
                 kind = %refusal.kind,
                 run = refusal.run().as_str()
             );
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -1,4 +1,4 @@
-//! Making one sample: its text at one replica or several in turn, then its score.
+//! Making one sample: generating its text at one or more replicas, then requesting its score.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,17 @@
 use crate::edge::replica::Call;
 use crate::metrics::SampleEnd;
 
-/// The pause after an attempt that brought nothing, doubled up to eight times.
+/// Base of the pause after attempts that brought no events: twice this after the second one in a
+/// row, doubled with each further one up to eight times this value.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// The pause while no route or service is there.
+/// Pause between checks while the route's configuration or service is missing.
 const ROUTE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Replicas that failed a sample and are avoided; older ones are tried again.
+/// Number of replicas that a sample avoids: the last ones that did not finish it.
 const MAX_AVOIDED: usize = 2;
-/// The last rank that replicas know.
-const MAX_RANK: u8 = 9;
+/// Largest priority value, that is the lowest priority, that replicas accept.
+const MAX_PRIORITY: u8 = 9;
 
-/// Makes a sample and hands its result to the job.
+/// Makes a sample and adds its result to the job.
 pub(super) async fn make_sample(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) {
     let state = make(app, owned, item, index).await;
     let dead = state == State::Dead;
@@ -32,7 +33,8 @@
     let finished = owned.job.lock().finish(&item.id, state);
     match finished {
         Finished::Unwanted => return,
-        // A trainer takes whole groups: the rest goes with the next write.
+        // Trainers take whole groups, so the result of an incomplete group goes with the next
+        // regular write.
         Finished::Sample => {}
         Finished::Group => owned.sample_ended.notify_one(),
     }
@@ -41,15 +43,16 @@
     tracing::info!(event = "sample_made", %job, item = %item.id, dead);
 }
 
+/// Generates the text and requests its score. The sample is dead if either fails for good.
 async fn make(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) -> State {
     let spec = owned.job.lock().spec.clone();
-    let begun = app.now();
+    let started_at = app.now();
     if !make_text(app, owned, &spec, item, index).await {
         return State::Dead;
     }
     let score = match &item.scorer {
         None => None,
-        Some(scorer) => match request_score(app, &item.id, scorer, begun).await {
+        Some(scorer) => match request_score(app, &item.id, scorer, started_at).await {
             Some(score) => Some(score),
             None => return State::Dead,
         },
@@ -61,7 +64,8 @@
     })
 }
 
-/// Makes the text of a sample. False if it can't be made.
+/// Generates the text of a sample. False if it can't be generated, or not within the retention
+/// and the number of failures that its route allows.
 async fn make_text(
     app: &Arc<App>,
     owned: &OwnedJob,
@@ -69,9 +73,9 @@
     item: &ItemSpec,
     index: u64,
 ) -> bool {
-    let begun = app.now();
+    let started_at = app.now();
     let mut failed = 0;
-    let mut idle = 0;
+    let mut idle_attempts = 0;
     let mut avoid: Vec<Name> = Vec::new();
     loop {
         let Some(routes) = app.routes() else {
@@ -82,7 +86,7 @@
             tracing::info!(event = "sample_given_up", item = %item.id, reason = "no_route");
             return false;
         };
-        if app.now().saturating_sub(begun) > route.retention {
+        if app.now().saturating_sub(started_at) > route.retention {
             tracing::info!(event = "sample_given_up", item = %item.id, reason = "retention");
             return false;
         }
@@ -93,17 +97,17 @@
         let want =
             Want { service, model: spec.model.clone(), least: spec.oldest, avoid: avoid.clone() };
         let priority = routes.priority(&route, spec.organisation.as_ref());
-        let turn = (priority, owned.queue_order, index);
-        let Some(mut held) = app.wait_for_slot(turn, want).await else { continue };
+        let position = (priority, owned.queue_order, index);
+        let Some(mut slot) = app.wait_for_slot(position, want).await else { continue };
         let before = owned.with_text(&item.id, |text| text.last());
         let run = TextAttempt { app, owned, item, spec, route: &route };
-        let tried = run.attempt(&mut held, call(&route, priority, spec, item, before)).await;
-        let replica = held.target.id.clone();
-        drop(held);
+        let result = run.attempt(&mut slot, call(&route, priority, spec, item, before)).await;
+        let replica = slot.target.id.clone();
+        drop(slot);
         let events = owned.with_text(&item.id, |text| text.last());
-        match tried {
-            AttemptResult::Whole => {
-                tracing::debug!(event = "text_whole", item = %item.id, %replica, events);
+        match result {
+            AttemptResult::Complete => {
+                tracing::debug!(event = "text_completed", item = %item.id, %replica, events);
                 return true;
             }
             AttemptResult::Impossible => {
@@ -117,7 +121,7 @@
                     return false;
                 }
             }
-            AttemptResult::Again(end) => {
+            AttemptResult::Continue(end) => {
                 tracing::info!(event = "sample_goes_on", item = %item.id, %replica, events, reason = ?end);
             }
         }
@@ -125,13 +129,14 @@
         if avoid.len() > MAX_AVOIDED {
             avoid.remove(0);
         }
-        idle = if events > before { 0 } else { idle + 1 };
-        if idle > 1 {
-            tokio::time::sleep(RETRY_PAUSE * (1 << (idle - 1).min(3))).await;
+        idle_attempts = if events > before { 0 } else { idle_attempts + 1 };
+        if idle_attempts > 1 {
+            tokio::time::sleep(RETRY_PAUSE * (1 << (idle_attempts - 1).min(3))).await;
         }
     }
 }
 
+/// The request for a sample's text, from after event `last` on.
 fn call(route: &Route, priority: u8, spec: &Spec, item: &ItemSpec, last: u64) -> Call {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
@@ -151,6 +156,6 @@
         body: item.body.clone(),
         limit: route.retention,
         after: (last > 0).then_some(last),
-        rank: Some(priority.min(MAX_RANK)),
+        rank: Some(priority.min(MAX_PRIORITY)),
     }
 }
--- a/src/entry/score.rs
+++ b/src/entry/score.rs
@@ -1,4 +1,4 @@
-//! The score of a finished text.
+//! Requesting the score of a sample whose text is complete.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,30 +11,31 @@
 use crate::decide::job::{Score, Scorer};
 use crate::{Moment, Name};
 
-/// How long a scorer may take for one try: plain work, with room for a full queue.
+/// Timeout of one attempt: ordinary work of a scorer, with room for a full queue.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// The pause after a try that brought nothing, doubled up to sixteen times.
+/// Base of the pause after a failed attempt: twice this after the first one, doubled with each
+/// further one up to sixteen times this value.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
-/// The pause while the scorer's route is not there.
+/// Pause between checks while the scorer's route is missing.
 const ROUTE_POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a text without a score is kept, where its scorer's route says less.
+/// Minimum time for which a sample may wait for its score; its scorer's route may allow more.
 const MIN_RETENTION: Duration = Duration::from_secs(40);
 
-/// Asks a scorer until it answers; none once it has failed as often as its route allows, or
-/// the sample's time since `begun` is over.
+/// Calls a scorer until it answers. None once it has failed as often as its route allows, or
+/// the retention since `started_at` is over.
 pub(super) async fn request_score(
     app: &Arc<App>,
     item: &Name,
     scorer: &Scorer,
-    begun: Moment,
+    started_at: Moment,
 ) -> Option<Score> {
     let mut failed = 0;
-    let mut idle = 0;
+    let mut attempts = 0;
     loop {
         let routes = app.routes();
         let route = routes.and_then(|r| r.find(&scorer.host, &scorer.path).cloned());
-        let kept = route.as_ref().map_or(MIN_RETENTION, |r| r.retention.max(MIN_RETENTION));
-        if app.now().saturating_sub(begun) > kept {
+        let retention = route.as_ref().map_or(MIN_RETENTION, |r| r.retention.max(MIN_RETENTION));
+        if app.now().saturating_sub(started_at) > retention {
             tracing::info!(event = "score_given_up", %item, request = %scorer.id, reason = "retention");
             return None;
         }
@@ -42,7 +43,7 @@
             tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
-        match app.relay(&route, ask(scorer)).await {
+        match app.relay(&route, scorer_request(scorer)).await {
             RelayResponse::Complete { status, signature: Some(signature), .. }
                 if status.is_success() =>
             {
@@ -50,7 +51,7 @@
             }
             RelayResponse::Complete { status, failures, .. } => {
                 failed += failures;
-                tracing::info!(event = "score_not_given", %item, request = %scorer.id, %status, failed);
+                tracing::info!(event = "score_failed", %item, request = %scorer.id, %status, failed);
             }
             RelayResponse::Stream { .. } => {
                 tracing::warn!(event = "score_streamed", %item, request = %scorer.id);
@@ -63,12 +64,13 @@
             tracing::info!(event = "score_given_up", %item, request = %scorer.id, reason = "failed", failed);
             return None;
         }
-        idle += 1;
-        tokio::time::sleep(RETRY_PAUSE * (1 << idle.min(4))).await;
+        attempts += 1;
+        tokio::time::sleep(RETRY_PAUSE * (1 << attempts.min(4))).await;
     }
 }
 
-fn ask(scorer: &Scorer) -> RelayRequest {
+/// The request to a scorer.
+fn scorer_request(scorer: &Scorer) -> RelayRequest {
     RelayRequest {
         id: Name::clone(&scorer.id),
         method: Method::POST,
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -1,4 +1,4 @@
-//! Places at replicas: who waits for one, and who gets the next.
+//! Slots at replicas: the queue of samples that wait for one, and the assignment of free slots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,19 +12,22 @@
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
 
-/// How often those who wait are looked at again while replicas are left out for a time.
+/// How often the queue is processed while it is not empty. Replicas that are excluded for a time
+/// become usable again without any event.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Samples that wait for a slot. A waiter gets its replica over the channel.
 type Queue = Waiting<oneshot::Sender<Target>>;
 
-/// The replicas and those who wait for a place.
+/// The replicas with their slots, and the queue for slots.
 #[derive(Debug)]
 pub(super) struct Slots {
+    /// The known replicas and the attempts that run at them.
     pub(super) fleet: Mutex<Fleet>,
     waiting: Mutex<Queue>,
-    /// The time that samples have wanted places.
-    pub(super) wanted: Arc<SlotDemand>,
-    /// Told when someone begins to wait.
+    /// The time for which samples have needed slots, by service.
+    pub(super) demand: Arc<SlotDemand>,
+    /// Notified when a sample joins the queue.
     waiter_added: Notify,
 }
 
@@ -33,26 +36,27 @@
         Self {
             fleet: Mutex::new(Fleet::new(zone)),
             waiting: Mutex::default(),
-            wanted: Arc::default(),
+            demand: Arc::default(),
             waiter_added: Notify::new(),
         }
     }
 
-    /// Whether anyone waits.
+    /// Whether any sample waits for a slot.
     fn has_waiters(&self) -> bool {
         !self.waiting.lock().is_empty()
     }
 
-    /// Gives free places to those who wait, in turn.
+    /// Assigns free slots to waiting samples, in queue order.
     pub(super) fn assign_free(&self, now: Moment) {
         self.assign(now, |waiting, fleet| waiting.pump(fleet, now));
     }
 
-    /// A place at a replica is free again.
+    /// Assigns a slot that has become free at a replica.
     ///
-    /// Load pattern: a step of thousands of texts before thousands of replicas, most of whose
-    /// places are taken. Looking through all replicas at each text's end to find the place that
-    /// it gave back costs texts times replicas; the others are looked at soon after.
+    /// Load pattern: a training step of thousands of texts at thousands of replicas, most of
+    /// whose slots are taken. Searching all replicas at each text's end would cost texts times
+    /// replicas, so that in a large fleet only this replica is offered. The others are searched
+    /// within [`RETRY_INTERVAL`].
     fn slot_freed(&self, replica: &str, now: Moment) {
         if self.fleet.lock().many() {
             self.assign_at(replica, now);
@@ -61,11 +65,13 @@
         }
     }
 
-    /// Gives the free places of one replica, in turn.
+    /// Assigns the free slots of one replica to waiting samples, in queue order.
     fn assign_at(&self, replica: &str, now: Moment) {
         self.assign(now, |waiting, fleet| waiting.offer(replica, fleet, now));
     }
 
+    /// Hands the replicas that `choose` selects to their waiters. A slot whose waiter has given
+    /// up is released.
     fn assign(
         &self,
         now: Moment,
@@ -81,24 +87,24 @@
     }
 }
 
-/// A place at a replica. It is given back when dropped.
+/// A slot at a replica, which is released when the guard is dropped.
 #[derive(Debug)]
 pub(super) struct SlotGuard<'a> {
     app: &'a App,
     pub target: Target,
     model: Option<Name>,
     ended: Ended,
-    /// Of a sample, from when it began to wait.
-    _wanted: Option<SlotDemandGuard>,
+    /// Counts the demand of a sample, from when it joined the queue.
+    _demand: Option<SlotDemandGuard>,
 }
 
 impl<'a> SlotGuard<'a> {
-    /// A place that was counted by [`Fleet::start`] already.
+    /// A guard for a slot that [`Fleet::start`] has already counted.
     pub(super) fn started(app: &'a App, target: Target) -> Self {
-        Self { app, target, model: None, ended: Ended::Dropped, _wanted: None }
+        Self { app, target, model: None, ended: Ended::Dropped, _demand: None }
     }
 
-    /// Says how the attempt ended.
+    /// Sets how the attempt ended; [`Ended::Dropped`] if this is never called.
     pub(super) fn set_end(&mut self, ended: Ended) {
         self.ended = ended;
     }
@@ -116,7 +122,8 @@
 }
 
 impl App {
-    /// The head of a replica's answer came, with its load if it tells that.
+    /// Records that the head of a replica's response arrived, with the load that the replica
+    /// reported in it, if any.
     pub(super) fn record_response_head(&self, replica: &str, load: Option<Load>) {
         let now = self.now();
         {
@@ -131,20 +138,25 @@
         }
     }
 
-    /// Waits for a free place.
-    pub(super) async fn wait_for_slot(&self, turn: Position, want: Want) -> Option<SlotGuard<'_>> {
+    /// Waits in the queue for a free slot. None if the queue entry was dropped without a slot.
+    pub(super) async fn wait_for_slot(
+        &self,
+        position: Position,
+        want: Want,
+    ) -> Option<SlotGuard<'_>> {
         let (service, model) = (want.service.clone(), want.model.clone());
-        let wanted = self.slots.wanted.begin(service.clone());
+        let demand = self.slots.demand.begin(service.clone());
         let (grant, granted) = oneshot::channel();
-        self.slots.waiting.lock().add(turn, want, grant);
-        let mut waiting = QueuedWaiter { app: self, turn, service, model: model.clone(), granted };
+        self.slots.waiting.lock().add(position, want, grant);
+        let mut waiting =
+            QueuedWaiter { app: self, position, service, model: model.clone(), granted };
         self.slots.assign_free(self.now());
         self.slots.waiter_added.notify_one();
         let target = (&mut waiting.granted).await.ok()?;
-        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _wanted: Some(wanted) })
+        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _demand: Some(demand) })
     }
 
-    /// Looks after those who wait, for as long as someone does.
+    /// Processes the queue at intervals while it is not empty. Runs for as long as the process.
     pub(super) async fn retry_waiting(&self) {
         loop {
             self.slots.waiter_added.notified().await;
@@ -155,21 +167,22 @@
         }
     }
 
-    /// Takes a place at once, also where all are taken.
+    /// Takes a slot at once, even at a replica whose slots are all taken. None if no replica
+    /// accepts work.
     pub(super) fn take_slot(&self, wish: &Wish<'_>) -> Option<SlotGuard<'_>> {
         let mut fleet = self.slots.fleet.lock();
         let now = self.now();
         let target = fleet.choose(wish, now)?;
         fleet.start(&target.id, now);
         let model = wish.weights.map(|(model, _)| model.into());
-        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _wanted: None })
+        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _demand: None })
     }
 }
 
-/// Takes a waiter out of the queue when its sample gives up.
+/// Removes a waiter from the queue when it is dropped, as when its sample gives up.
 struct QueuedWaiter<'a> {
     app: &'a App,
-    turn: Position,
+    position: Position,
     service: Name,
     model: Option<Name>,
     granted: oneshot::Receiver<Target>,
@@ -177,8 +190,8 @@
 
 impl Drop for QueuedWaiter<'_> {
     fn drop(&mut self) {
-        self.app.slots.waiting.lock().remove(self.turn, &self.service, &self.model);
-        // A place that was granted but never taken is given back.
+        self.app.slots.waiting.lock().remove(self.position, &self.service, &self.model);
+        // A slot that was assigned but never used is released.
         self.granted.close();
         if let Ok(target) = self.granted.try_recv() {
             let now = self.app.now();
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -1,5 +1,5 @@
-//! A client's stream of events: passed on as it comes, and taken up at another replica
-//! after the last whole event where its route allows that.
+//! Forwarding a stream of events to a client. If the replica fails, the stream resumes at
+//! another one after the last complete event, if its route allows that.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,117 +14,122 @@
 use super::slots::SlotGuard;
 use crate::decide::job::EventReader;
 use crate::decide::{Again, Ended, Wish};
-use crate::edge::replica::{Pieces, Reply, Target};
+use crate::edge::replica::{Call, Pieces, Reply, Target};
+use crate::{Moment, Name};
 
-/// How long the next event may take before the replica counts as silent.
+/// Timeout for the next event, and for the head of the response when a stream is resumed.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Events that wait for a client that reads slowly.
+/// Number of events that are buffered for a client that reads slowly.
 const MAX_BUFFERED_EVENTS: usize = 16;
-/// The pause between attempts to go on.
+/// Pause between attempts to resume.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Where a stream stands.
+/// The state of a forwarded stream.
 struct StreamForwarder {
     app: Arc<App>,
-    call: crate::edge::replica::Call,
-    leaves: crate::Moment,
-    service: Option<crate::Name>,
-    avoid: Vec<crate::Name>,
+    call: Call,
+    client_leaves: Moment,
+    service: Option<Name>,
+    avoid: Vec<Name>,
     resume: bool,
-    left: u32,
-    last: Option<u64>,
+    attempts_left: u32,
+    /// The id of the last event that was forwarded, or that the client had already.
+    last_event: Option<u64>,
+    /// The weight version of the last event.
     version: Option<u64>,
 }
 
-/// How one replica's part of a stream ended.
+/// How the part of a stream that one replica sent ended.
 enum PartEnd {
-    Whole,
-    Broken,
+    /// The stream is complete.
+    Complete,
+    /// The replica failed.
+    Interrupted,
+    /// The client has closed its connection.
     ClientLeft,
 }
 
-/// Passes a stream on. It ends in an error if it can't be brought to its end.
-pub(super) fn forward(
-    app: Arc<App>,
-    course: &RequestState,
-    target: Target,
-    reply: Reply,
-) -> Pieces {
-    let listed = app.slots.fleet.lock().get(&target.id).map(|l| l.service.clone());
+/// Forwards a stream. The result ends in an error if the stream can't be completed.
+pub(super) fn forward(app: Arc<App>, state: &RequestState, target: Target, reply: Reply) -> Pieces {
+    let service = app.slots.fleet.lock().get(&target.id).map(|l| l.service.clone());
     let forward = StreamForwarder {
-        call: course.call(app.now()),
-        leaves: course.client_leaves,
-        service: listed,
-        avoid: course.avoid.clone(),
-        resume: course.route.again == Again::Resume,
-        left: course.route.attempts.saturating_sub(course.attempts),
-        last: course.request.resume_after,
+        call: state.call(app.now()),
+        client_leaves: state.client_leaves,
+        service,
+        avoid: state.avoid.clone(),
+        resume: state.route.again == Again::Resume,
+        attempts_left: state.route.attempts.saturating_sub(state.attempts),
+        last_event: state.request.resume_after,
         version: reply.version,
         app: app.clone(),
     };
     app.slots.fleet.lock().start(&target.id, app.now());
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
-    // The task ends with the client: a receiver that is gone fails the next send, and the
-    // select below notices one that is gone between events.
+    // The task ends when the client leaves: the next send fails once the receiver is dropped,
+    // and the select in `forward_part` notices that between events.
     app.spawn(forward.run(target, reply, sender));
     ReceiverStream::new(receiver).boxed()
 }
 
 impl StreamForwarder {
+    /// Forwards the parts of the stream until it is complete or can't be resumed, or until the
+    /// client leaves.
     async fn run(mut self, target: Target, reply: Reply, to: mpsc::Sender<Result<Bytes, String>>) {
         let app = self.app.clone();
-        let mut held = Some(SlotGuard::started(&app, target));
+        let mut slot = Some(SlotGuard::started(&app, target));
         let mut reply = Some(reply);
         loop {
-            let (Some(place), Some(body)) = (held.as_mut(), reply.take()) else { break };
-            let began = app.now();
+            let (Some(current), Some(body)) = (slot.as_mut(), reply.take()) else { break };
+            let started_at = app.now();
             match self.forward_part(body, &to).await {
-                PartEnd::Whole => {
-                    let took = app.now().saturating_sub(began);
-                    place.set_end(Ended::Answered { took, cost: 1 });
+                PartEnd::Complete => {
+                    let took = app.now().saturating_sub(started_at);
+                    current.set_end(Ended::Answered { took, cost: 1 });
                     return;
                 }
                 PartEnd::ClientLeft => return,
-                PartEnd::Broken => place.set_end(Ended::Failed),
+                PartEnd::Interrupted => current.set_end(Ended::Failed),
             }
-            self.avoid.push(place.target.id.clone());
-            drop(held.take());
-            tracing::info!(event = "stream_broke", request = %self.call.id, last = self.last);
-            (held, reply) = self.resume_elsewhere(&app).await;
+            self.avoid.push(current.target.id.clone());
+            drop(slot.take());
+            tracing::info!(event = "stream_interrupted", request = %self.call.id, last = self.last_event);
+            (slot, reply) = self.resume_elsewhere(&app).await;
         }
-        tracing::info!(event = "stream_cut", request = %self.call.id, last = self.last);
-        let _ = to.send(Err("the stream broke off".to_owned())).await;
+        tracing::info!(event = "stream_aborted", request = %self.call.id, last = self.last_event);
+        let _ = to.send(Err("the stream was interrupted".to_owned())).await;
     }
 
-    /// Takes the stream up elsewhere.
+    /// Resumes the stream at another replica, within the attempts and the time that are left.
     async fn resume_elsewhere<'a>(
         &mut self,
         app: &'a App,
     ) -> (Option<SlotGuard<'a>>, Option<Reply>) {
-        while self.resume && self.left > 0 {
-            self.left -= 1;
-            let time = self.leaves.saturating_sub(app.now());
+        while self.resume && self.attempts_left > 0 {
+            self.attempts_left -= 1;
+            let time = self.client_leaves.saturating_sub(app.now());
             if time.is_zero() {
                 break;
             }
             let Some(service) = self.service.clone() else { break };
             let wish = Wish { service: &service, weights: None, avoid: &self.avoid, over: true };
-            let Some(held) = app.take_slot(&wish) else { break };
+            let Some(slot) = app.take_slot(&wish) else { break };
             let mut call = self.call.clone();
-            call.after = self.last;
+            call.after = self.last_event;
             call.limit = time;
-            let sending = app.replicas.send(&held.target, call);
+            let sending = app.replicas.send(&slot.target, call);
             if let Ok(Ok(reply)) = tokio::time::timeout(EVENT_TIMEOUT, sending).await
                 && reply.status.is_success()
             {
-                return (Some(held), Some(reply));
+                return (Some(slot), Some(reply));
             }
-            self.avoid.push(held.target.id.clone());
+            self.avoid.push(slot.target.id.clone());
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         (None, None)
     }
 
+    /// Forwards the events of one response. If the weight version changes with the response and
+    /// its first event does not state it, a line with the version is inserted before that event.
     async fn forward_part(
         &mut self,
         reply: Reply,
@@ -141,17 +146,17 @@
                 piece = tokio::time::timeout(EVENT_TIMEOUT, body.next()) => piece,
             };
             let bytes = match piece {
-                Err(_) | Ok(Some(Err(_))) => return PartEnd::Broken,
-                Ok(None) if reader.unfinished() => return PartEnd::Broken,
-                Ok(None) => return PartEnd::Whole,
+                Err(_) | Ok(Some(Err(_))) => return PartEnd::Interrupted,
+                Ok(None) if reader.unfinished() => return PartEnd::Interrupted,
+                Ok(None) => return PartEnd::Complete,
                 Ok(Some(Ok(bytes))) => bytes,
             };
-            let Ok(events) = reader.push(&bytes) else { return PartEnd::Broken };
+            let Ok(events) = reader.push(&bytes) else { return PartEnd::Interrupted };
             for event in events {
-                if self.last.is_some_and(|last| event.id != last + 1) {
-                    return PartEnd::Broken;
+                if self.last_event.is_some_and(|last| event.id != last + 1) {
+                    return PartEnd::Interrupted;
                 }
-                self.last = Some(event.id);
+                self.last_event = Some(event.id);
                 let stated = event.version.is_some();
                 self.version = event.version.or(self.version);
                 if let Some(version) = changed.take().filter(|_| !stated) {
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -115,7 +115,7 @@
         value: JobRecord,
         txn: Txn,
     ) -> SubmitResult {
-        let begun = self.now();
+        let started_at = self.now();
         let mut outcome_unknown = false;
         let mut probed = false;
         loop {
@@ -151,7 +151,7 @@
                 Err(StoreError::Compacted) => "compacted".to_owned(),
             };
             tracing::warn!(event = "submission_not_written", job = %spec.id, unsure = outcome_unknown, %reason);
-            if self.now().saturating_sub(begun) > WRITE_TIMEOUT {
+            if self.now().saturating_sub(started_at) > WRITE_TIMEOUT {
                 // An outage that has just ended must not cost a training step: the store is
                 // probed once, and the write is tried once more.
                 if !probed && self.fallback_store.probe(&job_record_key(&spec.id)).await {
