--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -9,8 +9,8 @@
 use super::owned_jobs::OwnedJob;
 use super::slots::SlotGuard;
 use crate::Moment;
-use crate::decide::job::{Event, EventReader, Fault, ItemSpec, Spec};
-use crate::decide::{Ended, Route};
+use crate::decide::job::{Event, EventReader, ItemSpec, JobSpec, StreamError};
+use crate::decide::{ReplicaOutcome, Route};
 use crate::edge::replica::{Call, Failure, Reply};
 use crate::metrics::AttemptEnd;
 
@@ -30,7 +30,7 @@
     pub app: &'a App,
     pub owned: &'a OwnedJob,
     pub item: &'a ItemSpec,
-    pub spec: &'a Spec,
+    pub spec: &'a JobSpec,
     pub route: &'a Route,
 }
 
@@ -77,7 +77,7 @@
             Ok(Ok(reply)) => reply,
             Ok(Err(failure)) => return self.failed_before_answer(slot, &failure),
             Err(_) => {
-                slot.set_end(Ended::Failed);
+                slot.set_end(ReplicaOutcome::Failed);
                 return AttemptResult::Continue(AttemptEnd::Broken);
             }
         };
@@ -86,7 +86,7 @@
             StatusCode::UNPROCESSABLE_ENTITY => return AttemptResult::Impossible,
             StatusCode::INTERNAL_SERVER_ERROR => return AttemptResult::Failed,
             status if !status.is_success() || reply.signature.is_none() => {
-                slot.set_end(Ended::Failed);
+                slot.set_end(ReplicaOutcome::Failed);
                 return AttemptResult::Continue(AttemptEnd::Broken);
             }
             _ => {}
@@ -95,7 +95,7 @@
         let read = self.read_events(slot, reply).await;
         let took = self.app.now().saturating_sub(started_at);
         let cost = self.last_event().saturating_sub(before).max(1) as u32;
-        let answered = Ended::Answered { took, cost };
+        let answered = ReplicaOutcome::Answered { duration: took, cost };
         match read {
             Ok(ReadEnd::Complete) => {
                 slot.set_end(answered);
@@ -106,14 +106,14 @@
                 AttemptResult::Continue(AttemptEnd::Slow)
             }
             Ok(ReadEnd::Interrupted) => {
-                slot.set_end(Ended::Failed);
+                slot.set_end(ReplicaOutcome::Failed);
                 AttemptResult::Continue(AttemptEnd::Broken)
             }
             Ok(ReadEnd::Silent) => {
-                slot.set_end(Ended::Failed);
+                slot.set_end(ReplicaOutcome::Failed);
                 AttemptResult::Continue(AttemptEnd::Broken)
             }
-            Err(Fault::Version(version)) if version < self.spec.oldest => {
+            Err(StreamError::DisallowedVersion(version)) if version < self.spec.min_version => {
                 // The event was not added to the text; the events before it stay.
                 self.note_older_version(slot, version);
                 AttemptResult::Continue(AttemptEnd::Fault)
@@ -130,11 +130,13 @@
     /// Records a call that failed before the head of the response.
     fn failed_before_answer(self, slot: &mut SlotGuard<'_>, failure: &Failure) -> AttemptResult {
         let (ended, end) = match failure {
-            Failure::Unsent(_) => (Ended::Unreachable, AttemptEnd::Unsent),
-            Failure::NotRun(_) if self.spec.model.is_some() => (Ended::Loading, AttemptEnd::NotRun),
-            Failure::NotRun(_) => (Ended::Full, AttemptEnd::NotRun),
-            Failure::Stranger => (Ended::Unreachable, AttemptEnd::Stranger),
-            Failure::Broken(_) => (Ended::Failed, AttemptEnd::Broken),
+            Failure::Unsent(_) => (ReplicaOutcome::Unreachable, AttemptEnd::Unsent),
+            Failure::NotRun(_) if self.spec.model.is_some() => {
+                (ReplicaOutcome::Loading, AttemptEnd::NotRun)
+            }
+            Failure::NotRun(_) => (ReplicaOutcome::Full, AttemptEnd::NotRun),
+            Failure::Stranger => (ReplicaOutcome::Unreachable, AttemptEnd::Stranger),
+            Failure::Broken(_) => (ReplicaOutcome::Failed, AttemptEnd::Broken),
         };
         slot.set_end(ended);
         tracing::debug!(event = "attempt_failed", item = %self.item.id, %failure);
@@ -143,14 +145,14 @@
 
     /// The id of the text's last event; 0 if there is none.
     fn last_event(self) -> u64 {
-        self.owned.with_text(&self.item.id, |text| text.last())
+        self.owned.with_text(&self.item.id, |text| text.last_event())
     }
 
     /// Reads events from a response and adds them to the text.
-    async fn read_events(self, slot: &SlotGuard<'_>, reply: Reply) -> Result<ReadEnd, Fault> {
+    async fn read_events(self, slot: &SlotGuard<'_>, reply: Reply) -> Result<ReadEnd, StreamError> {
         let mut reader = EventReader::new(self.app.replicas.version_field());
         let mut body = reply.body;
-        self.owned.with_text(&self.item.id, |text| text.at(reply.version));
+        self.owned.with_text(&self.item.id, |text| text.set_version(reply.version));
         let mut seen_version = None;
         let mut measure_start: Option<(Moment, u64)> = None;
         loop {
@@ -184,21 +186,21 @@
 
     /// Adds events to the text and returns the weight version that generated the last one. An
     /// event of a version that the sample does not allow is an error.
-    fn add_events(self, events: &[Event]) -> Result<Option<u64>, Fault> {
+    fn add_events(self, events: &[Event]) -> Result<Option<u64>, StreamError> {
         self.owned.with_text(&self.item.id, |text| {
             for event in events {
                 let known = text.versions();
                 let fits = |v| !self.route.one_version || known.iter().all(|k| *k == v);
-                text.push(event, |v| v >= self.spec.oldest && fits(v))?;
+                text.push(event, |v| v >= self.spec.min_version && fits(v))?;
             }
-            Ok(text.current().filter(|_| !events.is_empty()))
+            Ok(text.current_version().filter(|_| !events.is_empty()))
         })
     }
 
     /// Records the weight version that a replica was seen to serve.
     fn note_version(self, slot: &SlotGuard<'_>, version: Option<u64>) {
         if let (Some(model), Some(version)) = (&self.spec.model, version) {
-            self.app.slots.fleet.lock().seen(&slot.target, model, version);
+            self.app.slots.fleet.lock().raise_version(&slot.target, model, version);
         }
     }
 
@@ -208,7 +210,7 @@
         if let Some(model) = &self.spec.model {
             let replica = &slot.target.id;
             tracing::info!(event = "replica_older", %replica, %model, version);
-            self.app.slots.fleet.lock().shown(&slot.target, model, version);
+            self.app.slots.fleet.lock().set_version(&slot.target, model, version);
         }
     }
 
@@ -216,9 +218,9 @@
     /// be faster and the text should move there.
     fn note_pace(self, slot: &SlotGuard<'_>, event_seconds: f64) -> bool {
         let now = self.app.now();
-        let weights = self.spec.model.as_deref().map(|model| (model, self.spec.oldest));
+        let weights = self.spec.model.as_deref().map(|model| (model, self.spec.min_version));
         let mut fleet = self.app.slots.fleet.lock();
-        fleet.beat(&slot.target.id, event_seconds, now);
-        fleet.faster(&slot.target.id, weights, event_seconds, now)
+        fleet.record_event_interval(&slot.target.id, event_seconds, now);
+        fleet.has_faster_replica(&slot.target.id, weights, event_seconds, now)
     }
 }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -186,7 +186,7 @@
     if let Some(has) = has
         && has >= wanted.version
     {
-        app.slots.fleet.lock().seen(&target, &wanted.model, has);
+        app.slots.fleet.lock().raise_version(&target, &wanted.model, has);
         return LoadOutcome::Done;
     }
     if stance.busy || !app.holds_term(fence) {
@@ -216,7 +216,7 @@
     match end {
         OrderEnd::Accepted | OrderEnd::Unknown => await_load(app, &target, &wanted).await,
         OrderEnd::Holds => {
-            app.slots.fleet.lock().seen(&target, &wanted.model, wanted.version);
+            app.slots.fleet.lock().raise_version(&target, &wanted.model, wanted.version);
             LoadOutcome::Done
         }
         OrderEnd::Busy | OrderEnd::Refused => LoadOutcome::Failed,
@@ -236,7 +236,7 @@
         }
         let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
         if has.is_some_and(|has| has >= wanted.version) {
-            app.slots.fleet.lock().seen(target, &wanted.model, wanted.version);
+            app.slots.fleet.lock().raise_version(target, &wanted.model, wanted.version);
             app.slots.assign_free(app.now());
             return LoadOutcome::Done;
         }
--- a/src/entry/owned_jobs.rs
+++ b/src/entry/owned_jobs.rs
@@ -11,15 +11,15 @@
 use super::keys::JobRecord;
 use super::membership::Stored;
 use crate::Name;
-use crate::decide::job::{Growth, Job, JobOrder, Saved, Spec, Text};
+use crate::decide::job::{Job, JobOrder, JobSpec, SampleText, SavedProgress, TextDelta};
 
 /// The growth of unfinished texts since their last save.
 #[derive(Debug, Default)]
 pub(super) struct UnsavedTexts {
     /// What was added to each text.
-    pub growths: Vec<(Name, Growth)>,
+    pub growths: Vec<(Name, TextDelta)>,
     /// How much of each text the store has once that is written.
-    pub saved: Vec<(Name, Saved)>,
+    pub saved: Vec<(Name, SavedProgress)>,
 }
 
 /// A job that runs here.
@@ -29,7 +29,7 @@
     /// The job's record. As long as the store has it at this revision, this node is the owner.
     pub record: Mutex<Stored<JobRecord>>,
     /// The texts of running samples, and how much of each the store has.
-    pub texts: Mutex<ByName<(Text, Saved)>>,
+    pub texts: Mutex<ByName<(SampleText, SavedProgress)>>,
     /// The number of saves of unfinished texts.
     pub text_writes: Mutex<usize>,
     /// Notified when a sample ends whose result may complete something that the trainer takes.
@@ -49,7 +49,7 @@
 
 impl OwnedJob {
     /// Calls `work` on the text of a sample, which is created empty if it does not exist.
-    pub(super) fn with_text<T>(&self, item: &Name, work: impl FnOnce(&mut Text) -> T) -> T {
+    pub(super) fn with_text<T>(&self, item: &Name, work: impl FnOnce(&mut SampleText) -> T) -> T {
         let mut texts = self.texts.lock();
         work(&mut texts.entry(item.clone()).or_default().0)
     }
@@ -61,7 +61,7 @@
         let mut size = 0;
         let mut unsaved = UnsavedTexts::default();
         for (item, (text, saved)) in &*texts {
-            let Some((growth, after)) = text.growth(*saved) else { continue };
+            let Some((growth, after)) = text.delta_since(*saved) else { continue };
             if size + growth.bytes() > max_bytes {
                 continue;
             }
@@ -73,7 +73,7 @@
     }
 
     /// Records that a save was written, and how much of each text the store has now.
-    pub(super) fn mark_saved(&self, saves: Vec<(Name, Saved)>) {
+    pub(super) fn mark_saved(&self, saves: Vec<(Name, SavedProgress)>) {
         let mut texts = self.texts.lock();
         for (item, saved) in saves {
             if let Some(entry) = texts.get_mut(&item) {
@@ -95,7 +95,7 @@
 
 impl OwnedJobs {
     /// Assigns a new job its rank for slots.
-    pub(super) fn assign_order(&self, spec: &Spec) -> u64 {
+    pub(super) fn assign_order(&self, spec: &JobSpec) -> u64 {
         self.order.lock().begin(spec.organisation.clone(), spec.items.len())
     }
 
@@ -119,7 +119,7 @@
     /// Whether a job here has samples to make.
     pub(super) fn has_work(&self) -> bool {
         let jobs = self.jobs.lock();
-        jobs.values().any(|owned| !owned.stop.is_cancelled() && !owned.job.lock().made())
+        jobs.values().any(|owned| !owned.stop.is_cancelled() && !owned.job.lock().all_finished())
     }
 
     /// Waits until a job here has samples to make.
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -13,7 +13,7 @@
 use super::owned_jobs::OwnedJob;
 use super::remote_jobs::{RemoteJob, RemoteJobState};
 use crate::Moment;
-use crate::decide::job::{Listing, Spec, State};
+use crate::decide::job::{ItemResult, ItemState, JobSpec};
 use crate::edge::store::{Change, StoreError};
 
 /// Bytes of text in one answer: half of the megabyte that an answer may have, because text
@@ -36,7 +36,7 @@
         /// The number of the job's samples.
         total: usize,
         /// The results.
-        results: Vec<Arc<Listing>>,
+        results: Vec<Arc<ItemResult>>,
     },
     /// There is no such job.
     Unknown,
@@ -68,7 +68,7 @@
         if let Some(ended) = self.ended_jobs.get(job) {
             return ended.read(after);
         }
-        let read = match self.read_at_home(job, after, wait).await {
+        let read = match self.read_from_owner(job, after, wait).await {
             Ok(Some(read)) => return read,
             Ok(None) => self.read_remote(job, after, ends).await,
             Err(e) => Err(e),
@@ -93,12 +93,12 @@
         let total = owned.job.lock().spec.items.len();
         let mut listed = owned.result_count.subscribe();
         loop {
-            let results = results_page(owned.job.lock().listed(), after);
+            let results = results_page(owned.job.lock().written_results(), after);
             // Other nodes may already see the results of a write whose answer was lost.
             if owned.job.lock().ended() || owned.write_unknown.load(Ordering::Relaxed) {
                 return None;
             }
-            let finished = owned.job.lock().complete();
+            let finished = owned.job.lock().all_written();
             if !results.is_empty() || finished || self.now() >= ends {
                 return Some(ReadResult::Page { total, results });
             }
@@ -152,7 +152,7 @@
                     state.last_update = self.now();
                     for change in &watched.changes {
                         if let Change::Put(item) = change {
-                            state.add(job, item);
+                            state.append_results(job, item);
                         }
                     }
                 }
@@ -195,7 +195,7 @@
         let page = self.store.range(&results_prefix(job)).await?;
         let mut state = remote.state.lock();
         for item in &page.items {
-            state.add(job, item);
+            state.append_results(job, item);
         }
         state.revision = state.revision.max(Some(page.revision));
         state.watch_gaps = watch_gaps;
@@ -222,7 +222,7 @@
         if let Some(body) = self.local_body(job, item) {
             return Lookup::Found(body);
         }
-        if let Some(body) = self.body_at_home(job, item).await {
+        if let Some(body) = self.body_from_owner(job, item).await {
             return Lookup::Found(body);
         }
         let spec = match self.spec_of(job).await {
@@ -245,7 +245,7 @@
         find_body(&spec, item)
     }
 
-    async fn spec_of(&self, job: &str) -> Result<Option<Arc<Spec>>, StoreError> {
+    async fn spec_of(&self, job: &str) -> Result<Option<Arc<JobSpec>>, StoreError> {
         let remote = self.remote_jobs.get(job);
         if let Some(spec) = remote.spec.lock().clone() {
             return Ok(Some(spec));
@@ -259,39 +259,39 @@
     }
 
     /// Reads a job's submission from the store.
-    pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<Spec>, StoreError> {
+    pub(super) async fn load_spec(&self, job: &str) -> Result<Arc<JobSpec>, StoreError> {
         let page = self.store.range(&spec_prefix(job)).await?;
         let mut bytes = Vec::new();
         for item in &page.items {
             bytes.extend_from_slice(&item.value);
         }
-        let spec = Spec::decode(bytes).map_err(|e| StoreError::Refused(e.to_string()))?;
+        let spec = JobSpec::decode(bytes).map_err(|e| StoreError::Refused(e.to_string()))?;
         Ok(Arc::new(spec))
     }
 
     /// Reads all results of a job from the store.
-    pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<Listing>>, StoreError> {
+    pub(super) async fn load_results(&self, job: &str) -> Result<Vec<Arc<ItemResult>>, StoreError> {
         let page = self.store.range(&results_prefix(job)).await?;
         let mut state = RemoteJobState::default();
         for item in &page.items {
-            state.add(job, item);
+            state.append_results(job, item);
         }
         Ok(state.results)
     }
 }
 
-fn find_body(spec: &Spec, item: &str) -> Option<Bytes> {
+fn find_body(spec: &JobSpec, item: &str) -> Option<Bytes> {
     spec.items.iter().find(|i| *i.id == *item).map(|item| item.body.clone())
 }
 
 /// The results from a position on that fit into one answer, but at least one if there is any.
-pub(super) fn results_page(listed: &[Arc<Listing>], after: usize) -> Vec<Arc<Listing>> {
+pub(super) fn results_page(listed: &[Arc<ItemResult>], after: usize) -> Vec<Arc<ItemResult>> {
     let mut size = 0;
     let mut results = Vec::new();
     for listing in listed.iter().skip(after) {
         size += match &listing.state {
-            State::Completed { output, .. } => output.len(),
-            State::Dead => 0,
+            ItemState::Completed { output, .. } => output.len(),
+            ItemState::Dead => 0,
         };
         if size > MAX_PAGE_BYTES && !results.is_empty() {
             break;
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,7 @@
 use super::slots::SlotGuard;
 use super::stream;
 use crate::decide::comeback::SOON;
-use crate::decide::{Again, Ended, History, Outcome, Route, Wish};
+use crate::decide::{Again, AttemptRequest, History, Outcome, ReplicaOutcome, Route};
 use crate::edge::http::gather;
 use crate::edge::replica::{Call, Failure, Pieces, Reply};
 use crate::error::{Kind, Refusal};
@@ -168,7 +168,12 @@
         let Some(service) = state.route.service(self.draw()).cloned() else {
             return AttemptOutcome::Failed(refused(Kind::NoUpstream, "the route names no service"));
         };
-        let wish = Wish { service: &service, weights: None, avoid: &state.avoid, over: true };
+        let wish = AttemptRequest {
+            service: &service,
+            weights: None,
+            avoid: &state.avoid,
+            allow_full: true,
+        };
         let Some(mut slot) = self.take_slot(&wish) else {
             return AttemptOutcome::Failed(refused(Kind::NoUpstream, "no replica accepts work"));
         };
@@ -205,7 +210,7 @@
             Err(_) => return state.failed(self, &mut slot, Failure::Broken("silent".to_owned())),
         };
         let took = self.now().saturating_sub(started_at);
-        slot.set_end(Ended::Answered { took, cost: 1 });
+        slot.set_end(ReplicaOutcome::Answered { duration: took, cost: 1 });
         if signature.is_none() {
             return state.failed(self, &mut slot, Failure::Broken("unsigned".to_owned()));
         }
@@ -215,7 +220,7 @@
             state.failures += 1;
         }
         if failed {
-            slot.set_end(Ended::Failed);
+            slot.set_end(ReplicaOutcome::Failed);
             if state.may_repeat() && state.attempts < state.route.attempts {
                 state.history.note(Outcome::Unknown);
                 state.avoid.push(slot.target.id.clone());
@@ -282,9 +287,9 @@
             Failure::Broken(_) => AttemptEnd::Broken,
         });
         slot.set_end(match failure {
-            Failure::Unsent(_) | Failure::Stranger => Ended::Unreachable,
-            Failure::NotRun(_) => Ended::Full,
-            Failure::Broken(_) => Ended::Failed,
+            Failure::Unsent(_) | Failure::Stranger => ReplicaOutcome::Unreachable,
+            Failure::NotRun(_) => ReplicaOutcome::Full,
+            Failure::Broken(_) => ReplicaOutcome::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -47,18 +47,18 @@
             () = owned.sample_ended.notified() => {}
         }
         for _ in 0..GATHER_WINDOWS {
-            if owned.job.lock().made() {
+            if owned.job.lock().all_finished() {
                 break;
             }
             tokio::time::sleep(GATHER_WINDOW).await;
-            if owned.job.lock().awaited() {
+            if owned.job.lock().is_urgent() {
                 break;
             }
         }
         if !flush(&app, &owned, &id, usize::MAX).await {
             return;
         }
-        if owned.job.lock().complete() {
+        if owned.job.lock().all_written() {
             app.tally.job(JobStep::Complete);
             tracing::info!(event = "job_complete", job = %id);
             break;
@@ -76,12 +76,12 @@
 ) -> bool {
     let _writing = owned.write_lock.lock().await;
     loop {
-        let before = owned.job.lock().position();
+        let before = owned.job.lock().next_position();
         if !write_batch(app, owned, id, max_attempts).await {
             return false;
         }
         let job = owned.job.lock();
-        if !job.fresh() || job.position() == before {
+        if !job.has_unwritten() || job.next_position() == before {
             return true;
         }
     }
@@ -95,7 +95,8 @@
     id: &Name,
     max_attempts: usize,
 ) -> bool {
-    let (position, batch) = owned.job.lock().batch(app.settings.value_bytes - VALUE_RESERVE_BYTES);
+    let (position, batch) =
+        owned.job.lock().next_batch(app.settings.value_bytes - VALUE_RESERVE_BYTES);
     let encoded = bincode::serde::encode_to_vec(&batch, bincode::config::standard());
     let bytes = match encoded {
         Ok(bytes) => bytes,
@@ -179,8 +180,8 @@
         return;
     }
     let mut job = owned.job.lock();
-    job.written(count);
-    let written = job.position();
+    job.mark_written(count);
+    let written = job.next_position();
     drop(job);
     owned.result_count.send_replace(written);
 }
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -15,7 +15,7 @@
 use super::results::{drop_lost_job, flush, update_record, write_results};
 use super::sample;
 use crate::Name;
-use crate::decide::job::{Job, Listing, Saved, Spec, Text};
+use crate::decide::job::{ItemResult, Job, JobSpec, SampleText, SavedProgress};
 use crate::edge::store::{Change, Item};
 use crate::metrics::JobStep;
 
@@ -32,9 +32,9 @@
 #[derive(Debug, Default)]
 pub(super) struct RestoredJob {
     /// The written results.
-    pub results: Vec<Arc<Listing>>,
+    pub results: Vec<Arc<ItemResult>>,
     /// The unfinished texts, and how much of each the store has.
-    pub texts: ByName<(Text, Saved)>,
+    pub texts: ByName<(SampleText, SavedProgress)>,
     /// The number of saves of unfinished texts so far.
     pub text_writes: usize,
 }
@@ -44,23 +44,23 @@
     /// runs here already.
     pub(super) fn run_job(
         self: &Arc<Self>,
-        spec: Arc<Spec>,
+        spec: Arc<JobSpec>,
         restored: RestoredJob,
         record: Stored<JobRecord>,
     ) {
         let RestoredJob { results, texts, text_writes } = restored;
         let id = spec.id.clone();
         if let Some(model) = &spec.model {
-            self.demand.lock().note(model, spec.work(), self.now());
+            self.demand.lock().note(model, spec.estimated_work(), self.now());
         }
         let queue_order = self.owned_jobs.assign_order(&spec);
         let job = Job::new(spec, results);
         let slots = match &job.spec.model {
-            Some(model) => self.slots.fleet.lock().places(model, job.spec.oldest),
+            Some(model) => self.slots.fleet.lock().slots_at_version(model, job.spec.min_version),
             None => job.spec.items.len(),
         };
-        let todo = job.todo(slots);
-        let count = job.position();
+        let todo = job.pending_items(slots);
+        let count = job.next_position();
         let owned = Arc::new(OwnedJob {
             job: Mutex::new(job),
             record: Mutex::new(record),
@@ -151,7 +151,7 @@
                 return drop_lost_job(&app, &owned, &id);
             }
         }
-        if owned.job.lock().complete() {
+        if owned.job.lock().all_written() {
             return;
         }
     }
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -10,8 +10,8 @@
 use super::owned_jobs::OwnedJob;
 use super::score::request_score;
 use crate::Name;
-use crate::decide::job::{Finished, ItemSpec, Spec, State};
-use crate::decide::{Route, Want};
+use crate::decide::job::{FinishEffect, ItemSpec, ItemState, JobSpec};
+use crate::decide::{Route, SlotRequest};
 use crate::edge::replica::Call;
 use crate::metrics::SampleEnd;
 
@@ -28,15 +28,15 @@
 /// Makes a sample and adds its result to the job.
 pub(super) async fn make_sample(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) {
     let state = make(app, owned, item, index).await;
-    let dead = state == State::Dead;
+    let dead = state == ItemState::Dead;
     owned.texts.lock().remove(&item.id);
     let finished = owned.job.lock().finish(&item.id, state);
     match finished {
-        Finished::Unwanted => return,
+        FinishEffect::Unwanted => return,
         // Trainers take whole groups, so the result of an incomplete group goes with the next
         // regular write.
-        Finished::Sample => {}
-        Finished::Group => owned.sample_ended.notify_one(),
+        FinishEffect::Sample => {}
+        FinishEffect::Group => owned.sample_ended.notify_one(),
     }
     app.tally.sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
     let job = owned.job.lock().spec.id.clone();
@@ -44,20 +44,20 @@
 }
 
 /// Generates the text and requests its score. The sample is dead if either fails for good.
-async fn make(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) -> State {
+async fn make(app: &Arc<App>, owned: &OwnedJob, item: &ItemSpec, index: u64) -> ItemState {
     let spec = owned.job.lock().spec.clone();
     let started_at = app.now();
     if !make_text(app, owned, &spec, item, index).await {
-        return State::Dead;
+        return ItemState::Dead;
     }
     let score = match &item.scorer {
         None => None,
         Some(scorer) => match request_score(app, &item.id, scorer, started_at).await {
             Some(score) => Some(score),
-            None => return State::Dead,
+            None => return ItemState::Dead,
         },
     };
-    owned.with_text(&item.id, |text| State::Completed {
+    owned.with_text(&item.id, |text| ItemState::Completed {
         output: text.output().to_owned(),
         versions: text.versions(),
         score,
@@ -69,7 +69,7 @@
 async fn make_text(
     app: &Arc<App>,
     owned: &OwnedJob,
-    spec: &Spec,
+    spec: &JobSpec,
     item: &ItemSpec,
     index: u64,
 ) -> bool {
@@ -94,17 +94,21 @@
             tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
-        let want =
-            Want { service, model: spec.model.clone(), least: spec.oldest, avoid: avoid.clone() };
+        let want = SlotRequest {
+            service,
+            model: spec.model.clone(),
+            min_version: spec.min_version,
+            avoid: avoid.clone(),
+        };
         let priority = routes.priority(&route, spec.organisation.as_ref());
         let position = (priority, owned.queue_order, index);
         let Some(mut slot) = app.wait_for_slot(position, want).await else { continue };
-        let before = owned.with_text(&item.id, |text| text.last());
+        let before = owned.with_text(&item.id, |text| text.last_event());
         let run = TextAttempt { app, owned, item, spec, route: &route };
         let result = run.attempt(&mut slot, call(&route, priority, spec, item, before)).await;
         let replica = slot.target.id.clone();
         drop(slot);
-        let events = owned.with_text(&item.id, |text| text.last());
+        let events = owned.with_text(&item.id, |text| text.last_event());
         match result {
             AttemptResult::Complete => {
                 tracing::debug!(event = "text_completed", item = %item.id, %replica, events);
@@ -137,7 +141,7 @@
 }
 
 /// The request for a sample's text, from after event `last` on.
-fn call(route: &Route, priority: u8, spec: &Spec, item: &ItemSpec, last: u64) -> Call {
+fn call(route: &Route, priority: u8, spec: &JobSpec, item: &ItemSpec, last: u64) -> Call {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         if let (Ok(name), Ok(value)) =
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -8,7 +8,7 @@
 
 use super::app::App;
 use super::scale::{SlotDemand, SlotDemandGuard};
-use crate::decide::{Ended, Fleet, Position, Waiting, Want, Wish};
+use crate::decide::{AttemptRequest, Fleet, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition};
 use crate::edge::replica::{Load, Target};
 use crate::{Moment, Name};
 
@@ -17,7 +17,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Samples that wait for a slot. A waiter gets its replica over the channel.
-type Queue = Waiting<oneshot::Sender<Target>>;
+type Queue = SlotQueue<oneshot::Sender<Target>>;
 
 /// The replicas with their slots, and the queue for slots.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
 
     /// Assigns free slots to waiting samples, in queue order.
     pub(super) fn assign_free(&self, now: Moment) {
-        self.assign(now, |waiting, fleet| waiting.pump(fleet, now));
+        self.assign(now, |waiting, fleet| waiting.assign_all(fleet, now));
     }
 
     /// Assigns a slot that has become free at a replica.
@@ -58,7 +58,7 @@
     /// replicas, so that in a large fleet only this replica is offered. The others are searched
     /// within [`RETRY_INTERVAL`].
     fn slot_freed(&self, replica: &str, now: Moment) {
-        if self.fleet.lock().many() {
+        if self.fleet.lock().is_large() {
             self.assign_at(replica, now);
         } else {
             self.assign_free(now);
@@ -67,7 +67,7 @@
 
     /// Assigns the free slots of one replica to waiting samples, in queue order.
     fn assign_at(&self, replica: &str, now: Moment) {
-        self.assign(now, |waiting, fleet| waiting.offer(replica, fleet, now));
+        self.assign(now, |waiting, fleet| waiting.assign_at(replica, fleet, now));
     }
 
     /// Hands the replicas that `choose` selects to their waiters. A slot whose waiter has given
@@ -81,7 +81,7 @@
         let mut fleet = self.fleet.lock();
         for (grant, target) in choose(&mut waiting, &mut fleet) {
             if let Err(target) = grant.send(target) {
-                fleet.end(&target.id, None, Ended::Dropped, now);
+                fleet.end_attempt(&target.id, None, ReplicaOutcome::Abandoned, now);
             }
         }
     }
@@ -93,7 +93,7 @@
     app: &'a App,
     pub target: Target,
     model: Option<Name>,
-    ended: Ended,
+    ended: ReplicaOutcome,
     /// Counts the demand of a sample, from when it joined the queue.
     _demand: Option<SlotDemandGuard>,
 }
@@ -101,11 +101,11 @@
 impl<'a> SlotGuard<'a> {
     /// A guard for a slot that [`Fleet::start`] has already counted.
     pub(super) fn started(app: &'a App, target: Target) -> Self {
-        Self { app, target, model: None, ended: Ended::Dropped, _demand: None }
+        Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _demand: None }
     }
 
     /// Sets how the attempt ended; [`Ended::Dropped`] if this is never called.
-    pub(super) fn set_end(&mut self, ended: Ended) {
+    pub(super) fn set_end(&mut self, ended: ReplicaOutcome) {
         self.ended = ended;
     }
 }
@@ -114,7 +114,7 @@
     fn drop(&mut self) {
         let now = self.app.now();
         let model = self.model.as_deref();
-        self.app.slots.fleet.lock().end(&self.target.id, model, self.ended, now);
+        self.app.slots.fleet.lock().end_attempt(&self.target.id, model, self.ended, now);
         if self.app.slots.has_waiters() {
             self.app.slots.slot_freed(&self.target.id, now);
         }
@@ -129,8 +129,8 @@
         {
             let mut fleet = self.slots.fleet.lock();
             match load {
-                Some(load) => fleet.load(replica, load, now),
-                None => fleet.untold(replica),
+                Some(load) => fleet.report_load(replica, load, now),
+                None => fleet.report_no_load(replica),
             }
         }
         if self.slots.has_waiters() {
@@ -141,8 +141,8 @@
     /// Waits in the queue for a free slot. None if the queue entry was dropped without a slot.
     pub(super) async fn wait_for_slot(
         &self,
-        position: Position,
-        want: Want,
+        position: WaitPosition,
+        want: SlotRequest,
     ) -> Option<SlotGuard<'_>> {
         let (service, model) = (want.service.clone(), want.model.clone());
         let demand = self.slots.demand.begin(service.clone());
@@ -153,7 +153,13 @@
         self.slots.assign_free(self.now());
         self.slots.waiter_added.notify_one();
         let target = (&mut waiting.granted).await.ok()?;
-        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _demand: Some(demand) })
+        Some(SlotGuard {
+            app: self,
+            target,
+            model,
+            ended: ReplicaOutcome::Abandoned,
+            _demand: Some(demand),
+        })
     }
 
     /// Processes the queue at intervals while it is not empty. Runs for as long as the process.
@@ -169,20 +175,26 @@
 
     /// Takes a slot at once, even at a replica whose slots are all taken. None if no replica
     /// accepts work.
-    pub(super) fn take_slot(&self, wish: &Wish<'_>) -> Option<SlotGuard<'_>> {
+    pub(super) fn take_slot(&self, wish: &AttemptRequest<'_>) -> Option<SlotGuard<'_>> {
         let mut fleet = self.slots.fleet.lock();
         let now = self.now();
         let target = fleet.choose(wish, now)?;
-        fleet.start(&target.id, now);
+        fleet.start_attempt(&target.id, now);
         let model = wish.weights.map(|(model, _)| model.into());
-        Some(SlotGuard { app: self, target, model, ended: Ended::Dropped, _demand: None })
+        Some(SlotGuard {
+            app: self,
+            target,
+            model,
+            ended: ReplicaOutcome::Abandoned,
+            _demand: None,
+        })
     }
 }
 
 /// Removes a waiter from the queue when it is dropped, as when its sample gives up.
 struct QueuedWaiter<'a> {
     app: &'a App,
-    position: Position,
+    position: WaitPosition,
     service: Name,
     model: Option<Name>,
     granted: oneshot::Receiver<Target>,
@@ -195,7 +207,12 @@
         self.granted.close();
         if let Ok(target) = self.granted.try_recv() {
             let now = self.app.now();
-            self.app.slots.fleet.lock().end(&target.id, None, Ended::Dropped, now);
+            self.app.slots.fleet.lock().end_attempt(
+                &target.id,
+                None,
+                ReplicaOutcome::Abandoned,
+                now,
+            );
         }
     }
 }
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -13,7 +13,7 @@
 use super::relay::RequestState;
 use super::slots::SlotGuard;
 use crate::decide::job::EventReader;
-use crate::decide::{Again, Ended, Wish};
+use crate::decide::{Again, AttemptRequest, ReplicaOutcome};
 use crate::edge::replica::{Call, Pieces, Reply, Target};
 use crate::{Moment, Name};
 
@@ -63,7 +63,7 @@
         version: reply.version,
         app: app.clone(),
     };
-    app.slots.fleet.lock().start(&target.id, app.now());
+    app.slots.fleet.lock().start_attempt(&target.id, app.now());
     let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
     // The task ends when the client leaves: the next send fails once the receiver is dropped,
     // and the select in `forward_part` notices that between events.
@@ -84,11 +84,11 @@
             match self.forward_part(body, &to).await {
                 PartEnd::Complete => {
                     let took = app.now().saturating_sub(started_at);
-                    current.set_end(Ended::Answered { took, cost: 1 });
+                    current.set_end(ReplicaOutcome::Answered { duration: took, cost: 1 });
                     return;
                 }
                 PartEnd::ClientLeft => return,
-                PartEnd::Interrupted => current.set_end(Ended::Failed),
+                PartEnd::Interrupted => current.set_end(ReplicaOutcome::Failed),
             }
             self.avoid.push(current.target.id.clone());
             drop(slot.take());
@@ -111,7 +111,12 @@
                 break;
             }
             let Some(service) = self.service.clone() else { break };
-            let wish = Wish { service: &service, weights: None, avoid: &self.avoid, over: true };
+            let wish = AttemptRequest {
+                service: &service,
+                weights: None,
+                avoid: &self.avoid,
+                allow_full: true,
+            };
             let Some(slot) = app.take_slot(&wish) else { break };
             let mut call = self.call.clone();
             call.after = self.last_event;
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -13,7 +13,7 @@
 use super::runner::RestoredJob;
 use super::takeover;
 use crate::Name;
-use crate::decide::job::Spec;
+use crate::decide::job::JobSpec;
 use crate::edge::store::{StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
 
@@ -41,7 +41,7 @@
 
 impl App {
     /// Accepts a job, at this node or at one that it forwards the job to.
-    pub async fn submit(self: &Arc<Self>, spec: Spec) -> SubmitResult {
+    pub async fn submit(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let kept = self.owned_jobs.get(&spec.id).is_some();
         let passed = if kept || self.draining() {
             ForwardOutcome::Not
@@ -61,7 +61,7 @@
     }
 
     /// Accepts a job at this node, and counts the outcome.
-    pub(super) async fn accept_here(self: &Arc<Self>, spec: Spec) -> SubmitResult {
+    pub(super) async fn accept_here(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let submitted = self.store_job(spec).await;
         self.tally.job(match submitted {
             SubmitResult::Accepted => JobStep::Accepted,
@@ -71,7 +71,7 @@
         submitted
     }
 
-    async fn store_job(self: &Arc<Self>, spec: Spec) -> SubmitResult {
+    async fn store_job(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let id = spec.id.clone();
         if self.owned_jobs.get(&id).is_some() {
             return SubmitResult::Accepted;
@@ -111,7 +111,7 @@
 
     async fn write_submission(
         self: &Arc<Self>,
-        spec: Arc<Spec>,
+        spec: Arc<JobSpec>,
         value: JobRecord,
         txn: Txn,
     ) -> SubmitResult {
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -14,7 +14,7 @@
 use super::membership::Stored;
 use super::runner::RestoredJob;
 use super::submit::unix_millis;
-use crate::decide::job::{Growth, Listing, Saved, Spec, Text};
+use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
 use crate::decide::rank;
 use crate::edge::store::{Page, StoreError, Txn, TxnEnd};
 use crate::metrics::JobStep;
@@ -172,7 +172,7 @@
 }
 
 /// Reads a job's submission, results and unfinished texts from the store.
-async fn load_job(app: &App, job: &str) -> Result<(Arc<Spec>, RestoredJob), StoreError> {
+async fn load_job(app: &App, job: &str) -> Result<(Arc<JobSpec>, RestoredJob), StoreError> {
     let spec = app.load_spec(job).await?;
     let results = app.load_results(job).await?;
     let page = app.store.range(&texts_prefix(job)).await?;
@@ -182,12 +182,15 @@
 
 /// Rebuilds the unfinished texts from all their saves in order, and returns them with the index
 /// for the next save.
-fn decode_texts(page: &Page, listed: &[Arc<Listing>]) -> (ByName<(Text, Saved)>, usize) {
-    let mut texts: ByName<(Text, Saved)> = ByName::new();
+fn decode_texts(
+    page: &Page,
+    listed: &[Arc<ItemResult>],
+) -> (ByName<(SampleText, SavedProgress)>, usize) {
+    let mut texts: ByName<(SampleText, SavedProgress)> = ByName::new();
     for item in &page.items {
         let config = bincode::config::standard();
         let decoded =
-            bincode::serde::decode_from_slice::<Vec<(Name, Growth)>, _>(&item.value, config);
+            bincode::serde::decode_from_slice::<Vec<(Name, TextDelta)>, _>(&item.value, config);
         let growths = match decoded {
             Ok((growths, _)) => growths,
             Err(e) => {
@@ -196,14 +199,14 @@
             }
         };
         for (name, growth) in &growths {
-            texts.entry(name.clone()).or_default().0.grow(growth);
+            texts.entry(name.clone()).or_default().0.apply_delta(growth);
         }
     }
     for listing in listed {
         texts.remove(&listing.id);
     }
     for (text, saved) in texts.values_mut() {
-        *saved = text.saved();
+        *saved = text.progress();
     }
     (texts, page.items.len())
 }
@@ -237,9 +240,9 @@
 impl App {
     /// Drops cached remote jobs and finished owned jobs that are past their retention.
     fn evict_expired(&self, now: Moment) {
-        self.remote_jobs.forget(now, self.settings.job_retention * 2);
+        self.remote_jobs.drop_idle(now, self.settings.job_retention * 2);
         for (job, owned) in self.owned_jobs.all() {
-            let over = owned.job.lock().complete();
+            let over = owned.job.lock().all_written();
             if over && past_retention(self, &owned.record.lock().value) {
                 self.owned_jobs.remove(&job);
             }
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use http::{HeaderMap, Method};
-use mulberrycourse::decide::job::{ItemSpec, Listing, Scorer, Spec, State};
+use mulberrycourse::decide::job::{ItemResult, ItemSpec, ItemState, JobSpec, Scorer};
 use mulberrycourse::decide::scale::Autoscale;
 use mulberrycourse::decide::usage::Windows;
 use mulberrycourse::decide::{Again, Bounds, Route, Routes};
@@ -205,7 +205,7 @@
         let ports = Ports {
             store: Arc::new(line.clone()),
             replicas: Arc::new(self.replicas.clone()),
-            notices: Arc::new(self.words.clone()),
+            schema: Arc::new(self.words.clone()),
             duties: Arc::new(self.duties.clone()),
             clock: Arc::new(self.clock.clone()),
         };
@@ -232,14 +232,14 @@
     /// Asks another node for results.
     pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
-        match self.links.ask(to, ask, Duration::from_secs(1)).await {
+        match self.links.request(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
             _ => None,
         }
     }
 
     /// Reads from a position without waiting.
-    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<Listing>> {
+    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
         match self.app().read(job, after, Duration::ZERO).await {
             ReadResult::Page { results, .. } => results,
             other => panic!("{other:?}"),
@@ -247,7 +247,7 @@
     }
 
     /// Reads until all results are there.
-    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<Listing>> {
+    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
         let reading = async {
             let mut all = Vec::new();
             while all.len() < total {
@@ -305,22 +305,22 @@
     }
 }
 
-pub(crate) fn spec(job: &str, items: &[&str]) -> Spec {
-    Spec {
+pub(crate) fn spec(job: &str, items: &[&str]) -> JobSpec {
+    JobSpec {
         id: job.into(),
         host: HOST.into(),
         path: format!("/jobs/{job}").into(),
         model: Some(MODEL.into()),
-        oldest: 1,
+        min_version: 1,
         items: items.iter().map(|id| Arc::new(item(id))).collect(),
-        wanted: None,
+        wanted_groups: None,
         organisation: None,
     }
 }
 
 /// The same, from this version on.
-pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> Spec {
-    Spec { oldest, ..spec(job, items) }
+pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
+    JobSpec { min_version: oldest, ..spec(job, items) }
 }
 
 fn item(id: &str) -> ItemSpec {
@@ -330,7 +330,7 @@
         headers: vec![("model".into(), MODEL.into())],
         body: Bytes::from(format!("body of {id}")),
         group: "g".into(),
-        length: None,
+        length_hint: None,
         scorer: Some(Scorer {
             id: format!("score-{id}").into(),
             host: HOST.into(),
@@ -363,8 +363,8 @@
 }
 
 /// Checks a result against what the replicas made.
-pub(crate) fn check(listing: &Listing, events: u64) {
-    let State::Completed { output, versions, score } = &listing.state else {
+pub(crate) fn check(listing: &ItemResult, events: u64) {
+    let ItemState::Completed { output, versions, score } = &listing.state else {
         panic!("{listing:?}");
     };
     assert_eq!(*output, text(&listing.id, events));
