--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -108,7 +108,7 @@
 }
 
 /// What follows from an attempt.
-enum AttemptOutcome {
+enum RelayStep {
     /// The client gets this response.
     Done(RelayResponse),
     /// Another attempt is made, if the route and the time allow it.
@@ -142,11 +142,9 @@
         };
         loop {
             let response = match self.attempt(&mut state).await {
-                AttemptOutcome::Done(response) => response,
-                AttemptOutcome::Failed(refusal) => {
-                    RelayResponse::Refused(state.history.judge(refusal))
-                }
-                AttemptOutcome::Retry => continue,
+                RelayStep::Done(response) => response,
+                RelayStep::Failed(refusal) => RelayResponse::Refused(state.history.judge(refusal)),
+                RelayStep::Retry => continue,
             };
             log(self, &state, &response);
             return response;
@@ -154,19 +152,16 @@
     }
 
     /// Makes one attempt at one replica.
-    async fn attempt(self: &Arc<Self>, state: &mut RequestState) -> AttemptOutcome {
+    async fn attempt(self: &Arc<Self>, state: &mut RequestState) -> RelayStep {
         let left = state.ends.saturating_sub(self.now());
         if left.is_zero() {
-            return AttemptOutcome::Failed(refused(
-                Kind::DeadlinePassed,
-                "the deadline has passed",
-            ));
+            return RelayStep::Failed(refused(Kind::DeadlinePassed, "the deadline has passed"));
         }
         if state.attempts >= state.route.attempts {
-            return AttemptOutcome::Failed(refused(Kind::RetriesSpent, "all attempts are used"));
+            return RelayStep::Failed(refused(Kind::RetriesSpent, "all attempts are used"));
         }
         let Some(service) = state.route.service(self.draw()).cloned() else {
-            return AttemptOutcome::Failed(refused(Kind::NoUpstream, "the route names no service"));
+            return RelayStep::Failed(refused(Kind::NoUpstream, "the route names no service"));
         };
         let wish = AttemptRequest {
             service: &service,
@@ -175,7 +170,7 @@
             allow_full: true,
         };
         let Some(mut slot) = self.take_slot(&wish) else {
-            return AttemptOutcome::Failed(refused(Kind::NoUpstream, "no replica accepts work"));
+            return RelayStep::Failed(refused(Kind::NoUpstream, "no replica accepts work"));
         };
         state.attempts += 1;
         let usage = self.usage.as_ref();
@@ -199,7 +194,7 @@
         };
         self.record_response_head(&slot.target.id, reply.load);
         if state.route.streaming && reply.status.is_success() {
-            return AttemptOutcome::Done(self.open_stream(state, &slot, reply));
+            return RelayStep::Done(self.open_stream(state, &slot, reply));
         }
         let left = limit.saturating_sub(self.now().saturating_sub(started_at));
         let status = reply.status;
@@ -224,11 +219,11 @@
             if state.may_repeat() && state.attempts < state.route.attempts {
                 state.history.note(Outcome::Unknown);
                 state.avoid.push(slot.target.id.clone());
-                return AttemptOutcome::Retry;
+                return RelayStep::Retry;
             }
         }
         let failures = state.failures;
-        AttemptOutcome::Done(RelayResponse::Complete { status, headers, signature, body, failures })
+        RelayStep::Done(RelayResponse::Complete { status, headers, signature, body, failures })
     }
 
     /// Starts forwarding a replica's stream to the client.
@@ -279,7 +274,7 @@
     }
 
     /// Records a failed attempt and decides whether another may follow.
-    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: Failure) -> AttemptOutcome {
+    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: Failure) -> RelayStep {
         app.tally.attempt(match failure {
             Failure::Unsent(_) => AttemptEnd::Unsent,
             Failure::NotRun(_) => AttemptEnd::NotRun,
@@ -306,13 +301,13 @@
             if self.avoid.len() < 2 * self.route.attempts.max(1) as usize {
                 self.attempts -= 1;
             }
-            return AttemptOutcome::Retry;
+            return RelayStep::Retry;
         }
         self.history.note(Outcome::Unknown);
         if self.may_repeat() {
-            return AttemptOutcome::Retry;
+            return RelayStep::Retry;
         }
-        AttemptOutcome::Failed(refused(Kind::OutcomeUnknown, "the attempt was interrupted"))
+        RelayStep::Failed(refused(Kind::OutcomeUnknown, "the attempt was interrupted"))
     }
 }
 
--- a/tests/entry/bulk.rs
+++ b/tests/entry/bulk.rs
@@ -7,7 +7,7 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use crate::world::{MODEL, Node, World, pass, until};
+use crate::world::{MODEL, Node, World, sleep_ms, wait_until};
 
 /// As many entry VMs as the fleet in the story had.
 const FLEET: u16 = 71;
@@ -33,9 +33,9 @@
 }
 
 async fn fleet(world: &World) -> Vec<Node> {
-    let nodes = world.crowd(FLEET);
-    until(|| nodes.iter().all(|n| n.app().ready())).await;
-    pass(5_000).await;
+    let nodes = world.start_crowd(FLEET);
+    wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
+    sleep_ms(5_000).await;
     world.links.limit(NARROW);
     nodes
 }
@@ -55,7 +55,7 @@
 async fn a_change_of_thousands_of_routes_is_in_force_in_time() {
     let world = World::new();
     let nodes = fleet(&world).await;
-    world.configure_beside(2, &routes(4_200));
+    world.configure_with(2, &routes(4_200));
     tokio::time::sleep(IN_FORCE).await;
     check(&world, &nodes);
 }
@@ -68,7 +68,7 @@
     let nodes = fleet(&world).await;
     let mut random = SmallRng::seed_from_u64(7_027);
     let text: String = (0..400_000).map(|_| random.random_range(' '..'\u{7ff}')).collect();
-    world.configure_beside(2, &text);
+    world.configure_with(2, &text);
     tokio::time::sleep(IN_FORCE * 3 / 2).await;
     check(&world, &nodes);
     assert_eq!(world.links.given_up(), Vec::<u64>::new());
@@ -95,7 +95,7 @@
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let begun = tokio::time::Instant::now();
     a.submit("j", &ids).await;
-    a.whole("j", ids.len()).await;
+    a.read_all("j", ids.len()).await;
     // Three turns of 664 places; a text takes 175 ms, its score 25 ms.
     let turns = 3 * 175 + 25;
     let took = begun.elapsed();
--- a/tests/entry/crowds.rs
+++ b/tests/entry/crowds.rs
@@ -3,7 +3,7 @@
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
-use crate::world::{Node, World, charged, pass, until};
+use crate::world::{Node, World, charged_calls, sleep_ms, wait_until};
 
 /// As many entry VMs as the largest deployment has.
 const CROWD: u16 = 250;
@@ -13,9 +13,9 @@
 }
 
 async fn ready(world: &World) -> Vec<Node> {
-    let nodes = world.crowd(CROWD);
-    until(|| nodes.iter().all(|n| n.app().ready())).await;
-    pass(5_000).await;
+    let nodes = world.start_crowd(CROWD);
+    wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
+    sleep_ms(5_000).await;
     nodes
 }
 
@@ -24,16 +24,16 @@
 #[tokio::test(start_paused = true)]
 async fn a_start_of_many_nodes_costs_each_little_more_than_its_entry() {
     let world = World::new();
-    let nodes = world.crowd(CROWD);
-    until(|| nodes.iter().all(|n| n.app().ready())).await;
-    let calls = charged(&nodes);
+    let nodes = world.start_crowd(CROWD);
+    wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
+    let calls = charged_calls(&nodes);
     assert!(calls <= 3 * u64::from(CROWD), "{calls} calls until all were ready");
-    pass(3_000).await;
+    sleep_ms(3_000).await;
     world.configure(2);
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     let late = nodes.iter().filter(|n| n.app().routes().unwrap().version != 2).count();
     assert_eq!(late, 0);
-    let calls = charged(&nodes);
+    let calls = charged_calls(&nodes);
     assert!(calls <= 4 * u64::from(CROWD), "{calls} calls in the first seconds");
 }
 
@@ -41,12 +41,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_start_without_the_nodes_of_the_settings_is_no_longer_than_a_second() {
     let world = World::new();
-    let mut nodes = world.crowd(12);
+    let mut nodes = world.start_crowd(12);
     nodes.drain(..3);
     for i in 0..3 {
-        world.links.set(World::place(i), Link::Silent);
+        world.links.set(World::crowd_address(i), Link::Silent);
     }
-    pass(1_500).await;
+    sleep_ms(1_500).await;
     assert!(nodes.iter().all(|n| n.app().ready()));
 }
 
@@ -61,15 +61,15 @@
         let world = World::new();
         let nodes = ready(&world).await;
         world.kv.lapse();
-        pass(20).await;
+        sleep_ms(20).await;
         fail(&nodes, Some(away));
-        pass(5_000).await;
+        sleep_ms(5_000).await;
         let least = nodes.iter().map(|n| n.app().client_addresses("z").len()).min();
         assert_eq!(least, Some(64), "{away:?}: addresses that a node tells");
-        let before = charged(&nodes);
+        let before = charged_calls(&nodes);
         fail(&nodes, None);
-        pass(5_000).await;
-        let after = charged(&nodes) - before;
+        sleep_ms(5_000).await;
+        let after = charged_calls(&nodes) - before;
         assert!(after <= 5 * u64::from(CROWD), "{away:?}: {after} calls after the outage");
         assert!(nodes.iter().all(|n| n.app().ready()));
     }
@@ -86,17 +86,17 @@
             world.replicas.add("engines", &format!("x{i}"), &["coach"]);
         }
         let nodes = ready(&world).await;
-        let before = charged(&nodes);
+        let before = charged_calls(&nodes);
         fail(&nodes, Some(away));
         for i in 0..60 {
             world.words.unlist(&world.kv, &format!("x{i}"));
         }
         world.kv.lapse();
-        pass(5_000).await;
-        let outage = charged(&nodes) - before;
+        sleep_ms(5_000).await;
+        let outage = charged_calls(&nodes) - before;
         fail(&nodes, None);
-        pass(5_000).await;
-        let after = charged(&nodes) - before - outage;
+        sleep_ms(5_000).await;
+        let after = charged_calls(&nodes) - before - outage;
         assert!(outage <= 2 * u64::from(CROWD), "{away:?}: {outage} calls in the outage");
         assert!(after <= 5 * u64::from(CROWD), "{away:?}: {after} calls after the outage");
         assert!(nodes.iter().all(|n| n.app().ready()));
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -5,7 +5,7 @@
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
-use crate::world::{Node, World, calls, pass, refusals, used};
+use crate::world::{Node, World, answered_calls, plain_replicas_used, refused_calls, sleep_ms};
 
 /// More nodes than watch for themselves.
 const MANY: u8 = 20;
@@ -13,9 +13,11 @@
 async fn many(world: &World) -> Vec<Node> {
     let mut nodes = Vec::new();
     for letter in b'a'..b'a' + MANY {
-        nodes.push(world.linked_that_drains(&char::from(letter).to_string(), drain()).await);
+        nodes.push(
+            world.linked_node_with_drain_time(&char::from(letter).to_string(), drain()).await,
+        );
     }
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     nodes
 }
 
@@ -24,7 +26,7 @@
 }
 
 fn watches(nodes: &[Node]) -> Vec<u64> {
-    nodes.iter().map(|node| calls(node, "Watch")).collect()
+    nodes.iter().map(|node| answered_calls(node, "Watch")).collect()
 }
 
 /// Those that watch for others: they have watched most.
@@ -32,10 +34,10 @@
     let before = watches(nodes);
     for turn in 0..40 {
         world.replicas.list("plain", "p2", turn % 2 == 0);
-        pass(250).await;
+        sleep_ms(250).await;
     }
     world.replicas.list("plain", "p2", false);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let after = watches(nodes);
     (0..nodes.len()).filter(|i| after[*i] - before[*i] > 5).collect()
 }
@@ -53,11 +55,11 @@
     let world = World::new();
     let nodes = many(&world).await;
     world.replicas.list("plain", "p2", false);
-    pass(50).await;
+    sleep_ms(50).await;
     world.replicas.list("plain", "p1", true);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     for node in &nodes {
-        let used = used(&world, node, "t").await;
+        let used = plain_replicas_used(&world, node, "t").await;
         assert!(used.iter().all(|r| r == "p2"), "{}: {used:?}", node.app().settings.name);
     }
 }
@@ -87,12 +89,12 @@
             }
         }
         world.replicas.list("plain", "p1", true);
-        pass(2_800).await;
+        sleep_ms(2_800).await;
         for (i, node) in nodes.iter().enumerate() {
             if fate == "turned away" && watchers.contains(&i) {
                 continue;
             }
-            let used = used(&world, node, "t").await;
+            let used = plain_replicas_used(&world, node, "t").await;
             assert!(used.iter().all(|r| r == "p2"), "{fate}: {used:?}");
         }
     }
@@ -105,9 +107,9 @@
     let nodes = many(&world).await;
     world.replicas.list("plain", "p1", true);
     world.kv.compact();
-    pass(2_500).await;
+    sleep_ms(2_500).await;
     for node in &nodes {
-        let used = used(&world, node, "t").await;
+        let used = plain_replicas_used(&world, node, "t").await;
         assert!(used.iter().all(|r| r == "p2"), "{used:?}");
     }
 }
@@ -118,12 +120,12 @@
 async fn what_was_missed_is_heard_from_the_watchers() {
     let world = World::new();
     let nodes = many(&world).await;
-    let ranges = |nodes: &[Node]| nodes.iter().map(|n| calls(n, "Range")).sum::<u64>();
+    let ranges = |nodes: &[Node]| nodes.iter().map(|n| answered_calls(n, "Range")).sum::<u64>();
     let before = ranges(&nodes);
     for version in 2..6 {
         world.configure(version);
         world.kv.compact();
-        pass(3_000).await;
+        sleep_ms(3_000).await;
     }
     for node in &nodes {
         assert_eq!(node.app().routes().unwrap().version, 5);
@@ -137,7 +139,7 @@
     let world = World::new();
     let nodes = many(&world).await;
     world.configure(7);
-    pass(500).await;
+    sleep_ms(500).await;
     for node in &nodes {
         assert_eq!(node.app().routes().unwrap().version, 7, "{}", node.app().settings.name);
     }
@@ -148,20 +150,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_starts_while_the_store_is_away_serves_from_what_others_know() {
     let world = World::new();
-    let seed = world.linked("a").await;
-    pass(1_000).await;
+    let seed = world.linked_node("a").await;
+    sleep_ms(1_000).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
     seed.line.fail(away);
-    pass(4_000).await;
-    let begun = world.begin_linked("b", &seed, away);
-    pass(1_000).await;
+    sleep_ms(4_000).await;
+    let begun = world.start_linked("b", &seed, away);
+    sleep_ms(1_000).await;
     assert!(begun.app().routes_may_be_stale(), "a route that is not there may be new");
     assert!(!begun.app().ready(), "no client is sent here before the store has listed it");
-    assert_eq!(used(&world, &begun, "t").await.len(), 6);
+    assert_eq!(plain_replicas_used(&world, &begun, "t").await.len(), 6);
     seed.line.fail(Faults::default());
     begun.line.fail(Faults::default());
     world.configure(9);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     assert!(!begun.app().routes_may_be_stale());
     assert!(begun.app().ready());
     assert_eq!(begun.app().routes().unwrap().version, 9);
@@ -174,16 +176,16 @@
     let world = World::new();
     let nodes = many(&world).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
-    let refused = |nodes: &[Node]| nodes.iter().map(refusals).sum::<u64>();
+    let refused = |nodes: &[Node]| nodes.iter().map(refused_calls).sum::<u64>();
     nodes.iter().for_each(|n| n.line.fail(away));
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let before = refused(&nodes);
-    pass(4_000).await;
+    sleep_ms(4_000).await;
     let looks = refused(&nodes) - before;
     assert!(looks <= 100, "{looks} calls in four seconds of an outage");
     nodes.iter().for_each(|n| n.line.fail(Faults::default()));
     world.configure(9);
-    pass(600).await;
+    sleep_ms(600).await;
     let late = nodes.iter().filter(|n| n.app().routes().unwrap().version != 9).count();
     assert_eq!(late, 0);
 }
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -6,7 +6,7 @@
 use standins::kv::{Away, Faults};
 use standins::replicas::Mood;
 
-use crate::world::{World, check, pass, spec, until};
+use crate::world::{World, assert_completed, job_spec, sleep_ms, wait_until};
 
 const LONG: u64 = 60;
 
@@ -15,10 +15,10 @@
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     assert_eq!(a.submit("j", &["i1", "i2", "i3"]).await, SubmitResult::Accepted);
-    let at_a = a.whole("j", 3).await;
-    let at_b = b.whole("j", 3).await;
+    let at_a = a.read_all("j", 3).await;
+    let at_b = b.read_all("j", 3).await;
     assert_eq!(at_a, at_b);
-    at_a.iter().for_each(|listing| check(listing, 5));
+    at_a.iter().for_each(|listing| assert_completed(listing, 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -27,7 +27,7 @@
     let (a, b) = (world.node("a").await, world.node("b").await);
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert_eq!(b.submit("j", &["i1"]).await, SubmitResult::Accepted);
-    a.whole("j", 1).await;
+    a.read_all("j", 1).await;
     let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(texts, 1);
 }
@@ -38,7 +38,7 @@
     let a = world.node("a").await;
     a.line.fail(Faults { lose: 1, ..Faults::default() });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
-    a.whole("j", 1).await.iter().for_each(|listing| check(listing, 5));
+    a.read_all("j", 1).await.iter().for_each(|listing| assert_completed(listing, 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -48,7 +48,7 @@
     a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Refused("store_away".into()));
     a.line.fail(Faults::default());
-    pass(20_000).await;
+    sleep_ms(20_000).await;
     assert!(world.replicas.ran().is_empty());
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
 }
@@ -60,7 +60,7 @@
     a.line.fail(Faults { lose: 100, late: Duration::from_secs(4), ..Faults::default() });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Unknown);
     a.line.fail(Faults::default());
-    a.whole("j", 1).await.iter().for_each(|listing| check(listing, 5));
+    a.read_all("j", 1).await.iter().for_each(|listing| assert_completed(listing, 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -69,10 +69,10 @@
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i1", LONG);
     a.submit("j", &["i1", "i2"]).await;
-    pass(1_500).await;
+    sleep_ms(1_500).await;
     drop(a);
-    let whole = b.whole("j", 2).await;
-    whole.iter().for_each(|l| check(l, if &*l.id == "i1" { LONG } else { 5 }));
+    let whole = b.read_all("j", 2).await;
+    whole.iter().for_each(|l| assert_completed(l, if &*l.id == "i1" { LONG } else { 5 }));
     let ran = world.replicas.ran();
     let again = ran.iter().filter(|r| &*r.id == "i1").nth(1).unwrap();
     assert!(again.after.is_some_and(|after| after > 10), "{again:?}");
@@ -84,9 +84,9 @@
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i1", LONG);
     a.submit("j", &["i1"]).await;
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     a.entry.drain().await;
-    b.whole("j", 1).await.iter().for_each(|l| check(l, LONG));
+    b.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, LONG));
     let ran = world.replicas.ran();
     let texts: Vec<_> = ran.iter().filter(|r| &*r.id == "i1").collect();
     assert_eq!(texts.len(), 2);
@@ -102,20 +102,20 @@
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i2", LONG);
     a.submit("j", &["i1", "i2"]).await;
-    until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    let shown = b.page("j", 0).await;
+    wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
+    let shown = b.read_page("j", 0).await;
     assert_eq!(shown.len(), 1);
     // It comes while the new home has the job, but has not read it yet.
     let again = async {
         let key = "mulberry/home/j";
         while !String::from_utf8_lossy(&world.kv.items(key)[0].value).contains("\"b.") {
-            pass(1).await;
+            sleep_ms(1).await;
         }
-        b.app().submit(spec("j", &["i1", "i2"])).await
+        b.app().submit(job_spec("j", &["i1", "i2"])).await
     };
     let ((), again) = tokio::join!(a.entry.drain(), again);
     assert_eq!(again, SubmitResult::Accepted);
-    let whole = b.whole("j", 2).await;
+    let whole = b.read_all("j", 2).await;
     assert_eq!(whole[0], shown[0]);
     let once = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(once, 1);
@@ -128,7 +128,7 @@
     assert_eq!(a.submit("j", &["i1", "i2"]).await, SubmitResult::Accepted);
     drop((a, b));
     let c = world.node("a").await;
-    c.whole("j", 2).await.iter().for_each(|l| check(l, 5));
+    c.read_all("j", 2).await.iter().for_each(|l| assert_completed(l, 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -139,11 +139,11 @@
         world.replicas.length(id, 500);
     }
     a.submit("j", &["i1", "i2", "i3"]).await;
-    pass(500).await;
+    sleep_ms(500).await;
     assert_eq!(b.app().end_job("j").await, Lookup::Found(()));
-    pass(300).await;
+    sleep_ms(300).await;
     let ran = world.replicas.ran().len();
-    pass(10_000).await;
+    sleep_ms(10_000).await;
     assert_eq!(world.replicas.ran().len(), ran);
     assert_eq!(b.app().end_job("j").await, Lookup::Found(()));
     assert_eq!(a.app().end_job("none").await, Lookup::Unknown);
@@ -158,7 +158,7 @@
     let items: Vec<String> = (0..12).map(|i| format!("i{i}")).collect();
     let names: Vec<&str> = items.iter().map(String::as_str).collect();
     a.submit("j", &names).await;
-    a.whole("j", 12).await.iter().for_each(|l| check(l, 5));
+    a.read_all("j", 12).await.iter().for_each(|l| assert_completed(l, 5));
 }
 
 #[tokio::test(start_paused = true)]
@@ -166,7 +166,7 @@
     let world = World::new();
     let a = world.node("a").await;
     a.submit("warm", &["w1", "w2", "w3", "w4"]).await;
-    a.whole("warm", 4).await;
+    a.read_all("warm", 4).await;
     world.replicas.mood("e1", Mood::Slow(4));
     world.replicas.mood("e2", Mood::Slow(4));
     for id in ["i1", "i2", "i3"] {
@@ -174,7 +174,7 @@
     }
     let begun = tokio::time::Instant::now();
     a.submit("j", &["i1", "i2", "i3"]).await;
-    a.whole("j", 3).await.iter().for_each(|l| check(l, LONG));
+    a.read_all("j", 3).await.iter().for_each(|l| assert_completed(l, LONG));
     // A fast replica needs 2.1 s; a slow one alone would need 8.4 s.
     let took = begun.elapsed();
     assert!(took < Duration::from_millis(4_500), "{took:?}");
@@ -188,7 +188,7 @@
         world.replicas.mood(id, Mood::Fails);
     }
     a.submit("j", &["i1"]).await;
-    let whole = a.whole("j", 1).await;
+    let whole = a.read_all("j", 1).await;
     assert_eq!(whole[0].state, mulberrycourse::decide::job::ItemState::Dead);
     assert_eq!(world.replicas.ran().iter().filter(|r| &*r.id == "i1").count(), 3);
 }
@@ -198,18 +198,18 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_done_and_old_leaves_nothing_in_the_store() {
     let world = World::new();
-    let a = world.node_that_keeps("a", Duration::ZERO).await;
+    let a = world.node_with_job_retention("a", Duration::ZERO).await;
     world.replicas.length("i2", 900);
     a.submit("j", &["i1"]).await;
     a.submit("k", &["i2"]).await;
-    a.whole("j", 1).await;
-    pass(25_000).await;
+    a.read_all("j", 1).await;
+    sleep_ms(25_000).await;
     assert!(world.kv.items("mulberry/job/j/").is_empty());
     assert!(world.kv.items("mulberry/home/j").is_empty());
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
     // What is still made stays.
     assert!(!world.kv.items("mulberry/job/k/").is_empty());
-    a.whole("k", 1).await.iter().for_each(|l| check(l, 900));
+    a.read_all("k", 1).await.iter().for_each(|l| assert_completed(l, 900));
 }
 
 #[tokio::test(start_paused = true)]
@@ -218,9 +218,9 @@
     let a = world.node("a").await;
     a.submit("j", &["i1", "i2"]).await;
     a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
-    pass(6_000).await;
+    sleep_ms(6_000).await;
     a.line.fail(Faults::default());
-    a.whole("j", 2).await.iter().for_each(|l| check(l, 5));
+    a.read_all("j", 2).await.iter().for_each(|l| assert_completed(l, 5));
 }
 
 /// Guards: what was made in an outage of the store came to one value that was too large for
@@ -229,15 +229,15 @@
 async fn what_was_made_in_an_outage_is_listed_in_parts() {
     let world = World::new();
     world.kv.most(16 << 10);
-    let a = world.node_that_writes("a", 16 << 10).await;
+    let a = world.node_with_value_bytes("a", 16 << 10).await;
     let items: Vec<String> = (0..60).map(|i| format!("i{i:02}")).collect();
     let items: Vec<&str> = items.iter().map(|i| &**i).collect();
     items.iter().for_each(|item| world.replicas.length(item, LONG));
     a.submit("j", &items).await;
     a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
-    pass(15_000).await;
+    sleep_ms(15_000).await;
     a.line.fail(Faults::default());
-    a.whole("j", 60).await.iter().for_each(|l| check(l, LONG));
+    a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, LONG));
     assert!(world.kv.items("mulberry/job/j/results").len() > 1);
 }
 
@@ -249,15 +249,15 @@
         let world = World::new();
         let a = world.node("a").await;
         a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
-        pass(4_000 - before).await;
+        sleep_ms(4_000 - before).await;
         let submitting = a.submit("j", &["i1"]);
         let returning = async {
-            pass(before).await;
+            sleep_ms(before).await;
             a.line.fail(Faults::default());
         };
         let (submitted, ()) = tokio::join!(submitting, returning);
         assert_eq!(submitted, SubmitResult::Accepted, "{before} ms before the return");
-        a.whole("j", 1).await;
+        a.read_all("j", 1).await;
     }
 }
 
@@ -270,13 +270,13 @@
         let (a, b) = (world.node("a").await, world.node("b").await);
         world.replicas.length("i3", LONG);
         a.submit("j", &["i1", "i2", "i3"]).await;
-        pass(after).await;
+        sleep_ms(after).await;
         a.entry.drain().await;
-        let whole = b.whole("j", 3).await;
+        let whole = b.read_all("j", 3).await;
         let mut ids: Vec<&str> = whole.iter().map(|l| &*l.id).collect();
         ids.sort_unstable();
         assert_eq!(ids, ["i1", "i2", "i3"], "after {after} ms");
-        assert_eq!(a.whole("j", 3).await, whole, "after {after} ms");
+        assert_eq!(a.read_all("j", 3).await, whole, "after {after} ms");
     }
 }
 
@@ -288,9 +288,9 @@
         let world = World::new();
         let a = world.node("a").await;
         a.submit("j", &["i1", "i2"]).await;
-        pass(300).await;
+        sleep_ms(300).await;
         a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
-        pass(after).await;
+        sleep_ms(after).await;
         let begun = tokio::time::Instant::now();
         a.entry.drain().await;
         let left = a.app().settings.stop_grace.saturating_sub(begun.elapsed());
@@ -307,9 +307,9 @@
         let a = world.node("a").await;
         slow.iter().for_each(|id| world.replicas.mood(id, Mood::Late));
         a.submit("j", &["i1"]).await;
-        pass(4_000).await;
-        assert!(a.page("j", 0).await.is_empty(), "{slow:?}");
+        sleep_ms(4_000).await;
+        assert!(a.read_page("j", 0).await.is_empty(), "{slow:?}");
         slow.iter().for_each(|id| world.replicas.mood(id, Mood::Good));
-        a.whole("j", 1).await.iter().for_each(|l| check(l, 5));
+        a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 5));
     }
 }
--- a/tests/entry/orders.rs
+++ b/tests/entry/orders.rs
@@ -5,7 +5,7 @@
 
 use standins::kv::{Away, Faults};
 
-use crate::world::{MODEL, World, pass, until};
+use crate::world::{MODEL, World, sleep_ms, wait_until};
 
 /// How long orders of two holders must lie apart by default.
 const TURN: Duration = Duration::from_millis(3_000);
@@ -19,9 +19,9 @@
     let world = World::new();
     let _a = world.node("a").await;
     let _b = world.node("b").await;
-    pass(4_000).await;
-    world.name(2);
-    until(|| moved(&world, 2)).await;
+    sleep_ms(4_000).await;
+    world.name_version(2);
+    wait_until(|| moved(&world, 2)).await;
     let ordered = world.replicas.ordered();
     assert_eq!(ordered.iter().filter(|o| o.accepted).count(), 3);
     assert!(ordered.iter().all(|o| o.holder == ordered[0].holder && o.fence == ordered[0].fence));
@@ -34,13 +34,13 @@
     for name in ["a", "b"] {
         nodes.insert(name, world.node(name).await);
     }
-    pass(4_000).await;
-    world.name(2);
-    until(|| moved(&world, 2)).await;
+    sleep_ms(4_000).await;
+    world.name_version(2);
+    wait_until(|| moved(&world, 2)).await;
     let last = world.replicas.ordered().last().unwrap().clone();
     nodes.remove(&*last.holder);
-    world.name(3);
-    until(|| moved(&world, 3)).await;
+    world.name_version(3);
+    wait_until(|| moved(&world, 3)).await;
     let ordered = world.replicas.ordered();
     let first = ordered.iter().find(|o| o.version == 3).unwrap();
     assert_ne!(first.holder, last.holder);
@@ -52,18 +52,18 @@
 async fn a_holder_that_is_cut_off_gives_no_order_once_another_may() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await];
-    pass(4_000).await;
-    world.name(2);
-    until(|| moved(&world, 2)).await;
+    sleep_ms(4_000).await;
+    world.name_version(2);
+    wait_until(|| moved(&world, 2)).await;
     let holder = world.replicas.ordered()[0].holder.clone();
     let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
     old.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
-    world.name(3);
-    until(|| moved(&world, 3)).await;
+    world.name_version(3);
+    wait_until(|| moved(&world, 3)).await;
     old.line.fail(Faults::default());
-    pass(4_000).await;
-    world.name(4);
-    until(|| moved(&world, 4)).await;
+    sleep_ms(4_000).await;
+    world.name_version(4);
+    wait_until(|| moved(&world, 4)).await;
     let ordered = world.replicas.ordered();
     for pair in ordered.windows(2) {
         assert!(pair[1].fence >= pair[0].fence);
@@ -77,13 +77,13 @@
 async fn an_order_that_is_carried_out_late_is_accepted_once() {
     let world = World::new();
     let _a = world.node("a").await;
-    pass(4_000).await;
+    sleep_ms(4_000).await;
     world.replicas.late("e1", Some(Duration::from_secs(5)));
-    world.name(2);
-    pass(4_000).await;
+    world.name_version(2);
+    sleep_ms(4_000).await;
     world.replicas.late("e1", None);
-    until(|| moved(&world, 2)).await;
-    pass(15_000).await;
+    wait_until(|| moved(&world, 2)).await;
+    sleep_ms(15_000).await;
     let ordered = world.replicas.ordered();
     let accepted = ordered.iter().filter(|o| &*o.replica == "e1" && o.accepted);
     assert_eq!(accepted.count(), 1);
@@ -99,13 +99,13 @@
         for name in ["a", "b"] {
             nodes.insert(name, world.node(name).await);
         }
-        pass(4_000 + after).await;
-        world.name(2);
-        until(|| !world.replicas.ordered().is_empty()).await;
+        sleep_ms(4_000 + after).await;
+        world.name_version(2);
+        wait_until(|| !world.replicas.ordered().is_empty()).await;
         let holder = world.replicas.ordered()[0].holder.clone();
         let died = tokio::time::Instant::now();
         nodes.remove(&*holder);
-        until(|| moved(&world, 2)).await;
+        wait_until(|| moved(&world, 2)).await;
         let ordered = world.replicas.ordered();
         let last = ordered.iter().rfind(|o| o.holder == holder).unwrap();
         let first = ordered.iter().find(|o| o.holder != holder).unwrap();
@@ -119,15 +119,15 @@
     for after in [0, 300, 700, 1_100] {
         let world = World::new();
         let nodes = [world.node("a").await, world.node("b").await];
-        pass(4_000).await;
-        world.name(2);
-        until(|| !world.replicas.ordered().is_empty()).await;
-        pass(after).await;
+        sleep_ms(4_000).await;
+        world.name_version(2);
+        wait_until(|| !world.replicas.ordered().is_empty()).await;
+        sleep_ms(after).await;
         let holder = world.replicas.ordered()[0].holder.clone();
         let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
         old.entry.drain().await;
-        world.name(3);
-        until(|| moved(&world, 3)).await;
+        world.name_version(3);
+        wait_until(|| moved(&world, 3)).await;
         let ordered = world.replicas.ordered();
         for pair in ordered.windows(2) {
             let apart = pair[1].at - pair[0].at;
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -5,11 +5,11 @@
 use mulberrycourse::error::{Kind, Run};
 use standins::replicas::{Mood, ReplicaFleet};
 
-use crate::world::{HOST, Node, World, ask, pass};
+use crate::world::{HOST, Node, World, relay_request, sleep_ms};
 
 async fn given(node: &Node, id: &str, path: &str) -> RelayResponse {
     let route = node.app().routes().unwrap().find(HOST, path).cloned().unwrap();
-    node.app().relay(&route, ask(id, path)).await
+    node.app().relay(&route, relay_request(id, path)).await
 }
 
 fn runs(world: &World, id: &str) -> usize {
@@ -43,7 +43,7 @@
     }
     let RelayResponse::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, Run::Unknown));
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     assert_eq!(runs(&world, "r1"), 1);
 }
 
@@ -118,7 +118,7 @@
     }
     let route = node.app().routes().unwrap().find(HOST, "/text/x").cloned().unwrap();
     // The route keeps nobody waiting for over 4 s; its client waits longer for the whole.
-    let mut ask = ask("s1", "/text/x");
+    let mut ask = relay_request("s1", "/text/x");
     ask.deadline = Some(std::time::Duration::from_secs(9));
     let RelayResponse::Stream { body, .. } = node.app().relay(&route, ask).await else { panic!() };
     body.0.for_each(|piece| async { drop(piece.unwrap()) }).await;
@@ -152,7 +152,7 @@
     let mut pieces = body.0;
     pieces.next().await.unwrap().unwrap();
     drop(pieces);
-    pass(200).await;
+    sleep_ms(200).await;
     let ran = world.replicas.ran();
     assert_eq!(ran.len(), 1);
     assert!(ran[0].cut);
@@ -163,7 +163,7 @@
     let world = World::new();
     let node = world.node("a").await;
     world.replicas.list("plain", "p1", true);
-    pass(50).await;
+    sleep_ms(50).await;
     for i in 0..10 {
         given(&node, &format!("r{i}"), "/plain/x").await;
     }
--- a/tests/entry/scale.rs
+++ b/tests/entry/scale.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::world::{Node, World, pass, until};
+use crate::world::{Node, World, sleep_ms, wait_until};
 
 /// The most replicas that the routes of these worlds allow.
 const MOST: u32 = 9;
@@ -27,18 +27,18 @@
     let mut took = Vec::new();
     for scaled in [false, true] {
         let world = if scaled { World::new().with_duties() } else { World::new() };
-        let a = world.linked("a").await;
-        pass(4_000).await;
+        let a = world.linked_node("a").await;
+        sleep_ms(4_000).await;
         let begun = world.clock.truth();
         let total = submit_many(&world, &a).await;
         if scaled {
-            until(|| desired(&world) == [MOST]).await;
-            pass(4_000).await;
+            wait_until(|| desired(&world) == [MOST]).await;
+            sleep_ms(4_000).await;
             for i in 4..=MOST {
                 world.replicas.add("engines", &format!("e{i}"), &["coach"]);
             }
         }
-        a.whole("j", total).await;
+        a.read_all("j", total).await;
         took.push(world.clock.truth() - begun);
         assert_eq!(desired(&world), if scaled { vec![MOST] } else { vec![] });
     }
@@ -48,13 +48,13 @@
 #[tokio::test(start_paused = true)]
 async fn few_texts_order_nothing() {
     let world = World::new().with_duties();
-    let a = world.linked("a").await;
-    pass(4_000).await;
+    let a = world.linked_node("a").await;
+    sleep_ms(4_000).await;
     for step in 0..8 {
         let ids: Vec<String> = (0..24).map(|i| format!("{step}-{i}")).collect();
         let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
         a.submit(&format!("j{step}"), &ids).await;
-        pass(2_000).await;
+        sleep_ms(2_000).await;
     }
     assert_eq!(desired(&world), Vec::<u32>::new());
 }
@@ -65,14 +65,14 @@
 async fn a_successor_sends_what_was_written() {
     for cut in [4_000, 5_000, 5_010, 5_020, 6_000, 7_500] {
         let world = World::new().with_duties();
-        let mut nodes = vec![world.linked("a").await, world.linked("b").await];
-        pass(5_000).await;
-        let holder = world.holder(&nodes);
+        let mut nodes = vec![world.linked_node("a").await, world.linked_node("b").await];
+        sleep_ms(5_000).await;
+        let holder = world.leader(&nodes);
         submit_many(&world, &nodes[1 - holder]).await;
-        pass(cut).await;
+        sleep_ms(cut).await;
         drop(nodes.remove(holder));
-        until(|| desired(&world).last() == Some(&MOST)).await;
-        pass(8_000).await;
+        wait_until(|| desired(&world).last() == Some(&MOST)).await;
+        sleep_ms(8_000).await;
         let ordered = world.duties.ordered();
         let fences: Vec<u64> = ordered.iter().map(|(fence, _)| *fence).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
@@ -84,11 +84,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_refused_order_is_repeated_after_a_pause() {
     let world = World::new().with_duties();
-    let a = world.linked("a").await;
-    pass(4_000).await;
+    let a = world.linked_node("a").await;
+    sleep_ms(4_000).await;
     world.duties.refuse(2);
     let begun = world.clock.truth();
     submit_many(&world, &a).await;
-    until(|| desired(&world).contains(&MOST)).await;
+    wait_until(|| desired(&world).contains(&MOST)).await;
     assert!(world.clock.truth() - begun >= Duration::from_secs(6));
 }
--- a/tests/entry/shares.rs
+++ b/tests/entry/shares.rs
@@ -4,7 +4,7 @@
 
 use mulberrycourse::decide::job::JobSpec;
 
-use crate::world::{World, spec};
+use crate::world::{World, job_spec};
 
 /// A greedy organisation hands in ten steps, then another hands in one. In the order in which
 /// they came it was whole after all of them.
@@ -15,7 +15,7 @@
     let submit = async |owner: &str, job: &str| {
         let ids: Vec<String> = (0..40).map(|i| format!("{job}-{i}")).collect();
         let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-        let spec = JobSpec { organisation: Some(owner.into()), ..spec(job, &ids) };
+        let spec = JobSpec { organisation: Some(owner.into()), ..job_spec(job, &ids) };
         a.app().submit(spec).await;
     };
     for i in 0..10 {
@@ -24,7 +24,7 @@
     submit("small", "s").await;
     let begun = tokio::time::Instant::now();
     let took = async |job: String| {
-        a.whole(&job, 40).await;
+        a.read_all(&job, 40).await;
         begun.elapsed()
     };
     let greedy = futures_util::future::join_all((0..10).map(|i| took(format!("g{i}"))));
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -10,7 +10,7 @@
 use standins::replicas::Mood;
 
 use crate::links::Link;
-use crate::world::{Node, World, ask, pass, until};
+use crate::world::{Node, World, relay_request, sleep_ms, wait_until};
 
 /// The window of the nodes' settings here.
 const WINDOW: Duration = Duration::from_secs(5);
@@ -19,7 +19,8 @@
 async fn call(node: &Node, organisation: &str, id: &str) -> bool {
     let routes = node.app().routes().unwrap();
     let route = routes.find("host.example", "/plain/x").unwrap();
-    let ask = RelayRequest { organisation: Some(organisation.into()), ..ask(id, "/plain/x") };
+    let ask =
+        RelayRequest { organisation: Some(organisation.into()), ..relay_request(id, "/plain/x") };
     matches!(node.app().relay(route, ask).await, RelayResponse::Complete { status, .. } if status.is_success())
 }
 
@@ -42,16 +43,16 @@
 /// Waits until every window up to the present one was reported.
 async fn settle(world: &World) {
     let window = (world.clock.truth().as_secs() / WINDOW.as_secs()) + 1;
-    until(|| reports(world).contains_key(&window)).await;
+    wait_until(|| reports(world).contains_key(&window)).await;
 }
 
 /// The nodes a, b and c, and which of them has the duty.
 async fn three(world: &World) -> (Vec<Node>, usize) {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
-        nodes.push(world.linked(name).await);
+        nodes.push(world.linked_node(name).await);
     }
-    until(|| !world.duties.reported().is_empty()).await;
+    wait_until(|| !world.duties.reported().is_empty()).await;
     let holder = world.duties.reported()[0].term.holder.clone();
     let index = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
     (nodes, index)
@@ -63,7 +64,7 @@
     let (nodes, _) = three(&world).await;
     for i in 0..40 {
         assert!(call(&nodes[i % 3], ["x", "y"][i % 2], &format!("r{i}")).await);
-        pass(211).await;
+        sleep_ms(211).await;
     }
     settle(&world).await;
     let mut totals = Counts::new();
@@ -102,7 +103,7 @@
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
     // Its counts are told within some hundred milliseconds, not at the window's end.
-    pass(300).await;
+    sleep_ms(300).await;
     drop(nodes.remove(other));
     settle(&world).await;
     assert_eq!(sum(&world), 5);
@@ -119,7 +120,7 @@
             call(&nodes[i % 3], "x", &format!("r{i}")).await;
         }
         let into = world.clock.truth().as_millis() as u64 % 5_000;
-        pass(5_000 - into + 3_000 + cut).await;
+        sleep_ms(5_000 - into + 3_000 + cut).await;
         world.duties.lose(u32::from(cut % 2 == 0));
         drop(nodes.remove(holder));
         settle(&world).await;
@@ -156,7 +157,7 @@
     for node in &nodes {
         node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
     }
-    pass(6_000).await;
+    sleep_ms(6_000).await;
     for node in &nodes {
         node.line.fail(Faults::default());
     }
@@ -177,7 +178,7 @@
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
     let into = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - into + 3_000).await;
+    sleep_ms(5_000 - into + 3_000).await;
     for to in [holder, third] {
         nodes[to].link(Link::Open);
     }
@@ -193,11 +194,11 @@
     let (mut nodes, _) = three(&world).await;
     world.clock = true_clock.beside();
     let clock = world.clock.clone();
-    nodes.push(world.linked("d").await);
+    nodes.push(world.linked_node("d").await);
     clock.step(Duration::from_secs(7));
     world.clock = true_clock;
     let into = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - into + 100).await;
+    sleep_ms(5_000 - into + 100).await;
     let window = world.clock.truth().as_secs() / 5;
     for i in 0..4 {
         assert!(call(&nodes[3], "x", &format!("r{i}")).await);
@@ -218,14 +219,14 @@
     let truth = std::mem::replace(&mut world.clock, wrong);
     // Until one of those with the wrong clock is next in rank.
     for name in ["d", "e"] {
-        nodes.push(world.linked(name).await);
+        nodes.push(world.linked_node(name).await);
     }
     world.clock = truth;
-    pass(6_000).await;
+    sleep_ms(6_000).await;
     drop(nodes.remove(holder));
     for i in 0..60 {
         call(&nodes[i % 4], "x", &format!("r{i}")).await;
-        pass(211).await;
+        sleep_ms(211).await;
     }
     settle(&world).await;
     assert_eq!(sum(&world), 60);
@@ -243,13 +244,13 @@
 #[tokio::test(start_paused = true)]
 async fn nodes_without_counts_tell_nothing() {
     let world = World::new().with_usage(WINDOW);
-    let nodes = world.crowd(60);
-    until(|| nodes.iter().all(|n| n.app().ready())).await;
+    let nodes = world.start_crowd(60);
+    wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
     let told = || {
         let asked = world.links.asked();
         asked.iter().filter(|ask| matches!(ask, PeerRequest::Usage { .. })).count()
     };
-    pass(20_000).await;
+    sleep_ms(20_000).await;
     assert_eq!(told(), 0);
     call(&nodes[7], "x", "r").await;
     settle(&world).await;
--- a/tests/entry/versions.rs
+++ b/tests/entry/versions.rs
@@ -2,7 +2,7 @@
 
 use standins::replicas::Mood;
 
-use crate::world::{MODEL, World, check, pass, spec_from};
+use crate::world::{MODEL, World, assert_completed, job_spec_from, sleep_ms};
 
 /// Guards: a text that had come partly from a newer version made its node believe that every
 /// replica that went on with it has that version (330 runs in vain in a day).
@@ -13,20 +13,20 @@
     world.replicas.load("e1", MODEL, 2);
     world.replicas.mood("e2", Mood::Unreachable);
     world.replicas.mood("e3", Mood::Unreachable);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     world.replicas.mood("e1", Mood::Breaks(3));
     world.replicas.length("i1", 9);
     a.submit("j", &["i1"]).await;
-    pass(60).await;
+    sleep_ms(60).await;
     world.replicas.mood("e3", Mood::Good);
     world.replicas.mood("e1", Mood::Silent);
-    a.whole("j", 1).await.iter().for_each(|l| check(l, 9));
+    a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 9));
     let ran = world.replicas.ran();
     assert!(ran.iter().any(|r| &*r.replica == "e3" && r.after.is_some()), "{ran:?}");
     world.replicas.mood("e1", Mood::Good);
-    pass(6_000).await;
-    a.app().submit(spec_from("k", &["k1", "k2"], 2)).await;
-    a.whole("k", 2).await;
+    sleep_ms(6_000).await;
+    a.app().submit(job_spec_from("k", &["k1", "k2"], 2)).await;
+    a.read_all("k", 2).await;
     let ran = world.replicas.ran();
     let vain = ran.iter().filter(|r| r.id.starts_with('k') && &*r.replica == "e3");
     assert_eq!(vain.count(), 0);
@@ -44,11 +44,11 @@
         world.replicas.load(id, MODEL, 2);
         world.replicas.set(id, MODEL, 1);
     }
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let items: Vec<String> = (0..60).map(|i| format!("i{i}")).collect();
     let items: Vec<&str> = items.iter().map(|i| &**i).collect();
-    a.app().submit(spec_from("j", &items, 2)).await;
-    a.whole("j", 60).await.iter().for_each(|l| check(l, 5));
+    a.app().submit(job_spec_from("j", &items, 2)).await;
+    a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, 5));
     let vain = world
         .replicas
         .ran()
@@ -69,12 +69,12 @@
     world.replicas.set("e2", MODEL, 1);
     world.replicas.mood("e2", Mood::Unreachable);
     world.replicas.mood("e1", Mood::Breaks(3));
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     world.replicas.length("i1", 9);
-    a.app().submit(spec_from("j", &["i1"], 2)).await;
-    pass(60).await;
+    a.app().submit(job_spec_from("j", &["i1"], 2)).await;
+    sleep_ms(60).await;
     world.replicas.mood("e2", Mood::Good);
-    a.whole("j", 1).await.iter().for_each(|l| check(l, 9));
+    a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 9));
     let ran = world.replicas.ran();
     let made = ran.iter().filter(|r| &*r.id == "i1");
     let made: Vec<(&str, Option<u64>)> = made.map(|r| (&*r.replica, r.after)).collect();
@@ -92,22 +92,22 @@
         world.replicas.restart("engines", id, 1, &[(MODEL, 1)]);
     }
     let a = world.node("a").await;
-    world.name(2);
-    pass(20_000).await;
+    world.name_version(2);
+    sleep_ms(20_000).await;
     let before = world.replicas.ordered().len();
     // One starts again at rest, one as it loads, one as it runs a text.
     world.replicas.restart("engines", "e1", 2, &[(MODEL, 1)]);
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     let first: Vec<_> = world.replicas.ordered().split_off(before);
     assert!(first.iter().any(|o| &*o.replica == "e1" && o.version == 2), "{first:?}");
-    a.app().submit(spec_from("j", &["i1", "i2", "i3", "i4"], 2)).await;
-    world.name(3);
-    pass(300).await;
+    a.app().submit(job_spec_from("j", &["i1", "i2", "i3", "i4"], 2)).await;
+    world.name_version(3);
+    sleep_ms(300).await;
     for id in ["e2", "e3"] {
         world.replicas.restart("engines", id, 3, &[(MODEL, 1)]);
     }
-    a.whole("j", 4).await;
-    pass(20_000).await;
+    a.read_all("j", 4).await;
+    sleep_ms(20_000).await;
     let orders = world.replicas.ordered();
     let again: Vec<_> = orders[before..].iter().filter(|o| o.accepted).collect();
     for id in ["e1", "e2", "e3"] {
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -4,7 +4,7 @@
 use standins::kv::{Away, Faults};
 use std::time::Duration;
 
-use crate::world::{World, calls, pass, until, used};
+use crate::world::{World, answered_calls, plain_replicas_used, sleep_ms, wait_until};
 
 fn version(node: &crate::world::Node) -> u64 {
     node.app().routes().unwrap().version
@@ -15,10 +15,10 @@
     let world = World::new();
     let node = world.node("a").await;
     world.configure(9);
-    pass(50).await;
+    sleep_ms(50).await;
     assert_eq!(version(&node), 9);
     world.configure(5);
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     assert_eq!(version(&node), 9);
 }
 
@@ -29,13 +29,13 @@
     let world = World::new();
     let node = world.node("a").await;
     world.configure(2);
-    pass(100).await;
+    sleep_ms(100).await;
     let quiet = Faults { away: Some(Away::Refusing), ..Faults::default() };
     node.line.fail(quiet);
     world.configure(3);
     world.kv.compact();
     node.line.fail(Faults::default());
-    pass(1_500).await;
+    sleep_ms(1_500).await;
     assert_eq!(version(&node), 3);
 }
 
@@ -44,13 +44,13 @@
 async fn a_replica_that_leaves_beside_a_dropped_history_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     world.replicas.list("plain", "p2", false);
-    pass(100).await;
+    sleep_ms(100).await;
     world.replicas.list("plain", "p1", true);
     world.kv.compact();
-    pass(1_500).await;
-    assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
+    sleep_ms(1_500).await;
+    assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
 }
 
 #[tokio::test(start_paused = true)]
@@ -58,12 +58,12 @@
     let world = World::new();
     let node = world.node("a").await;
     node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
-    pass(3_000).await;
+    sleep_ms(3_000).await;
     world.configure(7);
-    pass(3_000).await;
+    sleep_ms(3_000).await;
     assert_eq!(version(&node), 1);
     node.line.fail(Faults::default());
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     assert_eq!(version(&node), 7);
 }
 
@@ -72,9 +72,9 @@
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
     let [a, b, c] = nodes;
-    until(|| world.kv.items("mulberry/live/node/").len() == 3).await;
+    wait_until(|| world.kv.items("mulberry/live/node/").len() == 3).await;
     drop(c);
-    pass(2_500).await;
+    sleep_ms(2_500).await;
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 2);
     assert!(!a.app().client_addresses("z").is_empty());
     drop(b);
@@ -86,13 +86,13 @@
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
     world.replicas.length("i1", 100);
     nodes[0].submit("j", &["i1"]).await;
-    pass(300).await;
+    sleep_ms(300).await;
     world.kv.lapse();
-    pass(300).await;
+    sleep_ms(300).await;
     assert_eq!(nodes[0].app().client_addresses("z").len(), 3);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 3);
-    nodes[1].whole("j", 1).await;
+    nodes[1].read_all("j", 1).await;
     let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(texts, 1, "a job was taken from a home that was alive");
 }
@@ -102,19 +102,19 @@
     let world = World::new();
     let node = world.node("a").await;
     node.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
-    pass(500).await;
+    sleep_ms(500).await;
     world.words.unlist(&world.kv, "p1");
     world.words.unlist(&world.kv, "p2");
     node.line.fail(Faults::default());
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
-    let ask = crate::world::ask("r1", "/plain/x");
+    let ask = crate::world::relay_request("r1", "/plain/x");
     let given = node.app().relay(&route, ask).await;
     assert!(matches!(given, mulberrycourse::entry::RelayResponse::Complete { .. }), "{given:?}");
     world.replicas.list("plain", "p1", false);
-    pass(3_000).await;
+    sleep_ms(3_000).await;
     for i in 0..6 {
-        let ask = crate::world::ask(&format!("q{i}"), "/plain/x");
+        let ask = crate::world::relay_request(&format!("q{i}"), "/plain/x");
         node.app().relay(&route, ask).await;
     }
     let late = world.replicas.ran();
@@ -125,7 +125,7 @@
 async fn a_leaving_node_is_not_ready_and_out_of_the_addresses() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    until(|| b.app().client_addresses("z").len() == 2).await;
+    wait_until(|| b.app().client_addresses("z").len() == 2).await;
     let begun = tokio::time::Instant::now();
     a.entry.drain().await;
     assert!(!a.app().ready());
@@ -142,7 +142,7 @@
     let _node = world.node("a").await;
     let notice = Notice::Retire { node: "a".into(), within: Duration::from_secs(9) };
     world.words.write(&world.kv, "retire/a", notice);
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     assert!(world.kv.items("retired/").is_empty());
 }
 
@@ -152,17 +152,20 @@
 async fn changes_of_replicas_are_gathered_longer_where_no_job_runs() {
     let world = World::new();
     let drain = Duration::from_secs(3);
-    let (idle, home) =
-        (world.node_that_drains("a", drain).await, world.node_that_drains("b", drain).await);
+    let (idle, home) = (
+        world.node_with_drain_time("a", drain).await,
+        world.node_with_drain_time("b", drain).await,
+    );
     world.replicas.length("i1", 2_000);
     home.submit("j", &["i1"]).await;
-    pass(3_000).await;
-    let before = [calls(&idle, "Watch"), calls(&home, "Watch")];
+    sleep_ms(3_000).await;
+    let before = [answered_calls(&idle, "Watch"), answered_calls(&home, "Watch")];
     for turn in 0..100 {
         world.replicas.list("plain", "p1", turn % 2 == 0);
-        pass(100).await;
+        sleep_ms(100).await;
     }
-    let watches = [calls(&idle, "Watch") - before[0], calls(&home, "Watch") - before[1]];
+    let watches =
+        [answered_calls(&idle, "Watch") - before[0], answered_calls(&home, "Watch") - before[1]];
     assert!(watches[0] <= 7, "{watches:?}");
     assert!(watches[1] >= 9, "{watches:?}");
 }
@@ -171,14 +174,14 @@
 async fn a_replica_that_leaves_gets_no_work_after_the_time_to_drain() {
     let world = World::new();
     let drain = Duration::from_secs(3);
-    let node = world.node_that_drains("a", drain).await;
-    pass(3_000).await;
+    let node = world.node_with_drain_time("a", drain).await;
+    sleep_ms(3_000).await;
     world.replicas.list("plain", "p2", false);
-    pass(50).await;
+    sleep_ms(50).await;
     // The change before it has just come, so that this one is gathered for the longest time.
     world.replicas.list("plain", "p1", true);
-    pass(2_000).await;
-    assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
+    sleep_ms(2_000).await;
+    assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
 }
 
 /// Guards: a replica whose entry went as a watch was cut counted as one that had lapsed in an
@@ -187,11 +190,11 @@
 async fn a_replica_that_goes_beside_a_cut_watch_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     world.words.unlist(&world.kv, "p1");
     world.kv.compact();
-    pass(1_500).await;
-    assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
+    sleep_ms(1_500).await;
+    assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
 }
 
 /// Guards: a watch that waited for longer than the store keeps its history came to nothing,
@@ -201,8 +204,8 @@
     let world = World::new();
     for history in [20, 8] {
         let history = Duration::from_secs(history);
-        let node = world.node_that_remembers("a", history).await;
-        pass(60_000).await;
+        let node = world.node_with_store_history("a", history).await;
+        sleep_ms(60_000).await;
         assert!(node.line.longest() <= history * 3 / 4, "{:?}", node.line.longest());
     }
 }
@@ -212,9 +215,9 @@
     let world = World::new();
     let node = world.node("a").await;
     node.submit("j", &["i1"]).await;
-    node.whole("j", 1).await;
-    world.name(2);
-    pass(8_000).await;
+    node.read_all("j", 1).await;
+    world.name_version(2);
+    sleep_ms(8_000).await;
     let text = node.app().metrics();
     for (call, purpose) in [
         ("Range", "Routes"),
@@ -238,16 +241,16 @@
 async fn a_replica_whose_entry_can_not_be_read_gets_no_work() {
     let world = World::new();
     let node = world.node("a").await;
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let key =
         world.kv.items("replicas/").iter().find(|i| i.key.ends_with("p1")).unwrap().key.clone();
     world.kv.put(&key, "{\"serv");
-    pass(2_000).await;
-    assert_eq!(used(&world, &node, "t").await, ["p2"; 6]);
+    sleep_ms(2_000).await;
+    assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
     world.kv.compact();
-    pass(2_000).await;
-    assert_eq!(used(&world, &node, "u").await, ["p2"; 6]);
+    sleep_ms(2_000).await;
+    assert_eq!(plain_replicas_used(&world, &node, "u").await, ["p2"; 6]);
     world.replicas.list("plain", "p1", false);
-    pass(2_000).await;
-    assert!(used(&world, &node, "v").await.contains(&"p1".to_owned()));
+    sleep_ms(2_000).await;
+    assert!(plain_replicas_used(&world, &node, "v").await.contains(&"p1".to_owned()));
 }
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -76,7 +76,7 @@
     }
 
     /// Which of these nodes is the holder of duties.
-    pub(crate) fn holder(&self, nodes: &[Node]) -> usize {
+    pub(crate) fn leader(&self, nodes: &[Node]) -> usize {
         let items = self.kv.items("mulberry/live/holder");
         let text = String::from_utf8(items[0].value.to_vec()).unwrap();
         let held = |n: &Node| text.contains(&format!("\"{}.", n.app().settings.name));
@@ -85,11 +85,11 @@
 
     /// Writes the routes under a version.
     pub(crate) fn configure(&self, version: u64) {
-        self.configure_beside(version, "");
+        self.configure_with(version, "");
     }
 
     /// The same, with the text of further routes.
-    pub(crate) fn configure_beside(&self, version: u64, others: &str) {
+    pub(crate) fn configure_with(&self, version: u64, others: &str) {
         let routes = vec![
             route("/jobs/", "engines", Again::Never),
             route("/plain/", "plain", Again::Whole),
@@ -109,47 +109,47 @@
     }
 
     /// A trainer names a version.
-    pub(crate) fn name(&self, version: u64) {
+    pub(crate) fn name_version(&self, version: u64) {
         let notice = Notice::Version { model: MODEL.into(), version };
         self.words.write(&self.kv, "version", notice);
     }
 
     /// Starts a node and waits until it is ready.
     pub(crate) async fn node(&self, name: &str) -> Node {
-        self.node_that_keeps(name, Duration::from_secs(120)).await
+        self.node_with_job_retention(name, Duration::from_secs(120)).await
     }
 
     /// The same, where jobs are kept for so long.
-    pub(crate) async fn node_that_keeps(&self, name: &str, kept: Duration) -> Node {
-        self.node_with(EntrySettings { job_retention: kept, ..settings(name) }).await
+    pub(crate) async fn node_with_job_retention(&self, name: &str, kept: Duration) -> Node {
+        self.node_with_settings(EntrySettings { job_retention: kept, ..settings(name) }).await
     }
 
     /// The same, where a replica that leaves may get work for so long.
-    pub(crate) async fn node_that_drains(&self, name: &str, drain: Duration) -> Node {
-        self.node_with(EntrySettings { drain_time: drain, ..settings(name) }).await
+    pub(crate) async fn node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
+        self.node_with_settings(EntrySettings { drain_time: drain, ..settings(name) }).await
     }
 
     /// The same, where a value may have so many bytes.
-    pub(crate) async fn node_that_writes(&self, name: &str, value: usize) -> Node {
-        self.node_with(EntrySettings { value_bytes: value, ..settings(name) }).await
+    pub(crate) async fn node_with_value_bytes(&self, name: &str, value: usize) -> Node {
+        self.node_with_settings(EntrySettings { value_bytes: value, ..settings(name) }).await
     }
 
     /// The same, where the store keeps its history for so long.
-    pub(crate) async fn node_that_remembers(&self, name: &str, history: Duration) -> Node {
-        self.node_with(EntrySettings { store_history: history, ..settings(name) }).await
+    pub(crate) async fn node_with_store_history(&self, name: &str, history: Duration) -> Node {
+        self.node_with_settings(EntrySettings { store_history: history, ..settings(name) }).await
     }
 
     /// The same, linked to others.
-    pub(crate) async fn linked(&self, name: &str) -> Node {
-        self.linked_that_drains(name, settings(name).drain_time).await
+    pub(crate) async fn linked_node(&self, name: &str) -> Node {
+        self.linked_node_with_drain_time(name, settings(name).drain_time).await
     }
 
     /// The same, where a replica that leaves may get work for so long.
-    pub(crate) async fn linked_that_drains(&self, name: &str, drain: Duration) -> Node {
+    pub(crate) async fn linked_node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         let port = 1_000 + u16::from(name.as_bytes()[0]);
         let at = SocketAddr::from(([127, 0, 0, 1], port));
         let node = self
-            .node_with(EntrySettings {
+            .node_with_settings(EntrySettings {
                 peer_address: Some(at),
                 drain_time: drain,
                 ..settings(name)
@@ -161,41 +161,41 @@
 
     /// Starts a node that knows another from its settings and whose line fails; it need not
     /// become ready.
-    pub(crate) fn begin_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
+    pub(crate) fn start_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(name.as_bytes()[0])));
         let seeds = seed.app().settings.peer_address.into_iter().collect();
         let node =
-            self.begin(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
+            self.start(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
         self.links.open(at, node.app().clone());
         node
     }
 
     /// Where a node of a crowd is asked.
-    pub(crate) fn place(index: u16) -> SocketAddr {
+    pub(crate) fn crowd_address(index: u16) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 2_000 + index))
     }
 
     /// Starts so many linked nodes at once, which know the first three from their settings.
-    pub(crate) fn crowd(&self, count: u16) -> Vec<Node> {
-        let at = Self::place;
+    pub(crate) fn start_crowd(&self, count: u16) -> Vec<Node> {
+        let at = Self::crowd_address;
         let start = |i| {
             let (peers, seeds) = (Some(at(i)), (0..3).map(at).collect());
             let settings =
                 EntrySettings { peer_address: peers, seeds, ..settings(&format!("n{i:03}")) };
-            let node = self.begin(settings, Faults::default());
+            let node = self.start(settings, Faults::default());
             self.links.open(at(i), node.app().clone());
             node
         };
         (0..count).map(start).collect()
     }
 
-    async fn node_with(&self, settings: EntrySettings) -> Node {
-        let node = self.begin(settings, Faults::default());
-        until(|| node.app().ready()).await;
+    async fn node_with_settings(&self, settings: EntrySettings) -> Node {
+        let node = self.start(settings, Faults::default());
+        wait_until(|| node.app().ready()).await;
         node
     }
 
-    fn begin(&self, settings: EntrySettings, faults: Faults) -> Node {
+    fn start(&self, settings: EntrySettings, faults: Faults) -> Node {
         let duties = self.ordering.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
         let settings =
             EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
@@ -230,7 +230,11 @@
     }
 
     /// Asks another node for results.
-    pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<ReadResult>> {
+    pub(crate) async fn request_results(
+        &self,
+        to: &Node,
+        ask: PeerRequest,
+    ) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
         match self.links.request(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
@@ -239,7 +243,7 @@
     }
 
     /// Reads from a position without waiting.
-    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
+    pub(crate) async fn read_page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
         match self.app().read(job, after, Duration::ZERO).await {
             ReadResult::Page { results, .. } => results,
             other => panic!("{other:?}"),
@@ -247,7 +251,7 @@
     }
 
     /// Reads until all results are there.
-    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
+    pub(crate) async fn read_all(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
         let reading = async {
             let mut all = Vec::new();
             while all.len() < total {
@@ -262,11 +266,11 @@
     }
 
     pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> SubmitResult {
-        self.app().submit(spec(job, items)).await
+        self.app().submit(job_spec(job, items)).await
     }
 }
 
-pub(crate) async fn until(mut reached: impl FnMut() -> bool) {
+pub(crate) async fn wait_until(mut reached: impl FnMut() -> bool) {
     let wait = async {
         while !reached() {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -275,7 +279,7 @@
     tokio::time::timeout(GUARD, wait).await.unwrap();
 }
 
-pub(crate) async fn pass(millis: u64) {
+pub(crate) async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
@@ -305,7 +309,7 @@
     }
 }
 
-pub(crate) fn spec(job: &str, items: &[&str]) -> JobSpec {
+pub(crate) fn job_spec(job: &str, items: &[&str]) -> JobSpec {
     JobSpec {
         id: job.into(),
         host: HOST.into(),
@@ -319,8 +323,8 @@
 }
 
 /// The same, from this version on.
-pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
-    JobSpec { min_version: oldest, ..spec(job, items) }
+pub(crate) fn job_spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
+    JobSpec { min_version: oldest, ..job_spec(job, items) }
 }
 
 fn item(id: &str) -> ItemSpec {
@@ -340,7 +344,7 @@
     }
 }
 
-pub(crate) fn ask(id: &str, path: &str) -> RelayRequest {
+pub(crate) fn relay_request(id: &str, path: &str) -> RelayRequest {
     let mut headers = HeaderMap::new();
     headers.insert("model", MODEL.parse().unwrap());
     RelayRequest {
@@ -357,39 +361,39 @@
 }
 
 /// The text that a sample must have.
-pub(crate) fn text(item: &str, events: u64) -> String {
+pub(crate) fn expected_text(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event(item, e)).collect();
     lines.join("\n")
 }
 
 /// Checks a result against what the replicas made.
-pub(crate) fn check(listing: &ItemResult, events: u64) {
+pub(crate) fn assert_completed(listing: &ItemResult, events: u64) {
     let ItemState::Completed { output, versions, score } = &listing.state else {
         panic!("{listing:?}");
     };
-    assert_eq!(*output, text(&listing.id, events));
+    assert_eq!(*output, expected_text(&listing.id, events));
     assert!(!versions.is_empty());
     assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", listing.id)));
 }
 
 /// Calls to the store that ended well.
-pub(crate) fn calls(node: &Node, call: &str) -> u64 {
-    counted(node, &format!("{{call=\"{call}\",end=\"Answered\","))
+pub(crate) fn answered_calls(node: &Node, call: &str) -> u64 {
+    count_calls(node, &format!("{{call=\"{call}\",end=\"Answered\","))
 }
 
 /// All calls of some nodes to the store, a renewal of a lease as a tenth of one.
-pub(crate) fn charged(nodes: &[Node]) -> u64 {
-    let of = |node| (counted(node, "{"), counted(node, "{call=\"Keep\","));
+pub(crate) fn charged_calls(nodes: &[Node]) -> u64 {
+    let of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
     nodes.iter().map(of).map(|(all, keeps)| (all - keeps) * 10 + keeps).sum::<u64>() / 10
 }
 
 /// Calls to the store that it refused.
-pub(crate) fn refusals(node: &Node) -> u64 {
-    counted(node, "end=\"Refused\",")
+pub(crate) fn refused_calls(node: &Node) -> u64 {
+    count_calls(node, "end=\"Refused\",")
 }
 
 /// Calls to the store whose labels contain this.
-fn counted(node: &Node, labels: &str) -> u64 {
+fn count_calls(node: &Node, labels: &str) -> u64 {
     let text = node.app().metrics();
     let calls = text.lines().filter(|l| l.starts_with("mulberry_store_calls_total{"));
     let counts = calls.filter(|l| l.contains(labels)).filter_map(|l| l.split(' ').nth(1));
@@ -397,11 +401,11 @@
 }
 
 /// The replicas that a node sends plain requests to.
-pub(crate) async fn used(world: &World, node: &Node, turn: &str) -> Vec<String> {
+pub(crate) async fn plain_replicas_used(world: &World, node: &Node, turn: &str) -> Vec<String> {
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let name = &node.app().settings.name;
     for i in 0..6 {
-        node.app().relay(&route, ask(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
+        node.app().relay(&route, relay_request(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
     }
     let prefix = format!("{turn}-{name}-");
     let ran = world.replicas.ran();
