--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -11,7 +11,7 @@
 use crate::Moment;
 use crate::decide::job::{Event, EventReader, ItemSpec, JobSpec, StreamError};
 use crate::decide::{ReplicaOutcome, Route};
-use crate::edge::replica::{Call, Failure, Reply};
+use crate::edge::replica::{CallError, ReplicaCall, Reply};
 use crate::metrics::AttemptEnd;
 
 /// Timeout for the head of a response. The replica had a free slot, so that it only reads the
@@ -60,7 +60,11 @@
 
 impl TextAttempt<'_> {
     /// Makes the attempt and counts how it ended.
-    pub(super) async fn attempt(self, slot: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
+    pub(super) async fn attempt(
+        self,
+        slot: &mut SlotGuard<'_>,
+        call: ReplicaCall,
+    ) -> AttemptResult {
         let result = self.call_and_read(slot, call).await;
         self.app.tally.sample_attempt(match result {
             AttemptResult::Complete => AttemptEnd::Answered,
@@ -70,7 +74,7 @@
         result
     }
 
-    async fn call_and_read(self, slot: &mut SlotGuard<'_>, call: Call) -> AttemptResult {
+    async fn call_and_read(self, slot: &mut SlotGuard<'_>, call: ReplicaCall) -> AttemptResult {
         let started_at = self.app.now();
         let sending = self.app.replicas.send(&slot.target, call);
         let reply = match tokio::time::timeout(HEAD_TIMEOUT, sending).await {
@@ -128,15 +132,15 @@
     }
 
     /// Records a call that failed before the head of the response.
-    fn failed_before_answer(self, slot: &mut SlotGuard<'_>, failure: &Failure) -> AttemptResult {
+    fn failed_before_answer(self, slot: &mut SlotGuard<'_>, failure: &CallError) -> AttemptResult {
         let (ended, end) = match failure {
-            Failure::Unsent(_) => (ReplicaOutcome::Unreachable, AttemptEnd::Unsent),
-            Failure::NotRun(_) if self.spec.model.is_some() => {
+            CallError::Unsent(_) => (ReplicaOutcome::Unreachable, AttemptEnd::Unsent),
+            CallError::NotRun(_) if self.spec.model.is_some() => {
                 (ReplicaOutcome::Loading, AttemptEnd::NotRun)
             }
-            Failure::NotRun(_) => (ReplicaOutcome::Full, AttemptEnd::NotRun),
-            Failure::Stranger => (ReplicaOutcome::Unreachable, AttemptEnd::Stranger),
-            Failure::Broken(_) => (ReplicaOutcome::Failed, AttemptEnd::Broken),
+            CallError::NotRun(_) => (ReplicaOutcome::Full, AttemptEnd::NotRun),
+            CallError::WrongInstance => (ReplicaOutcome::Unreachable, AttemptEnd::Stranger),
+            CallError::Interrupted(_) => (ReplicaOutcome::Failed, AttemptEnd::Broken),
         };
         slot.set_end(ended);
         tracing::debug!(event = "attempt_failed", item = %self.item.id, %failure);
@@ -190,7 +194,7 @@
         self.owned.with_text(&self.item.id, |text| {
             for event in events {
                 let known = text.versions();
-                let fits = |v| !self.route.one_version || known.iter().all(|k| *k == v);
+                let fits = |v| !self.route.single_version || known.iter().all(|k| *k == v);
                 text.push(event, |v| v >= self.spec.min_version && fits(v))?;
             }
             Ok(text.current_version().filter(|_| !events.is_empty()))
--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -6,21 +6,27 @@
 use tokio::time::Instant;
 
 use super::keys::{MEMBERSHIP_PREFIX, key_use};
-use crate::edge::notice::Notices;
-use crate::edge::store::{Answer, Item, Page, Store, StoreError, Txn, TxnEnd, Watched};
+use crate::edge::schema::StoreSchema;
+use crate::edge::store::{
+    KeyValue, RangeResult, Store, StoreError, StoreFuture, Txn, TxnOutcome, WatchBatch,
+};
 use crate::metrics::{StoreCall, StoreEnd, StoreUse, Tally};
 
 /// Passes calls on to a store and counts them by kind, outcome and purpose.
 #[derive(Debug)]
 pub(super) struct CountedStore {
     store: Arc<dyn Store>,
-    schema: Arc<dyn Notices>,
+    schema: Arc<dyn StoreSchema>,
     tally: Arc<Tally>,
 }
 
 impl CountedStore {
     /// Wraps a store to count its calls in `tally`.
-    pub(super) fn new(store: Arc<dyn Store>, schema: Arc<dyn Notices>, tally: Arc<Tally>) -> Self {
+    pub(super) fn new(
+        store: Arc<dyn Store>,
+        schema: Arc<dyn StoreSchema>,
+        tally: Arc<Tally>,
+    ) -> Self {
         Self { store, schema, tally }
     }
 
@@ -29,10 +35,10 @@
         let schema = &self.schema;
         match key {
             MEMBERSHIP_PREFIX => StoreUse::Nodes,
-            key if key.starts_with(schema.replicas()) => StoreUse::Replicas,
-            key if key.starts_with(schema.versions()) => StoreUse::Versions,
-            key if key.starts_with(schema.retirements()) => StoreUse::Retirements,
-            key if key.starts_with(schema.routes()) => StoreUse::Routes,
+            key if key.starts_with(schema.replicas_prefix()) => StoreUse::Replicas,
+            key if key.starts_with(schema.versions_prefix()) => StoreUse::Versions,
+            key if key.starts_with(schema.retirements_prefix()) => StoreUse::Retirements,
+            key if key.starts_with(schema.routes_prefix()) => StoreUse::Routes,
             key => key_use(key),
         }
     }
@@ -50,8 +56,8 @@
         &self,
         call: StoreCall,
         purpose: StoreUse,
-        answer: Answer<T>,
-    ) -> Answer<T> {
+        answer: StoreFuture<T>,
+    ) -> StoreFuture<T> {
         let tally = self.tally.clone();
         Box::pin(async move {
             let started = Instant::now();
@@ -70,32 +76,32 @@
 }
 
 impl Store for CountedStore {
-    fn get(&self, key: &str) -> Answer<Option<Item>> {
+    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         self.count(StoreCall::Get, self.purpose(key), self.store.get(key))
     }
 
-    fn range(&self, prefix: &str) -> Answer<Page> {
+    fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
         self.count(StoreCall::Range, self.purpose(prefix), self.store.range(prefix))
     }
 
-    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Answer<Watched> {
+    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> StoreFuture<WatchBatch> {
         let answer = self.store.watch(prefix, after, wait);
         self.count(StoreCall::Watch, self.purpose(prefix), answer)
     }
 
-    fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
+    fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
         self.count(StoreCall::Txn, self.txn_purpose(&txn), self.store.txn(txn))
     }
 
-    fn grant(&self, ttl: Duration) -> Answer<u64> {
+    fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
         self.count(StoreCall::Grant, StoreUse::Lease, self.store.grant(ttl))
     }
 
-    fn keep(&self, lease: u64) -> Answer<bool> {
-        self.count(StoreCall::Keep, StoreUse::Lease, self.store.keep(lease))
+    fn renew(&self, lease: u64) -> StoreFuture<bool> {
+        self.count(StoreCall::Keep, StoreUse::Lease, self.store.renew(lease))
     }
 
-    fn end(&self, lease: u64) -> Answer<()> {
-        self.count(StoreCall::End, StoreUse::Lease, self.store.end(lease))
+    fn revoke(&self, lease: u64) -> StoreFuture<()> {
+        self.count(StoreCall::End, StoreUse::Lease, self.store.revoke(lease))
     }
 }
--- a/src/entry/fenced_value.rs
+++ b/src/entry/fenced_value.rs
@@ -6,7 +6,7 @@
 
 use super::app::App;
 use super::keys::LEADER_KEY;
-use crate::edge::store::{StoreError, Txn, TxnEnd};
+use crate::edge::store::{StoreError, Txn, TxnOutcome};
 
 /// A key that only the leader writes, within the term of one fencing token.
 #[derive(Debug)]
@@ -60,16 +60,16 @@
         let value = serde_json::to_vec(value).map_err(|e| StoreError::Refused(e.to_string()))?;
         let txn = Txn::when(self.key, self.revision).and_when(LEADER_KEY, self.fencing_token);
         match app.store.txn(txn.put(self.key, Bytes::from(value))).await? {
-            TxnEnd::Done(revision) => {
+            TxnOutcome::Done(revision) => {
                 self.revision = revision;
                 Ok(FencedWrite::Done)
             }
-            TxnEnd::Conflict(items) => {
+            TxnOutcome::Conflict(items) => {
                 let mut leaders = items.iter().filter(|item| *item.key == *LEADER_KEY);
                 let leading = leaders.any(|item| item.revision == self.fencing_token);
                 Ok(if leading { FencedWrite::Conflict } else { FencedWrite::NotLeader })
             }
-            TxnEnd::NoLease => Ok(FencedWrite::NotLeader),
+            TxnOutcome::NoLease => Ok(FencedWrite::NotLeader),
         }
     }
 }
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -38,10 +38,10 @@
     /// Returns the prefix of its keys in the store.
     pub(super) fn prefix(self, app: &App) -> String {
         match self {
-            Self::Routes => app.schema.routes().to_owned(),
-            Self::Versions => app.schema.versions().to_owned(),
-            Self::Retirements => app.schema.retirements().to_owned(),
-            Self::Replicas => app.schema.replicas().to_owned(),
+            Self::Routes => app.schema.routes_prefix().to_owned(),
+            Self::Versions => app.schema.versions_prefix().to_owned(),
+            Self::Retirements => app.schema.retirements_prefix().to_owned(),
+            Self::Replicas => app.schema.replicas_prefix().to_owned(),
             Self::Nodes => MEMBERSHIP_PREFIX.to_owned(),
         }
     }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -16,10 +16,10 @@
 use super::scale::run_autoscaling;
 use super::usage::report_usage;
 use crate::Name;
-use crate::decide::moves::{self, Move, Standing};
 use crate::decide::rank;
-use crate::edge::replica::{Order, OrderEnd, Target};
-use crate::edge::store::{Txn, TxnEnd};
+use crate::decide::weight_loads::{self, ReplicaWeights, WeightLoad};
+use crate::edge::replica::{OrderOutcome, Target, WeightOrder};
+use crate::edge::store::{Txn, TxnOutcome};
 
 /// How much longer each next node in rank waits before it tries to become the leader.
 const RANK_DELAY: Duration = Duration::from_millis(400);
@@ -105,8 +105,8 @@
         };
         let txn = Txn::when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
         match app.store.txn(txn).await {
-            Ok(TxnEnd::Done(fence)) => return fence,
-            Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => {}
+            Ok(TxnOutcome::Done(fence)) => return fence,
+            Ok(TxnOutcome::Conflict(_) | TxnOutcome::NoLease) => {}
             Err(e) => tracing::warn!(event = "leader_not_written", error = %e),
         }
     }
@@ -148,24 +148,28 @@
 }
 
 /// The loads to order now, given the replicas with a load under way and the models they load.
-fn plan_loads(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<Move> {
+fn plan_loads(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<WeightLoad> {
     let named = app.versions.lock().clone();
     let demand = app.demand.lock().by_model(app.now());
     let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
-    let mut standings: Vec<Standing> = Vec::new();
+    let mut standings: Vec<ReplicaWeights> = Vec::new();
     let fleet = app.slots.fleet.lock();
     for model in models {
         for (target, version) in fleet.serving(model) {
             let found = standings.iter().position(|s| s.id == target.id);
             let index = found.unwrap_or_else(|| {
                 let loading = busy.get(&target.id).cloned();
-                standings.push(Standing { id: target.id, versions: Default::default(), loading });
+                standings.push(ReplicaWeights {
+                    id: target.id,
+                    versions: Default::default(),
+                    loading,
+                });
                 standings.len() - 1
             });
             standings[index].versions.insert(model.clone(), version);
         }
     }
-    moves::next(&named, &demand, &standings)
+    weight_loads::next_loads(&named, &demand, &standings)
 }
 
 fn target(app: &App, id: &str) -> Option<Target> {
@@ -174,11 +178,16 @@
 
 /// Orders one weight load and waits for its end. Gives no order if the replica already has the
 /// version, is busy, or the term may be over.
-async fn execute_load(app: &Arc<App>, target: Target, wanted: Move, fence: u64) -> LoadOutcome {
-    let Ok(stance) = app.replicas.stance(&target, REPLICA_CALL_TIMEOUT).await else {
+async fn execute_load(
+    app: &Arc<App>,
+    target: Target,
+    wanted: WeightLoad,
+    fence: u64,
+) -> LoadOutcome {
+    let Ok(stance) = app.replicas.status(&target, REPLICA_CALL_TIMEOUT).await else {
         return LoadOutcome::Failed;
     };
-    if stance.is_of_another(&target) {
+    if stance.is_other_incarnation(&target) {
         // The replica has restarted; its next entry in the store will show that.
         return LoadOutcome::Failed;
     }
@@ -192,14 +201,14 @@
     if stance.busy || !app.holds_term(fence) {
         return LoadOutcome::Failed;
     }
-    let one_version = app.routes().is_some_and(|r| r.any_one_version());
-    let order = Order {
+    let one_version = app.routes().is_some_and(|r| r.any_single_version());
+    let order = WeightOrder {
         model: wanted.model.clone(),
         version: wanted.version,
         keep_runs: !one_version,
         holder: app.settings.name.clone(),
-        fence,
-        sequence: stance.sequence,
+        fencing_token: fence,
+        accepted_orders: stance.accepted_orders,
     };
     *app.last_duty.lock() = Some(app.now());
     let end = app.replicas.order(&target, order, REPLICA_CALL_TIMEOUT).await;
@@ -209,29 +218,29 @@
         model = %wanted.model,
         version = wanted.version,
         fence,
-        sequence = stance.sequence,
+        sequence = stance.accepted_orders,
         outcome = ?end
     );
     app.tally.order(end);
     match end {
-        OrderEnd::Accepted | OrderEnd::Unknown => await_load(app, &target, &wanted).await,
-        OrderEnd::Holds => {
+        OrderOutcome::Accepted | OrderOutcome::Unknown => await_load(app, &target, &wanted).await,
+        OrderOutcome::Holds => {
             app.slots.fleet.lock().raise_version(&target, &wanted.model, wanted.version);
             LoadOutcome::Done
         }
-        OrderEnd::Busy | OrderEnd::Refused => LoadOutcome::Failed,
-        OrderEnd::Fenced => LoadOutcome::Fenced,
+        OrderOutcome::Busy | OrderOutcome::Refused => LoadOutcome::Failed,
+        OrderOutcome::Fenced => LoadOutcome::Fenced,
     }
 }
 
 /// Polls a replica until it has loaded the ordered version.
-async fn await_load(app: &App, target: &Target, wanted: &Move) -> LoadOutcome {
+async fn await_load(app: &App, target: &Target, wanted: &WeightLoad) -> LoadOutcome {
     tokio::time::sleep(MIN_LOAD_TIME).await;
     for _ in 0..MAX_LOAD_POLLS {
-        let Ok(stance) = app.replicas.stance(target, REPLICA_CALL_TIMEOUT).await else {
+        let Ok(stance) = app.replicas.status(target, REPLICA_CALL_TIMEOUT).await else {
             return LoadOutcome::Failed;
         };
-        if stance.is_of_another(target) {
+        if stance.is_other_incarnation(target) {
             return LoadOutcome::Failed;
         }
         let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::keys::{LeaderRecord, MembershipKey, NodeRecord, parse_membership_key};
-use crate::edge::store::{Change, Item, Page};
+use crate::edge::store::{Change, KeyValue, RangeResult};
 use crate::{Moment, Name};
 
 /// How long nodes still count as alive after their records vanished together. Only time in
@@ -37,7 +37,7 @@
 
 impl Membership {
     /// Replaces the view by a read of the whole prefix.
-    pub(super) fn load(&mut self, page: &Page, now: Moment) {
+    pub(super) fn load(&mut self, page: &RangeResult, now: Moment) {
         let before = std::mem::take(&mut self.nodes);
         self.leader = None;
         for item in &page.items {
@@ -72,7 +72,7 @@
     }
 
     /// Applies a written record. One that does not parse is logged and ignored.
-    fn put(&mut self, item: &Item) {
+    fn put(&mut self, item: &KeyValue) {
         let parsed = match parse_membership_key(&item.key) {
             Some(MembershipKey::Node(name)) => serde_json::from_slice(&item.value).map(|value| {
                 self.departed.remove(name);
--- a/src/entry/registration.rs
+++ b/src/entry/registration.rs
@@ -6,7 +6,7 @@
 
 use super::app::{App, Lease};
 use super::keys::{NodeRecord, node_key};
-use crate::edge::store::{StoreError, Txn, TxnEnd};
+use crate::edge::store::{StoreError, Txn, TxnOutcome};
 
 /// Renewals within the lease's time to live, so that two in a row may be lost.
 const RENEWALS_PER_TTL: u32 = 3;
@@ -38,7 +38,7 @@
     let value = serde_json::to_vec(&value).map_err(|e| StoreError::Refused(e.to_string()))?;
     let key = node_key(&app.settings.name);
     let txn = Txn::default().put_leased(key, value, lease);
-    let TxnEnd::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
+    let TxnOutcome::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
     *app.lease.lock() = Lease { id: lease, valid_until: sent + ttl, key_revision: written };
     app.registered.store(true, Ordering::Relaxed);
     tracing::info!(event = "node_listed", life = %app.incarnation, lease);
@@ -50,7 +50,7 @@
             () = app.fallback_store.wait_for_recovery(pause) => {}
         }
         let sent = app.now();
-        match app.store.keep(lease).await {
+        match app.store.renew(lease).await {
             Ok(true) => {
                 app.lease.lock().valid_until = sent + ttl;
                 pause = ttl / RENEWALS_PER_TTL;
@@ -93,7 +93,7 @@
             tracing::warn!(event = "node_not_removed", error = %e);
         }
         self.wait_out_last_order().await;
-        if let Err(e) = self.store.end(lease.id).await {
+        if let Err(e) = self.store.revoke(lease.id).await {
             tracing::warn!(event = "lease_not_ended", lease = lease.id, error = %e);
         }
     }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -9,10 +9,10 @@
 use super::app::App;
 use super::slots::SlotGuard;
 use super::stream;
-use crate::decide::comeback::SOON;
-use crate::decide::{Again, AttemptRequest, History, Outcome, ReplicaOutcome, Route};
-use crate::edge::http::gather;
-use crate::edge::replica::{Call, Failure, Pieces, Reply};
+use crate::decide::retry_after::DEFAULT_RETRY_AFTER;
+use crate::decide::{AttemptRequest, History, Outcome, ReplicaOutcome, RetryPolicy, Route};
+use crate::edge::http::collect_pieces;
+use crate::edge::replica::{BodyStream, CallError, ReplicaCall, Reply};
 use crate::error::{Kind, Refusal};
 use crate::metrics::AttemptEnd;
 use crate::{Moment, Name};
@@ -79,7 +79,7 @@
 }
 
 /// The body of a forwarded stream.
-pub struct EventStream(pub Pieces);
+pub struct EventStream(pub BodyStream);
 
 impl std::fmt::Debug for EventStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
@@ -157,10 +157,10 @@
         if left.is_zero() {
             return RelayStep::Failed(refused(Kind::DeadlinePassed, "the deadline has passed"));
         }
-        if state.attempts >= state.route.attempts {
+        if state.attempts >= state.route.max_attempts {
             return RelayStep::Failed(refused(Kind::RetriesSpent, "all attempts are used"));
         }
-        let Some(service) = state.route.service(self.draw()).cloned() else {
+        let Some(service) = state.route.pick_service(self.draw()).cloned() else {
             return RelayStep::Failed(refused(Kind::NoUpstream, "the route names no service"));
         };
         let wish = AttemptRequest {
@@ -189,7 +189,7 @@
             }
             Err(_) => {
                 metered.not_run();
-                return state.failed(self, &mut slot, Failure::Broken("silent".to_owned()));
+                return state.failed(self, &mut slot, CallError::Interrupted("silent".to_owned()));
             }
         };
         self.record_response_head(&slot.target.id, reply.load);
@@ -199,15 +199,19 @@
         let left = limit.saturating_sub(self.now().saturating_sub(started_at));
         let status = reply.status;
         let (headers, signature) = (reply.headers, reply.signature);
-        let body = match tokio::time::timeout(left, gather(reply.body)).await {
+        let body = match tokio::time::timeout(left, collect_pieces(reply.body)).await {
             Ok(Ok(body)) => body,
-            Ok(Err(reason)) => return state.failed(self, &mut slot, Failure::Broken(reason)),
-            Err(_) => return state.failed(self, &mut slot, Failure::Broken("silent".to_owned())),
+            Ok(Err(reason)) => {
+                return state.failed(self, &mut slot, CallError::Interrupted(reason));
+            }
+            Err(_) => {
+                return state.failed(self, &mut slot, CallError::Interrupted("silent".to_owned()));
+            }
         };
         let took = self.now().saturating_sub(started_at);
         slot.set_end(ReplicaOutcome::Answered { duration: took, cost: 1 });
         if signature.is_none() {
-            return state.failed(self, &mut slot, Failure::Broken("unsigned".to_owned()));
+            return state.failed(self, &mut slot, CallError::Interrupted("unsigned".to_owned()));
         }
         let failed = status.is_server_error();
         self.tally.attempt(if failed { AttemptEnd::Failed } else { AttemptEnd::Answered });
@@ -216,7 +220,7 @@
         }
         if failed {
             slot.set_end(ReplicaOutcome::Failed);
-            if state.may_repeat() && state.attempts < state.route.attempts {
+            if state.may_repeat() && state.attempts < state.route.max_attempts {
                 state.history.note(Outcome::Unknown);
                 state.avoid.push(slot.target.id.clone());
                 return RelayStep::Retry;
@@ -242,16 +246,16 @@
 impl RequestState {
     /// Whether the route allows the request to run more than once.
     pub(super) fn may_repeat(&self) -> bool {
-        match self.route.again {
-            Again::Whole | Again::Resume => true,
-            Again::Never => false,
+        match self.route.retry_policy {
+            RetryPolicy::Rerun | RetryPolicy::Resume => true,
+            RetryPolicy::Never => false,
         }
     }
 
     /// The call to a replica, limited to the time that is left.
-    pub(super) fn call(&self, now: Moment) -> Call {
+    pub(super) fn call(&self, now: Moment) -> ReplicaCall {
         let ends = if self.route.streaming { self.client_leaves } else { self.ends };
-        Call {
+        ReplicaCall {
             id: self.request.id.clone(),
             method: self.request.method.clone(),
             path: self.request.path.clone(),
@@ -259,32 +263,32 @@
             organisation: self.request.organisation.clone(),
             headers: self.request.headers.clone(),
             body: self.request.body.clone(),
-            limit: ends.saturating_sub(now),
-            after: self.request.resume_after,
-            rank: None,
+            timeout: ends.saturating_sub(now),
+            last_event: self.request.resume_after,
+            priority: None,
         }
     }
 
     /// The time limit of one attempt, given the time left for the request.
     fn limit(&self, left: Duration) -> Duration {
-        if !self.may_repeat() || self.attempts >= self.route.attempts {
+        if !self.may_repeat() || self.attempts >= self.route.max_attempts {
             return left;
         }
         (left * ATTEMPT_TIMEOUT_PERCENT / 100).max(MIN_ATTEMPT_TIMEOUT).min(left)
     }
 
     /// Records a failed attempt and decides whether another may follow.
-    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: Failure) -> RelayStep {
+    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: CallError) -> RelayStep {
         app.tally.attempt(match failure {
-            Failure::Unsent(_) => AttemptEnd::Unsent,
-            Failure::NotRun(_) => AttemptEnd::NotRun,
-            Failure::Stranger => AttemptEnd::Stranger,
-            Failure::Broken(_) => AttemptEnd::Broken,
+            CallError::Unsent(_) => AttemptEnd::Unsent,
+            CallError::NotRun(_) => AttemptEnd::NotRun,
+            CallError::WrongInstance => AttemptEnd::Stranger,
+            CallError::Interrupted(_) => AttemptEnd::Broken,
         });
         slot.set_end(match failure {
-            Failure::Unsent(_) | Failure::Stranger => ReplicaOutcome::Unreachable,
-            Failure::NotRun(_) => ReplicaOutcome::Full,
-            Failure::Broken(_) => ReplicaOutcome::Failed,
+            CallError::Unsent(_) | CallError::WrongInstance => ReplicaOutcome::Unreachable,
+            CallError::NotRun(_) => ReplicaOutcome::Full,
+            CallError::Interrupted(_) => ReplicaOutcome::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
@@ -298,7 +302,7 @@
             self.history.note(Outcome::Refused);
             // The replica did not run the request, so the attempt does not count toward the
             // route's limit, unless too many replicas were tried already.
-            if self.avoid.len() < 2 * self.route.attempts.max(1) as usize {
+            if self.avoid.len() < 2 * self.route.max_attempts.max(1) as usize {
                 self.attempts -= 1;
             }
             return RelayStep::Retry;
@@ -313,7 +317,7 @@
 
 /// A refusal that asks the client to come back soon.
 fn refused(kind: Kind, detail: &str) -> Refusal {
-    Refusal::new(kind, detail).after(SOON)
+    Refusal::new(kind, detail).after(DEFAULT_RETRY_AFTER)
 }
 
 /// Counts and logs a final response.
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -11,7 +11,7 @@
 use super::owned_jobs::{OwnedJob, UnsavedTexts};
 use super::submit::VALUE_RESERVE_BYTES;
 use crate::Name;
-use crate::edge::store::{Item, StoreError, Txn, TxnEnd};
+use crate::edge::store::{KeyValue, StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
 /// How long results are gathered for one write once the trainer may be waiting for them. A
@@ -134,7 +134,7 @@
             return true;
         }
         match app.store.txn(txn).await {
-            Ok(TxnEnd::Done(written)) => {
+            Ok(TxnOutcome::Done(written)) => {
                 if last {
                     *owned.record.lock() = Stored { value, revision: written };
                 }
@@ -144,7 +144,7 @@
                 batch_written(owned, batch.len());
                 return true;
             }
-            Ok(TxnEnd::Conflict(items)) => {
+            Ok(TxnOutcome::Conflict(items)) => {
                 match classify_conflict(app, owned, id, &items, &batch_key, &bytes) {
                     WriteConflict::Written => {
                         batch_written(owned, batch.len());
@@ -157,7 +157,7 @@
                     }
                 }
             }
-            Ok(TxnEnd::NoLease) => {}
+            Ok(TxnOutcome::NoLease) => {}
             Err(e) => {
                 tracing::warn!(event = "results_not_written", job = %id, error = %e);
                 if matches!(e, StoreError::Unknown(_)) && !batch.is_empty() {
@@ -191,7 +191,7 @@
     app: &Arc<App>,
     owned: &Arc<OwnedJob>,
     id: &str,
-    items: &[Item],
+    items: &[KeyValue],
     batch_key: &str,
     bytes: &[u8],
 ) -> WriteConflict {
@@ -209,7 +209,7 @@
 
 /// Updates the job's record from the store, and stops the job if its trainer has ended it.
 /// False if another node is the owner.
-pub(super) fn update_record(app: &Arc<App>, owned: &Arc<OwnedJob>, item: &Item) -> bool {
+pub(super) fn update_record(app: &Arc<App>, owned: &Arc<OwnedJob>, item: &KeyValue) -> bool {
     let Ok(value) = serde_json::from_slice::<JobRecord>(&item.value) else { return false };
     let mut record = owned.record.lock();
     if item.revision < record.revision {
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -18,7 +18,7 @@
             return;
         }
         tracing::info!(event = "retirement_requested", node, within_ms = within.as_millis() as u64);
-        let put = self.schema.retired(node);
+        let put = self.schema.retirement_done(node);
         let store: Arc<_> = self.store.clone();
         self.spawn(async move {
             loop {
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -16,7 +16,7 @@
 use super::sample;
 use crate::Name;
 use crate::decide::job::{ItemResult, Job, JobSpec, SampleText, SavedProgress};
-use crate::edge::store::{Change, Item};
+use crate::edge::store::{Change, KeyValue};
 use crate::metrics::JobStep;
 
 /// Pause after a failed read of the job's record.
@@ -51,7 +51,7 @@
         let RestoredJob { results, texts, text_writes } = restored;
         let id = spec.id.clone();
         if let Some(model) = &spec.model {
-            self.demand.lock().note(model, spec.estimated_work(), self.now());
+            self.demand.lock().record(model, spec.estimated_work(), self.now());
         }
         let queue_order = self.owned_jobs.assign_order(&spec);
         let job = Job::new(spec, results);
@@ -158,7 +158,7 @@
 }
 
 /// The written items among some changes.
-fn put_items(changes: Vec<Change>) -> Vec<Item> {
+fn put_items(changes: Vec<Change>) -> Vec<KeyValue> {
     let puts = changes.into_iter().filter_map(|change| match change {
         Change::Put(item) => Some(item),
         Change::Removed { .. } => None,
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -12,7 +12,7 @@
 use crate::Name;
 use crate::decide::job::{FinishEffect, ItemSpec, ItemState, JobSpec};
 use crate::decide::{Route, SlotRequest};
-use crate::edge::replica::Call;
+use crate::edge::replica::ReplicaCall;
 use crate::metrics::SampleEnd;
 
 /// Base of the pause after attempts that brought no events: twice this after the second one in a
@@ -90,7 +90,7 @@
             tracing::info!(event = "sample_given_up", item = %item.id, reason = "retention");
             return false;
         }
-        let Some(service) = route.service(app.draw()).cloned() else {
+        let Some(service) = route.pick_service(app.draw()).cloned() else {
             tokio::time::sleep(ROUTE_POLL_INTERVAL).await;
             continue;
         };
@@ -121,7 +121,7 @@
             AttemptResult::Failed => {
                 failed += 1;
                 tracing::info!(event = "sample_failed", item = %item.id, %replica, failed);
-                if failed >= route.attempts {
+                if failed >= route.max_attempts {
                     return false;
                 }
             }
@@ -141,7 +141,7 @@
 }
 
 /// The request for a sample's text, from after event `last` on.
-fn call(route: &Route, priority: u8, spec: &JobSpec, item: &ItemSpec, last: u64) -> Call {
+fn call(route: &Route, priority: u8, spec: &JobSpec, item: &ItemSpec, last: u64) -> ReplicaCall {
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         if let (Ok(name), Ok(value)) =
@@ -150,7 +150,7 @@
             headers.append(name, value);
         }
     }
-    Call {
+    ReplicaCall {
         id: item.id.clone(),
         method: Method::POST,
         path: item.path.clone(),
@@ -158,8 +158,8 @@
         organisation: spec.organisation.clone(),
         headers,
         body: item.body.clone(),
-        limit: route.retention,
-        after: (last > 0).then_some(last),
-        rank: Some(priority.min(MAX_PRIORITY)),
+        timeout: route.retention,
+        last_event: (last > 0).then_some(last),
+        priority: Some(priority.min(MAX_PRIORITY)),
     }
 }
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -9,7 +9,7 @@
 use super::app::App;
 use super::scale::{SlotDemand, SlotDemandGuard};
 use crate::decide::{AttemptRequest, Fleet, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition};
-use crate::edge::replica::{Load, Target};
+use crate::edge::replica::{ReplicaLoad, Target};
 use crate::{Moment, Name};
 
 /// How often the queue is processed while it is not empty. Replicas that are excluded for a time
@@ -124,7 +124,7 @@
 impl App {
     /// Records that the head of a replica's response arrived, with the load that the replica
     /// reported in it, if any.
-    pub(super) fn record_response_head(&self, replica: &str, load: Option<Load>) {
+    pub(super) fn record_response_head(&self, replica: &str, load: Option<ReplicaLoad>) {
         let now = self.now();
         {
             let mut fleet = self.slots.fleet.lock();
--- a/src/entry/stream.rs
+++ b/src/entry/stream.rs
@@ -13,8 +13,8 @@
 use super::relay::RequestState;
 use super::slots::SlotGuard;
 use crate::decide::job::EventReader;
-use crate::decide::{Again, AttemptRequest, ReplicaOutcome};
-use crate::edge::replica::{Call, Pieces, Reply, Target};
+use crate::decide::{AttemptRequest, ReplicaOutcome, RetryPolicy};
+use crate::edge::replica::{BodyStream, ReplicaCall, Reply, Target};
 use crate::{Moment, Name};
 
 /// Timeout for the next event, and for the head of the response when a stream is resumed.
@@ -27,7 +27,7 @@
 /// The state of a forwarded stream.
 struct StreamForwarder {
     app: Arc<App>,
-    call: Call,
+    call: ReplicaCall,
     client_leaves: Moment,
     service: Option<Name>,
     avoid: Vec<Name>,
@@ -50,15 +50,20 @@
 }
 
 /// Forwards a stream. The result ends in an error if the stream can't be completed.
-pub(super) fn forward(app: Arc<App>, state: &RequestState, target: Target, reply: Reply) -> Pieces {
+pub(super) fn forward(
+    app: Arc<App>,
+    state: &RequestState,
+    target: Target,
+    reply: Reply,
+) -> BodyStream {
     let service = app.slots.fleet.lock().get(&target.id).map(|l| l.service.clone());
     let forward = StreamForwarder {
         call: state.call(app.now()),
         client_leaves: state.client_leaves,
         service,
         avoid: state.avoid.clone(),
-        resume: state.route.again == Again::Resume,
-        attempts_left: state.route.attempts.saturating_sub(state.attempts),
+        resume: state.route.retry_policy == RetryPolicy::Resume,
+        attempts_left: state.route.max_attempts.saturating_sub(state.attempts),
         last_event: state.request.resume_after,
         version: reply.version,
         app: app.clone(),
@@ -119,8 +124,8 @@
             };
             let Some(slot) = app.take_slot(&wish) else { break };
             let mut call = self.call.clone();
-            call.after = self.last_event;
-            call.limit = time;
+            call.last_event = self.last_event;
+            call.timeout = time;
             let sending = app.replicas.send(&slot.target, call);
             if let Ok(Ok(reply)) = tokio::time::timeout(EVENT_TIMEOUT, sending).await
                 && reply.status.is_success()
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -14,7 +14,7 @@
 use super::takeover;
 use crate::Name;
 use crate::decide::job::JobSpec;
-use crate::edge::store::{StoreError, Txn, TxnEnd};
+use crate::edge::store::{StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
 /// Most parts of a submission: they and the job's record are written in one transaction.
@@ -120,14 +120,14 @@
         let mut probed = false;
         loop {
             let reason = match self.store.txn(txn.clone()).await {
-                Ok(TxnEnd::Done(revision)) => {
+                Ok(TxnOutcome::Done(revision)) => {
                     tracing::info!(event = "job_accepted", job = %spec.id, items = spec.items.len(), revision);
                     self.run_job(spec, RestoredJob::default(), Stored { value, revision });
                     return SubmitResult::Accepted;
                 }
                 // The job is in the store already: from an earlier attempt, or through another
                 // node.
-                Ok(TxnEnd::Conflict(items)) => {
+                Ok(TxnOutcome::Conflict(items)) => {
                     let own = items.first().and_then(|item| {
                         let value: JobRecord = serde_json::from_slice(&item.value).ok()?;
                         let seen = Stored { value, revision: item.revision };
@@ -142,7 +142,7 @@
                     }
                     return SubmitResult::Accepted;
                 }
-                Ok(TxnEnd::NoLease) => return SubmitResult::Refused("no_lease".into()),
+                Ok(TxnOutcome::NoLease) => return SubmitResult::Refused("no_lease".into()),
                 Err(StoreError::Unknown(reason)) => {
                     outcome_unknown = true;
                     reason
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -16,7 +16,7 @@
 use super::submit::unix_millis;
 use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
 use crate::decide::rank;
-use crate::edge::store::{Page, StoreError, Txn, TxnEnd};
+use crate::edge::store::{RangeResult, StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 use crate::{Moment, Name};
 
@@ -142,13 +142,13 @@
     let key = job_record_key(job);
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
     match app.store.txn(txn).await {
-        Ok(TxnEnd::Done(revision)) => {
+        Ok(TxnOutcome::Done(revision)) => {
             app.tally.job(JobStep::Taken);
             tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
             resume_job(app, job, Stored { value, revision }).await
         }
         // Another node has taken the job over, or its trainer has ended it.
-        Ok(TxnEnd::Conflict(_) | TxnEnd::NoLease) => true,
+        Ok(TxnOutcome::Conflict(_) | TxnOutcome::NoLease) => true,
         Err(e) => {
             tracing::warn!(event = "takeover_failed", %job, error = %e);
             app.watch_for_late_write(job.clone());
@@ -183,7 +183,7 @@
 /// Rebuilds the unfinished texts from all their saves in order, and returns them with the index
 /// for the next save.
 fn decode_texts(
-    page: &Page,
+    page: &RangeResult,
     listed: &[Arc<ItemResult>],
 ) -> (ByName<(SampleText, SavedProgress)>, usize) {
     let mut texts: ByName<(SampleText, SavedProgress)> = ByName::new();
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -162,7 +162,7 @@
         let text = section.text("window").unwrap_or_default();
         return Err(section.bad("window", text, "shorter than a second".to_owned()));
     }
-    Ok(Windows { length, late: section.duration("late", length)? })
+    Ok(Windows { length, report_grace: section.duration("late", length)? })
 }
 
 /// Reads an address that may be absent or empty.
--- a/standins/src/slope/serving.rs
+++ b/standins/src/slope/serving.rs
@@ -4,8 +4,8 @@
 
 use futures_util::StreamExt;
 use mulberrycourse::client::{Caller, Trainer};
-use mulberrycourse::decide::Prompt;
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::decide::GroupSpec;
+use mulberrycourse::edge::http::JsonClient;
 use tokio::time::Instant;
 
 use super::{NodesError, Scrape, Table};
@@ -30,7 +30,7 @@
 struct One {
     fleet: Fleet,
     daemon: Daemon,
-    fetch: Fetch,
+    fetch: JsonClient,
 }
 
 impl One {
@@ -39,7 +39,7 @@
         let fleet = Fleet::spawn(0, engines, each).await?;
         let platform = fleet.platform.address();
         let daemon = Daemon::spawn(exe, "node", &fleet, platform, folder.path())?;
-        let one = Self { fleet, daemon, fetch: Fetch::default() };
+        let one = Self { fleet, daemon, fetch: JsonClient::default() };
         let caller = one.caller();
         while caller.call("stock", "/", "", None, WAIT).await.is_err() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -139,7 +139,7 @@
     let one = One::spawn(exe, 16, engines).await?;
     let (before, at_rest) = one.spent().await?;
     let client = Trainer::new("coach".into(), vec![one.daemon.callers]);
-    let prompt = Prompt { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
+    let prompt = GroupSpec { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
     let began = Instant::now();
     let run = trainer::run(&client, 1, 1, &prompt, size / GROUP, Duration::ZERO);
     tokio::pin!(run);
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -8,8 +8,8 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use mulberrycourse::client::Trainer;
-use mulberrycourse::decide::{Group, Prompt, Sample, Span, Spec};
-use mulberrycourse::edge::http::read;
+use mulberrycourse::decide::{Group, GroupSpec, Sample, Span, StepSpec};
+use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{Pull, Pulled};
 use serde_json::json;
 use standins::fleet::ANY;
@@ -30,7 +30,7 @@
             let addresses = self.address.get().into_iter().collect::<Vec<_>>();
             return answer(StatusCode::OK, &json!({ "addresses": addresses, "ttl_ms": 60_000 }));
         }
-        let body = read(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
         if !path.ends_with("/pull") {
             return answer(StatusCode::OK, &json!({}));
         }
@@ -74,8 +74,8 @@
     let server = Server::bind(ANY, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = Trainer::new("coach".into(), vec![server.address()]);
-    let prompt = Prompt { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
-    let spec = Spec { version: 4, groups: vec![prompt; 2] };
+    let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
+    let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
     trainer.advance(5);
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     assert_eq!(pulling.next().await.unwrap(), [group(0, &[5, 4])]);
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -99,8 +99,8 @@
                 let _turn = way.lock().await;
                 tokio::time::sleep(Duration::from_micros(piece as u64 * 1_000_000 / rate)).await;
             };
-            tokio::time::timeout_at(begun + transfer.due(), sent).await?;
-            transfer.come(piece, begun.elapsed());
+            tokio::time::timeout_at(begun + transfer.deadline(), sent).await?;
+            transfer.record_received(piece, begun.elapsed());
             left -= piece;
         }
         Ok(())
@@ -126,7 +126,7 @@
         let links = self.clone();
         Box::pin(async move {
             tokio::time::sleep(ANSWER).await;
-            let late = PeerError::Late { to, limit, came: 0 };
+            let late = PeerError::Timeout { to, timeout: limit, received: 0 };
             match found {
                 None | Some((_, Link::Cut)) => {
                     Err(PeerError::Connect { to, reason: "refused".to_owned() })
@@ -144,11 +144,12 @@
                     let begun = Instant::now();
                     let mut transfer = Transfer::new(limit, pack(&ask).unwrap().len());
                     let door = PeerResponder::new(app);
-                    let answer = tokio::time::timeout_at(begun + transfer.due(), door.answer(ask));
+                    let answer =
+                        tokio::time::timeout_at(begun + transfer.deadline(), door.answer(ask));
                     let Ok(reply) = answer.await else { return Err(late) };
                     let carried = links.carry(to, &reply, &mut transfer, begun).await;
                     carried.map(|()| reply).map_err(|_| {
-                        links.given_up.lock().push(transfer.came());
+                        links.given_up.lock().push(transfer.received_bytes());
                         late
                     })
                 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{StepReport, Trainer};
-use mulberrycourse::decide::{Prompt, Spec};
-use mulberrycourse::edge::upstream::{EngineClient, Order};
+use mulberrycourse::decide::{GroupSpec, StepSpec};
+use mulberrycourse::edge::upstream::{EngineClient, EngineOrder};
 use standins::engine::{Engine, EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
 use standins::trainer::{flat, tokens, truth};
@@ -19,9 +19,9 @@
     EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() }
 }
 
-fn spec(version: u64) -> Spec {
-    let prompt = |g| Prompt { prompt: format!("palm {g}"), samples: 4, max_tokens: 160 };
-    Spec { version, groups: (0..3).map(prompt).collect() }
+fn spec(version: u64) -> StepSpec {
+    let prompt = |g| GroupSpec { prompt: format!("palm {g}"), samples: 4, max_tokens: 160 };
+    StepSpec { version, groups: (0..3).map(prompt).collect() }
 }
 
 /// Pulls the step while `disturb` runs, and checks each label against the ledgers.
@@ -136,7 +136,7 @@
     crawl(&fleet, &Faults::default());
     let versions = disturbed(&fleet, async {
         streaming(&fleet).await;
-        let old = Order { generation: 0, version: 7 };
+        let old = EngineOrder { generation: 0, version: 7 };
         for engine in &fleet.engines {
             let told = EngineClient::default().order(engine.address(), old, GUARD).await;
             assert!(told.unwrap().taken);
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use mulberrycourse::client::{Caller, CallerError, Trainer};
-use mulberrycourse::decide::{Prompt, Spec};
-use mulberrycourse::edge::http::Fetch;
+use mulberrycourse::decide::{GroupSpec, StepSpec};
+use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::error::Run;
 use mulberrycourse::node::Addresses;
 use standins::caller::{completion, expected};
@@ -35,8 +35,8 @@
     assert_eq!(answer.body, expected(&request));
 
     let trainer = Trainer::new("coach".into(), fleet.callers());
-    let prompt = Prompt { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
-    let spec = Spec { version: 1, groups: vec![prompt; 5] };
+    let prompt = GroupSpec { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
+    let spec = StepSpec { version: 1, groups: vec![prompt; 5] };
     let report = trainer.step(1, &spec).await.unwrap();
     assert_eq!(report.groups.len(), 5);
     assert_eq!(report.doubled, 0);
@@ -77,7 +77,7 @@
 async fn dead_node_in_a_kept_answer() {
     let mut fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     let first = fleet.callers()[0];
-    let fetch = Fetch::default();
+    let fetch = JsonClient::default();
     while fetch.get::<Addresses>(first, "/v1/addresses", WAIT).await.unwrap().addresses.len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
