--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -1,4 +1,4 @@
-//! What a trainer gets whatever happens to nodes, replicas and the store.
+//! What a trainer receives when nodes, replicas or the store fail.
 
 use std::time::Duration;
 
@@ -8,10 +8,11 @@
 
 use crate::world::{World, assert_completed, job_spec, sleep_ms, wait_until};
 
-const LONG: u64 = 60;
+/// Number of events of a text that takes about two seconds.
+const LONG_TEXT_EVENTS: u64 = 60;
 
 #[tokio::test(start_paused = true)]
-async fn a_job_is_made_scored_and_listed_the_same_at_every_node() {
+async fn a_job_is_made_and_scored_and_reads_the_same_at_every_node() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     assert_eq!(a.submit("j", &["i1", "i2", "i3"]).await, SubmitResult::Accepted);
@@ -33,7 +34,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_to_the_submission_is_settled() {
+async fn a_submission_whose_answer_was_lost_is_accepted() {
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { lose: 1, ..Faults::default() });
@@ -54,7 +55,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_submission_that_takes_effect_late_is_run_by_its_home() {
+async fn a_submission_that_takes_effect_late_is_run_by_its_owner() {
     let world = World::new();
     let a = world.node("a").await;
     a.line.fail(Faults { lose: 100, late: Duration::from_secs(4), ..Faults::default() });
@@ -64,29 +65,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_home_is_replaced_and_texts_go_on_where_they_were() {
+async fn a_crashed_owner_is_replaced_and_its_texts_are_continued() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i1", LONG);
+    world.replicas.length("i1", LONG_TEXT_EVENTS);
     a.submit("j", &["i1", "i2"]).await;
     sleep_ms(1_500).await;
     drop(a);
     let whole = b.read_all("j", 2).await;
-    whole.iter().for_each(|l| assert_completed(l, if &*l.id == "i1" { LONG } else { 5 }));
+    whole
+        .iter()
+        .for_each(|l| assert_completed(l, if &*l.id == "i1" { LONG_TEXT_EVENTS } else { 5 }));
     let ran = world.replicas.ran();
     let again = ran.iter().filter(|r| &*r.id == "i1").nth(1).unwrap();
     assert!(again.after.is_some_and(|after| after > 10), "{again:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leaving_home_hands_its_texts_over() {
+async fn a_leaving_owner_hands_its_texts_over() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i1", LONG);
+    world.replicas.length("i1", LONG_TEXT_EVENTS);
     a.submit("j", &["i1"]).await;
     sleep_ms(1_000).await;
     a.entry.drain().await;
-    b.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, LONG));
+    b.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, LONG_TEXT_EVENTS));
     let ran = world.replicas.ran();
     let texts: Vec<_> = ran.iter().filter(|r| &*r.id == "i1").collect();
     assert_eq!(texts.len(), 2);
@@ -97,15 +100,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeated_submission_at_the_new_home_loses_no_results() {
+async fn a_repeated_submission_at_the_new_owner_loses_no_results() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", LONG);
+    world.replicas.length("i2", LONG_TEXT_EVENTS);
     a.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = b.read_page("j", 0).await;
     assert_eq!(shown.len(), 1);
-    // It comes while the new home has the job, but has not read it yet.
+    // It arrives when the new owner has taken the job over, but has not read it yet.
     let again = async {
         let key = "mulberry/home/j";
         while !String::from_utf8_lossy(&world.kv.items(key)[0].value).contains("\"b.") {
@@ -150,7 +153,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn texts_survive_replicas_that_break_off_fall_silent_or_refuse() {
+async fn texts_survive_replicas_that_disconnect_stall_or_refuse() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.mood("e1", Mood::Breaks(3));
@@ -170,11 +173,11 @@
     world.replicas.mood("e1", Mood::Slow(4));
     world.replicas.mood("e2", Mood::Slow(4));
     for id in ["i1", "i2", "i3"] {
-        world.replicas.length(id, LONG);
+        world.replicas.length(id, LONG_TEXT_EVENTS);
     }
     let begun = tokio::time::Instant::now();
     a.submit("j", &["i1", "i2", "i3"]).await;
-    a.read_all("j", 3).await.iter().for_each(|l| assert_completed(l, LONG));
+    a.read_all("j", 3).await.iter().for_each(|l| assert_completed(l, LONG_TEXT_EVENTS));
     // A fast replica needs 2.1 s; a slow one alone would need 8.4 s.
     let took = begun.elapsed();
     assert!(took < Duration::from_millis(4_500), "{took:?}");
@@ -193,8 +196,7 @@
     assert_eq!(world.replicas.ran().iter().filter(|r| &*r.id == "i1").count(), 3);
 }
 
-/// The time of day does not stand still on a paused clock, so the settings say that a job is
-/// kept for no time.
+/// The system time passes even on a paused clock, so the job retention is set to zero.
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_done_and_old_leaves_nothing_in_the_store() {
     let world = World::new();
@@ -207,13 +209,13 @@
     assert!(world.kv.items("mulberry/job/j/").is_empty());
     assert!(world.kv.items("mulberry/home/j").is_empty());
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
-    // What is still made stays.
+    // A job whose samples are still being made stays.
     assert!(!world.kv.items("mulberry/job/k/").is_empty());
     a.read_all("k", 1).await.iter().for_each(|l| assert_completed(l, 900));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_away_for_a_while_loses_nothing() {
+async fn a_temporary_outage_of_the_store_loses_nothing() {
     let world = World::new();
     let a = world.node("a").await;
     a.submit("j", &["i1", "i2"]).await;
@@ -223,28 +225,28 @@
     a.read_all("j", 2).await.iter().for_each(|l| assert_completed(l, 5));
 }
 
-/// Guards: what was made in an outage of the store came to one value that was too large for
-/// it, and was refused until the step ran out of time.
+/// Guards against results that were made in an outage of the store being written as one value
+/// that exceeds its limit; it was refused until the training step ran out of time.
 #[tokio::test(start_paused = true)]
-async fn what_was_made_in_an_outage_is_listed_in_parts() {
+async fn results_of_an_outage_are_written_in_parts() {
     let world = World::new();
     world.kv.most(16 << 10);
     let a = world.node_with_value_bytes("a", 16 << 10).await;
     let items: Vec<String> = (0..60).map(|i| format!("i{i:02}")).collect();
     let items: Vec<&str> = items.iter().map(|i| &**i).collect();
-    items.iter().for_each(|item| world.replicas.length(item, LONG));
+    items.iter().for_each(|item| world.replicas.length(item, LONG_TEXT_EVENTS));
     a.submit("j", &items).await;
     a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
     sleep_ms(15_000).await;
     a.line.fail(Faults::default());
-    a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, LONG));
+    a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, LONG_TEXT_EVENTS));
     assert!(world.kv.items("mulberry/job/j/results").len() > 1);
 }
 
-/// Guards: a submission whose time to try was over as the store came back was not tried once
-/// more, and its trainer did not come again.
+/// Guards against a submission whose retry time ends just as the store comes back and that is
+/// not tried once more; its trainer did not submit it again.
 #[tokio::test(start_paused = true)]
-async fn a_submission_is_kept_as_the_store_comes_back() {
+async fn a_submission_is_accepted_as_the_store_comes_back() {
     for before in [200, 500, 800, 1_100, 1_400, 1_700] {
         let world = World::new();
         let a = world.node("a").await;
@@ -261,14 +263,14 @@
     }
 }
 
-/// Guards: a home that left while a write of results was under way wrote the same results
-/// once more, counted them twice, and ended in a panic with requests in flight.
+/// Guards against an owner that leaves during a write of results, writes the same results again
+/// and counts them twice; that ended in a panic with requests in flight.
 #[tokio::test(start_paused = true)]
-async fn a_home_may_leave_at_any_point_of_a_write() {
+async fn an_owner_may_leave_at_any_point_of_a_write() {
     for after in 590..625 {
         let world = World::new();
         let (a, b) = (world.node("a").await, world.node("b").await);
-        world.replicas.length("i3", LONG);
+        world.replicas.length("i3", LONG_TEXT_EVENTS);
         a.submit("j", &["i1", "i2", "i3"]).await;
         sleep_ms(after).await;
         a.entry.drain().await;
@@ -280,8 +282,8 @@
     }
 }
 
-/// Guards: a process that was stopped while the store was silent was still there at the end of
-/// its grace, and was killed with whatever it had in flight.
+/// Guards against a process that is stopped while the store does not answer, and that still runs
+/// at the end of its grace; it was killed with its requests in flight.
 #[tokio::test(start_paused = true)]
 async fn a_node_that_leaves_in_an_outage_has_time_left_for_requests() {
     for after in [0, 300, 900, 2_000] {
@@ -298,10 +300,10 @@
     }
 }
 
-/// Guards: answers that the time was over counted like failures, and samples were given up
-/// that could have been made (seen at 300 nodes, whose scorers were slow).
+/// Guards against responses that say that the time is over being counted as failures, so that
+/// samples were given up that could have been made (seen at 300 nodes with slow scorers).
 #[tokio::test(start_paused = true)]
-async fn answers_that_came_too_late_give_no_sample_up() {
+async fn responses_that_say_that_the_time_is_over_give_no_sample_up() {
     for slow in [["p1", "p2"].as_slice(), ["e1", "e2", "e3"].as_slice()] {
         let world = World::new();
         let a = world.node("a").await;
--- a/tests/entry/main.rs
+++ b/tests/entry/main.rs
@@ -1,4 +1,4 @@
-//! Processes that keep all that lasts in a key-value service, on a paused clock.
+//! Entry nodes, which keep all lasting state in a key-value service, on a paused clock.
 #![allow(clippy::unwrap_used)]
 
 mod bulk;
--- a/tests/entry/reads.rs
+++ b/tests/entry/reads.rs
@@ -1,10 +1,10 @@
-//! Reads are never older than what was shown before.
+//! A read never returns less than an earlier read did.
 
 use standins::kv::Faults;
 
 use crate::world::{World, sleep_ms, wait_until};
 
-/// Guards: an empty page came from a view that was older than another node's.
+/// Guards against an empty page from a cached view that is older than another node's.
 #[tokio::test(start_paused = true)]
 async fn a_read_without_a_wait_asks_the_store() {
     let world = World::new();
@@ -16,10 +16,10 @@
     assert_eq!(b.read_page("j", 0).await.len(), 1);
 }
 
-/// Guards: a home that lost the answer of its last write showed fewer results than the store
-/// once the job was ended.
+/// Guards against an owner that, after the answer to its last write was lost and the job was
+/// ended, returned fewer results than the store has.
 #[tokio::test(start_paused = true)]
-async fn an_ended_home_shows_what_the_store_has() {
+async fn an_owner_of_an_ended_job_returns_what_the_store_has() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i2", 500);
@@ -34,9 +34,10 @@
     assert_eq!(a.read_page("j", 0).await, shown);
 }
 
-/// Guards: a view went on from a history that was gone, and heard nothing.
+/// Guards against a cached view that continued its watch from a compacted history and got no
+/// results.
 #[tokio::test(start_paused = true)]
-async fn a_dropped_history_hides_no_results() {
+async fn a_compacted_history_hides_no_results() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i2", 40);
@@ -49,10 +50,11 @@
     assert_eq!(b.read_page("j", 1).await.len(), 1);
 }
 
-/// Guards: a view that had rested for longer than the store keeps its history went on from
-/// there and heard nothing (112 results read, none at the last position).
+/// Guards against a cached view that had not been updated for longer than the store keeps its
+/// history, and continued its watch from there without getting any results (112 results were
+/// read, and none at the last position).
 #[tokio::test(start_paused = true)]
-async fn a_view_that_rested_for_long_reads_the_whole_again() {
+async fn a_view_without_recent_updates_is_read_again() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.length("i2", 40);
@@ -66,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_cannot_be_sure_says_so() {
+async fn a_read_without_an_answer_of_the_store_is_unsure() {
     use std::time::Duration;
 
     use mulberrycourse::entry::ReadResult;
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -1,4 +1,4 @@
-//! Requests of live callers at replicas that fail.
+//! Requests of live clients when replicas fail.
 
 use futures_util::StreamExt;
 use mulberrycourse::entry::RelayResponse;
@@ -7,11 +7,13 @@
 
 use crate::world::{HOST, Node, World, relay_request, sleep_ms};
 
-async fn given(node: &Node, id: &str, path: &str) -> RelayResponse {
+/// Relays a request by a node.
+async fn relayed(node: &Node, id: &str, path: &str) -> RelayResponse {
     let route = node.app().routes().unwrap().find(HOST, path).cloned().unwrap();
     node.app().relay(&route, relay_request(id, path)).await
 }
 
+/// The number of times that replicas ran a request.
 fn runs(world: &World, id: &str) -> usize {
     world.replicas.ran().iter().filter(|r| &*r.id == id).count()
 }
@@ -24,7 +26,8 @@
         world.replicas.mood("p1", mood);
         for i in 0..4 {
             let id = format!("{mood:?}{i}");
-            let RelayResponse::Complete { status, body, .. } = given(&node, &id, "/plain/x").await
+            let RelayResponse::Complete { status, body, .. } =
+                relayed(&node, &id, "/plain/x").await
             else {
                 panic!("{mood:?}");
             };
@@ -41,7 +44,7 @@
     for id in ["p1", "p2"] {
         world.replicas.mood(id, Mood::Breaks(0));
     }
-    let RelayResponse::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
+    let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, Run::Unknown));
     sleep_ms(5_000).await;
     assert_eq!(runs(&world, "r1"), 1);
@@ -55,7 +58,7 @@
         world.replicas.mood(id, Mood::Full);
     }
     let begun = tokio::time::Instant::now();
-    let RelayResponse::Refused(refusal) = given(&node, "r1", "/once/x").await else { panic!() };
+    let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!(refusal.run(), Run::NotRun);
     assert!(refusal.after.is_some());
     assert!(begun.elapsed().as_millis() < 100);
@@ -70,34 +73,36 @@
     world.replicas.mood("p2", Mood::Full);
     for i in 0..6 {
         let id = format!("r{i}");
-        let given = given(&node, &id, "/plain/x").await;
-        let RelayResponse::Refused(refusal) = given else { panic!("{given:?}") };
+        let response = relayed(&node, &id, "/plain/x").await;
+        let RelayResponse::Refused(refusal) = response else { panic!("{response:?}") };
         assert_eq!(refusal.run() == Run::NotRun, runs(&world, &id) == 0);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_gets_its_answer_at_its_route_s_time() {
+async fn a_request_is_refused_when_its_route_s_timeout_ends() {
     let world = World::new();
     let node = world.node("a").await;
     for id in ["p1", "p2"] {
         world.replicas.mood(id, Mood::Silent);
     }
     let begun = tokio::time::Instant::now();
-    let RelayResponse::Refused(_) = given(&node, "r1", "/plain/x").await else { panic!() };
+    let RelayResponse::Refused(_) = relayed(&node, "r1", "/plain/x").await else { panic!() };
     let took = begun.elapsed().as_millis();
     assert!((1_900..=2_050).contains(&took), "{took}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stream_goes_on_elsewhere_without_a_gap() {
+async fn a_stream_is_resumed_elsewhere_without_a_gap() {
     let world = World::new();
     let node = world.node("a").await;
     world.replicas.length("s1", 12);
     for id in ["e1", "e2"] {
         world.replicas.mood(id, Mood::Breaks(4));
     }
-    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
+        panic!()
+    };
     let pieces: Vec<_> = body.0.collect().await;
     let text: String =
         pieces.into_iter().map(|p| String::from_utf8(p.unwrap().to_vec()).unwrap()).collect();
@@ -107,9 +112,9 @@
     assert!(text.contains(&ReplicaFleet::event("s1", 12)));
 }
 
-/// Guards: a stream that was taken up later gave the replica the time of its first attempt.
+/// Guards against a resumed stream that gives the replica the time limit of the first attempt.
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_goes_on_has_what_is_left_of_its_client_s_time() {
+async fn a_resumed_stream_has_what_is_left_of_its_client_s_time() {
     let world = World::new();
     let node = world.node("a").await;
     world.replicas.length("s1", 60);
@@ -117,7 +122,7 @@
         world.replicas.mood(id, Mood::Breaks(25));
     }
     let route = node.app().routes().unwrap().find(HOST, "/text/x").cloned().unwrap();
-    // The route keeps nobody waiting for over 4 s; its client waits longer for the whole.
+    // The route's timeout is 4 s; the client waits longer for the end of the stream.
     let mut ask = relay_request("s1", "/text/x");
     ask.deadline = Some(std::time::Duration::from_secs(9));
     let RelayResponse::Stream { body, .. } = node.app().relay(&route, ask).await else { panic!() };
@@ -131,14 +136,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_stream_that_can_t_go_on_is_cut() {
+async fn a_stream_that_cannot_be_resumed_is_aborted() {
     let world = World::new();
     let node = world.node("a").await;
     for id in ["e1", "e2", "e3"] {
         world.replicas.mood(id, Mood::Breaks(2));
     }
     world.replicas.length("s1", 50);
-    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
+        panic!()
+    };
     let pieces: Vec<_> = body.0.collect().await;
     assert!(pieces.last().unwrap().is_err());
 }
@@ -148,7 +155,9 @@
     let world = World::new();
     let node = world.node("a").await;
     world.replicas.length("s1", 500);
-    let RelayResponse::Stream { body, .. } = given(&node, "s1", "/text/x").await else { panic!() };
+    let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
+        panic!()
+    };
     let mut pieces = body.0;
     pieces.next().await.unwrap().unwrap();
     drop(pieces);
@@ -165,7 +174,7 @@
     world.replicas.list("plain", "p1", true);
     sleep_ms(50).await;
     for i in 0..10 {
-        given(&node, &format!("r{i}"), "/plain/x").await;
+        relayed(&node, &format!("r{i}"), "/plain/x").await;
     }
     assert!(world.replicas.ran().iter().all(|r| &*r.replica == "p2"));
 }
--- a/tests/entry/scale.rs
+++ b/tests/entry/scale.rs
@@ -1,29 +1,30 @@
-//! Replicas are ordered by one holder at a time where steps want more places than there are.
+//! The leader orders replicas when training steps need more slots than there are.
 
 use std::time::Duration;
 
 use crate::world::{Node, World, sleep_ms, wait_until};
 
-/// The most replicas that the routes of these worlds allow.
-const MOST: u32 = 9;
-/// Events of a text that takes three and a half seconds.
-const LONG: u64 = 100;
+/// The maximum number of replicas that the routes of these worlds allow.
+const MAX_REPLICAS: u32 = 9;
+/// Number of events of a text that takes three and a half seconds.
+const LONG_TEXT_EVENTS: u64 = 100;
 
-/// A job whose texts want more than four times the places that there are.
+/// Submits a job whose texts need more than four times the slots that there are.
 async fn submit_many(world: &World, node: &Node) -> usize {
     let ids: Vec<String> = (0..120).map(|i| format!("i{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-    ids.iter().for_each(|id| world.replicas.length(id, LONG));
+    ids.iter().for_each(|id| world.replicas.length(id, LONG_TEXT_EVENTS));
     node.submit("j", &ids).await;
     ids.len()
 }
 
+/// The replica counts that were ordered, in order.
 fn desired(world: &World) -> Vec<u32> {
     world.duties.ordered().iter().map(|(_, order)| order.desired).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn texts_that_wait_bring_replicas_and_end_sooner() {
+async fn waiting_texts_lead_to_more_replicas_and_end_sooner() {
     let mut took = Vec::new();
     for scaled in [false, true] {
         let world = if scaled { World::new().with_duties() } else { World::new() };
@@ -32,15 +33,15 @@
         let begun = world.clock.truth();
         let total = submit_many(&world, &a).await;
         if scaled {
-            wait_until(|| desired(&world) == [MOST]).await;
+            wait_until(|| desired(&world) == [MAX_REPLICAS]).await;
             sleep_ms(4_000).await;
-            for i in 4..=MOST {
+            for i in 4..=MAX_REPLICAS {
                 world.replicas.add("engines", &format!("e{i}"), &["coach"]);
             }
         }
         a.read_all("j", total).await;
         took.push(world.clock.truth() - begun);
-        assert_eq!(desired(&world), if scaled { vec![MOST] } else { vec![] });
+        assert_eq!(desired(&world), if scaled { vec![MAX_REPLICAS] } else { vec![] });
     }
     assert!(took[1] * 4 < took[0] * 3, "{took:?}");
 }
@@ -59,28 +60,28 @@
     assert_eq!(desired(&world), Vec::<u32>::new());
 }
 
-/// The holder goes before, while and after an order is sent; its successor sends what was
-/// written, and nothing with a lower fencing token.
+/// The leader stops before, while or after it sends an order. Its successor sends the plan that
+/// was written, and no order has a lower fencing token than an earlier one.
 #[tokio::test(start_paused = true)]
 async fn a_successor_sends_what_was_written() {
     for cut in [4_000, 5_000, 5_010, 5_020, 6_000, 7_500] {
         let world = World::new().with_duties();
         let mut nodes = vec![world.linked_node("a").await, world.linked_node("b").await];
         sleep_ms(5_000).await;
-        let holder = world.leader(&nodes);
-        submit_many(&world, &nodes[1 - holder]).await;
+        let leader = world.leader(&nodes);
+        submit_many(&world, &nodes[1 - leader]).await;
         sleep_ms(cut).await;
-        drop(nodes.remove(holder));
-        wait_until(|| desired(&world).last() == Some(&MOST)).await;
+        drop(nodes.remove(leader));
+        wait_until(|| desired(&world).last() == Some(&MAX_REPLICAS)).await;
         sleep_ms(8_000).await;
         let ordered = world.duties.ordered();
         let fences: Vec<u64> = ordered.iter().map(|(fence, _)| *fence).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
-        assert!(desired(&world).iter().all(|d| *d == MOST), "cut {cut}: {ordered:?}");
+        assert!(desired(&world).iter().all(|d| *d == MAX_REPLICAS), "cut {cut}: {ordered:?}");
     }
 }
 
-/// There are none to be had: it is asked for again after a pause, not at once.
+/// The platform has no replicas to give. The order is repeated after a pause, not at once.
 #[tokio::test(start_paused = true)]
 async fn a_refused_order_is_repeated_after_a_pause() {
     let world = World::new().with_duties();
@@ -89,6 +90,6 @@
     world.duties.refuse(2);
     let begun = world.clock.truth();
     submit_many(&world, &a).await;
-    wait_until(|| desired(&world).contains(&MOST)).await;
+    wait_until(|| desired(&world).contains(&MAX_REPLICAS)).await;
     assert!(world.clock.truth() - begun >= Duration::from_secs(6));
 }
--- a/tests/entry/shares.rs
+++ b/tests/entry/shares.rs
@@ -1,4 +1,4 @@
-//! What organisations receive while one of them asks for much more than the others.
+//! The share of each organisation while one of them demands much more than the others.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 
 use crate::world::{World, job_spec};
 
-/// A greedy organisation hands in ten steps, then another hands in one. In the order in which
-/// they came it was whole after all of them.
+/// One organisation submits ten training steps, and then another submits one. Guards against
+/// service in order of arrival, where that one step was completed after all the others.
 #[tokio::test(start_paused = true)]
-async fn a_step_of_another_organisation_is_not_whole_last() {
+async fn a_step_of_another_organisation_is_not_completed_last() {
     let world = World::new();
     let a = world.node("a").await;
     let submit = async |owner: &str, job: &str| {
--- a/tests/entry/versions.rs
+++ b/tests/entry/versions.rs
@@ -1,13 +1,14 @@
-//! What nodes believe of the versions that replicas have.
+//! The weight versions that nodes assume replicas to serve.
 
 use standins::replicas::Mood;
 
 use crate::world::{MODEL, World, assert_completed, job_spec_from, sleep_ms};
 
-/// Guards: a text that had come partly from a newer version made its node believe that every
-/// replica that went on with it has that version (330 runs in vain in a day).
+/// Guards against the following: a text was partly generated with a newer version, and the node
+/// then assumed that version for every replica that continued the text (330 futile attempts in a
+/// day).
 #[tokio::test(start_paused = true)]
-async fn a_text_says_nothing_of_replicas_that_made_other_parts_of_it() {
+async fn a_text_implies_no_version_of_replicas_that_made_other_parts_of_it() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.load("e1", MODEL, 2);
@@ -28,18 +29,18 @@
     a.app().submit(job_spec_from("k", &["k1", "k2"], 2)).await;
     a.read_all("k", 2).await;
     let ran = world.replicas.ran();
-    let vain = ran.iter().filter(|r| r.id.starts_with('k') && &*r.replica == "e3");
-    assert_eq!(vain.count(), 0);
+    let futile = ran.iter().filter(|r| r.id.starts_with('k') && &*r.replica == "e3");
+    assert_eq!(futile.count(), 0);
 }
 
-/// Guards: a replica that turned out to have an older version than believed was tried again
-/// and again for as long as it had the most room.
+/// Guards against a replica that turned out to serve an older version than assumed and yet was
+/// tried again and again, for as long as it had the most free slots.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_shows_an_older_version_is_believed() {
+async fn a_version_that_a_replica_shows_overrides_the_assumed_one() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.load("e1", MODEL, 2);
-    // The list has e2 and e3 newer than they are.
+    // The entries of e2 and e3 state a newer version than they serve.
     for id in ["e2", "e3"] {
         world.replicas.load(id, MODEL, 2);
         world.replicas.set(id, MODEL, 1);
@@ -49,19 +50,19 @@
     let items: Vec<&str> = items.iter().map(|i| &**i).collect();
     a.app().submit(job_spec_from("j", &items, 2)).await;
     a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, 5));
-    let vain = world
+    let futile = world
         .replicas
         .ran()
         .iter()
         .filter(|r| r.id.starts_with('i') && &*r.replica != "e1")
         .count();
-    assert!(vain <= 16, "{vain} runs in vain");
+    assert!(futile <= 16, "{futile} futile attempts");
 }
 
-/// Guards: events that were made under versions that do were thrown away with one that does
-/// not.
+/// Guards against the loss of events that were generated with allowed versions, when a later
+/// event is of a version that is not allowed.
 #[tokio::test(start_paused = true)]
-async fn what_was_made_stays_when_a_replica_shows_an_older_version() {
+async fn earlier_events_are_kept_when_a_replica_shows_an_older_version() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.load("e1", MODEL, 2);
@@ -78,15 +79,16 @@
     let ran = world.replicas.ran();
     let made = ran.iter().filter(|r| &*r.id == "i1");
     let made: Vec<(&str, Option<u64>)> = made.map(|r| (&*r.replica, r.after)).collect();
-    let vain = made.iter().position(|(replica, _)| *replica == "e2").unwrap();
-    assert!(vain > 0, "{made:?}");
-    assert_eq!(made[vain + 1].1, made[vain].1, "{made:?}");
+    let futile = made.iter().position(|(replica, _)| *replica == "e2").unwrap();
+    assert!(futile > 0, "{made:?}");
+    assert_eq!(made[futile + 1].1, made[futile].1, "{made:?}");
 }
 
-/// Guards: a replica that started again under its id, at an older version, was believed to be
-/// current: it got runs that it could not serve and was never ordered to load.
+/// Guards against a replica that restarted under the same id with an older version and was
+/// assumed to be current: it got requests that it could not serve, and was never ordered to load
+/// the new version.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_starts_again_under_its_id_is_loaded_anew() {
+async fn a_replica_that_restarts_under_its_id_is_loaded_again() {
     let world = World::new();
     for id in ["e1", "e2", "e3"] {
         world.replicas.restart("engines", id, 1, &[(MODEL, 1)]);
@@ -95,7 +97,7 @@
     world.name_version(2);
     sleep_ms(20_000).await;
     let before = world.replicas.ordered().len();
-    // One starts again at rest, one as it loads, one as it runs a text.
+    // One replica restarts while idle, one during a load, and one while it runs a text.
     world.replicas.restart("engines", "e1", 2, &[(MODEL, 1)]);
     sleep_ms(5_000).await;
     let first: Vec<_> = world.replicas.ordered().split_off(before);
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -1,4 +1,4 @@
-//! Nodes over one service and one fleet of replicas.
+//! The setting of the tests: entry nodes that share a key-value service and a fleet of replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,23 +23,25 @@
 
 pub(crate) const HOST: &str = "host.example";
 pub(crate) const MODEL: &str = "coach";
-/// Guards a test against hanging; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(120);
+/// Keeps a test from hanging; no result depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// The key-value service, the replicas, and what the nodes of a test have in common.
 pub(crate) struct World {
     pub(crate) kv: KvService,
     pub(crate) words: Words,
     pub(crate) replicas: ReplicaFleet,
     pub(crate) links: Links,
     pub(crate) duties: DutyLedger,
-    /// The clocks of the nodes that start from now on.
+    /// The clock of the nodes that are started from now on.
     pub(crate) clock: TestClock,
-    /// The windows by which nodes report usage.
+    /// The windows by which nodes report usage; none if they don't.
     usage: Option<Windows>,
     /// Whether nodes may order replicas.
     ordering: bool,
 }
 
+/// A node and its connections to the store and to other nodes.
 pub(crate) struct Node {
     pub(crate) entry: EntryNode,
     pub(crate) line: KvLine,
@@ -47,7 +49,7 @@
 }
 
 impl World {
-    /// Three engines, two plain replicas, routes of every kind.
+    /// Three engine replicas, two plain replicas, and routes of every kind.
     pub(crate) fn new() -> Self {
         let (kv, words) = (KvService::spawn(), Words::default());
         let replicas = ReplicaFleet::new(kv.clone(), words.clone());
@@ -65,30 +67,30 @@
         world
     }
 
-    /// The same, where usage is reported by windows of this length.
+    /// The same, with usage reported by windows of this length.
     pub(crate) fn with_usage(self, length: Duration) -> Self {
         Self { usage: Some(Windows { length, report_grace: length * 2 }), ..self }
     }
 
-    /// The same, where replicas may be ordered.
+    /// The same, with nodes that may order replicas.
     pub(crate) fn with_duties(self) -> Self {
         Self { ordering: true, ..self }
     }
 
-    /// Which of these nodes is the holder of duties.
+    /// The index of the leader among these nodes.
     pub(crate) fn leader(&self, nodes: &[Node]) -> usize {
         let items = self.kv.items("mulberry/live/holder");
         let text = String::from_utf8(items[0].value.to_vec()).unwrap();
-        let held = |n: &Node| text.contains(&format!("\"{}.", n.app().settings.name));
-        nodes.iter().position(held).unwrap()
+        let leads = |n: &Node| text.contains(&format!("\"{}.", n.app().settings.name));
+        nodes.iter().position(leads).unwrap()
     }
 
-    /// Writes the routes under a version.
+    /// Writes the routes with a configuration version.
     pub(crate) fn configure(&self, version: u64) {
         self.configure_with(version, "");
     }
 
-    /// The same, with the text of further routes.
+    /// The same, with further routes as text.
     pub(crate) fn configure_with(&self, version: u64, others: &str) {
         let routes = vec![
             route("/jobs/", "engines", RetryPolicy::Never),
@@ -109,7 +111,7 @@
         self.words.write_long(&self.kv, "config", Directive::Routes(routes), others);
     }
 
-    /// A trainer names a version.
+    /// Names a weight version, as a trainer does.
     pub(crate) fn name_version(&self, version: u64) {
         let notice = Directive::Version { model: MODEL.into(), version };
         self.words.write(&self.kv, "version", notice);
@@ -120,32 +122,32 @@
         self.node_with_job_retention(name, Duration::from_secs(120)).await
     }
 
-    /// The same, where jobs are kept for so long.
-    pub(crate) async fn node_with_job_retention(&self, name: &str, kept: Duration) -> Node {
-        self.node_with_settings(EntrySettings { job_retention: kept, ..settings(name) }).await
+    /// The same, with this `[jobs] kept`.
+    pub(crate) async fn node_with_job_retention(&self, name: &str, retention: Duration) -> Node {
+        self.node_with_settings(EntrySettings { job_retention: retention, ..settings(name) }).await
     }
 
-    /// The same, where a replica that leaves may get work for so long.
+    /// The same, with this `[replicas] drain`.
     pub(crate) async fn node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         self.node_with_settings(EntrySettings { drain_time: drain, ..settings(name) }).await
     }
 
-    /// The same, where a value may have so many bytes.
+    /// The same, with this `[store] value`, in bytes.
     pub(crate) async fn node_with_value_bytes(&self, name: &str, value: usize) -> Node {
         self.node_with_settings(EntrySettings { value_bytes: value, ..settings(name) }).await
     }
 
-    /// The same, where the store keeps its history for so long.
+    /// The same, with this `[store] history`.
     pub(crate) async fn node_with_store_history(&self, name: &str, history: Duration) -> Node {
         self.node_with_settings(EntrySettings { store_history: history, ..settings(name) }).await
     }
 
-    /// The same, linked to others.
+    /// Starts a node that other nodes can connect to, and waits until it is ready.
     pub(crate) async fn linked_node(&self, name: &str) -> Node {
         self.linked_node_with_drain_time(name, settings(name).drain_time).await
     }
 
-    /// The same, where a replica that leaves may get work for so long.
+    /// The same, with this `[replicas] drain`.
     pub(crate) async fn linked_node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         let port = 1_000 + u16::from(name.as_bytes()[0]);
         let at = SocketAddr::from(([127, 0, 0, 1], port));
@@ -160,8 +162,8 @@
         node
     }
 
-    /// Starts a node that knows another from its settings and whose line fails; it need not
-    /// become ready.
+    /// Starts a linked node that knows another from its settings and whose store connection has
+    /// faults. Does not wait until it is ready.
     pub(crate) fn start_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(name.as_bytes()[0])));
         let seeds = seed.app().settings.peer_address.into_iter().collect();
@@ -171,12 +173,12 @@
         node
     }
 
-    /// Where a node of a crowd is asked.
+    /// The peer address of a node that [`Self::start_crowd`] starts.
     pub(crate) fn crowd_address(index: u16) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 2_000 + index))
     }
 
-    /// Starts so many linked nodes at once, which know the first three from their settings.
+    /// Starts this many linked nodes at once, which know the first three from their settings.
     pub(crate) fn start_crowd(&self, count: u16) -> Vec<Node> {
         let at = Self::crowd_address;
         let start = |i| {
@@ -220,17 +222,17 @@
         self.entry.app()
     }
 
-    /// Sets what this node does with requests of others.
+    /// Sets how this node handles requests of other nodes.
     pub(crate) fn link(&self, link: Link) {
         self.links.set(self.app().settings.peer_address.unwrap(), link);
     }
 
-    /// From now on this node's requests reach no other.
+    /// From now on this node's requests reach no other node.
     pub(crate) fn isolate(&self) {
         self.links.isolate(self.app().settings.peer_address.unwrap());
     }
 
-    /// Asks another node for results.
+    /// Requests the results of a job from another node; none without a proper reply.
     pub(crate) async fn request_results(
         &self,
         to: &Node,
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Reads from a position without waiting.
+    /// Reads results from a position on, without waiting.
     pub(crate) async fn read_page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
         match self.app().read(job, after, Duration::ZERO).await {
             ReadResult::Page { results, .. } => results,
@@ -251,7 +253,7 @@
         }
     }
 
-    /// Reads until all results are there.
+    /// Reads until there are `total` results.
     pub(crate) async fn read_all(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
         let reading = async {
             let mut all = Vec::new();
@@ -263,7 +265,7 @@
             }
             all
         };
-        tokio::time::timeout(GUARD, reading).await.unwrap()
+        tokio::time::timeout(TEST_TIMEOUT, reading).await.unwrap()
     }
 
     pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> SubmitResult {
@@ -271,13 +273,14 @@
     }
 }
 
+/// Waits until a condition holds.
 pub(crate) async fn wait_until(mut reached: impl FnMut() -> bool) {
     let wait = async {
         while !reached() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(GUARD, wait).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, wait).await.unwrap();
 }
 
 pub(crate) async fn sleep_ms(millis: u64) {
@@ -323,7 +326,7 @@
     }
 }
 
-/// The same, from this version on.
+/// The same, with this minimum weight version.
 pub(crate) fn job_spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
     JobSpec { min_version: oldest, ..job_spec(job, items) }
 }
@@ -361,39 +364,39 @@
     }
 }
 
-/// The text that a sample must have.
+/// The text that the replicas generate for a sample.
 pub(crate) fn expected_text(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event(item, e)).collect();
     lines.join("\n")
 }
 
-/// Checks a result against what the replicas made.
-pub(crate) fn assert_completed(listing: &ItemResult, events: u64) {
-    let ItemState::Completed { output, versions, score } = &listing.state else {
-        panic!("{listing:?}");
+/// Checks that a result is complete and matches what the replicas generate.
+pub(crate) fn assert_completed(result: &ItemResult, events: u64) {
+    let ItemState::Completed { output, versions, score } = &result.state else {
+        panic!("{result:?}");
     };
-    assert_eq!(*output, expected_text(&listing.id, events));
+    assert_eq!(*output, expected_text(&result.id, events));
     assert!(!versions.is_empty());
-    assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", listing.id)));
+    assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", result.id)));
 }
 
-/// Calls to the store that ended well.
+/// The number of a node's store calls of one kind that succeeded.
 pub(crate) fn answered_calls(node: &Node, call: &str) -> u64 {
     count_calls(node, &format!("{{call=\"{call}\",end=\"Answered\","))
 }
 
-/// All calls of some nodes to the store, a renewal of a lease as a tenth of one.
+/// The number of all store calls of some nodes; a lease renewal counts as a tenth of a call.
 pub(crate) fn charged_calls(nodes: &[Node]) -> u64 {
     let of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
     nodes.iter().map(of).map(|(all, keeps)| (all - keeps) * 10 + keeps).sum::<u64>() / 10
 }
 
-/// Calls to the store that it refused.
+/// The number of a node's store calls that the store refused.
 pub(crate) fn refused_calls(node: &Node) -> u64 {
     count_calls(node, "end=\"Refused\",")
 }
 
-/// Calls to the store whose labels contain this.
+/// The number of a node's store calls whose metric labels contain this text.
 fn count_calls(node: &Node, labels: &str) -> u64 {
     let text = node.app().metrics();
     let calls = text.lines().filter(|l| l.starts_with("mulberry_store_calls_total{"));
@@ -401,7 +404,7 @@
     counts.map(|count| count.parse::<u64>().unwrap()).sum()
 }
 
-/// The replicas that a node sends plain requests to.
+/// Sends six plain requests by a node and returns the replicas that ran them.
 pub(crate) async fn plain_replicas_used(world: &World, node: &Node, turn: &str) -> Vec<String> {
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let name = &node.app().settings.name;
