--- a/src/entry/addresses.rs
+++ b/src/entry/addresses.rs
@@ -12,7 +12,7 @@
     /// Returns the addresses for a client of an availability zone, at most [`MAX_ADDRESSES`]. Empty
     /// if no node is known.
     pub fn client_addresses(&self, zone: &str) -> Vec<SocketAddr> {
-        let mut nodes = self.membership.lock().callers(self.store_time());
+        let mut nodes = self.membership.lock().client_addresses(self.store_time());
         let own = self.settings.client_address.filter(|_| self.ready());
         if self.draining() {
             nodes.retain(|(name, _)| *name != self.settings.name);
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use super::app::App;
-use super::keys::{HomeValue, home as home_key};
-use super::live::Seen;
-use super::read::Found;
+use super::keys::{JobRecord, job_record_key};
+use super::membership::Stored;
+use super::read::Lookup;
 use crate::edge::store::{Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
@@ -20,28 +20,28 @@
     ///
     /// Returns that the job is unknown if the store has no record of it, and that the outcome is
     /// not sure if the store does not answer.
-    pub async fn end_job(self: &Arc<Self>, job: &str) -> Found<()> {
+    pub async fn end_job(self: &Arc<Self>, job: &str) -> Lookup<()> {
         let started = self.now();
         let owned = self.owned_jobs.get(job);
         if let Some(home) = &owned {
-            self.halt(home);
+            self.stop_job(home);
         }
         let known = match owned {
-            Some(ref home) => Ok(Some(home.key.lock().clone())),
-            None => self.home_of(job).await,
+            Some(ref home) => Ok(Some(home.record.lock().clone())),
+            None => self.job_record(job).await,
         };
         let mut seen = match known {
             Ok(Some(seen)) => seen,
-            Ok(None) => return Found::Unknown,
-            Err(_) => return Found::Unsure,
+            Ok(None) => return Lookup::Unknown,
+            Err(_) => return Lookup::Unsure,
         };
         loop {
             if seen.value.ended {
-                return Found::There(());
+                return Lookup::Found(());
             }
-            let value = HomeValue { ended: true, done: true, ..seen.value.clone() };
-            let Ok(value) = serde_json::to_vec(&value) else { return Found::Unsure };
-            let key = home_key(job);
+            let value = JobRecord { ended: true, done: true, ..seen.value.clone() };
+            let Ok(value) = serde_json::to_vec(&value) else { return Lookup::Unsure };
+            let key = job_record_key(job);
             let txn = Txn::when(key.clone(), seen.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
                 Ok(TxnOutcome::Done(_)) => {
@@ -50,22 +50,22 @@
                     if let Some(home) = owned {
                         self.retain_ended(home);
                     }
-                    return Found::There(());
+                    return Lookup::Found(());
                 }
                 Ok(TxnOutcome::Conflict(items)) => {
                     let Some(item) = items.into_iter().find(|i| i.key == key) else {
-                        return Found::Unknown;
+                        return Lookup::Unknown;
                     };
                     match serde_json::from_slice(&item.value) {
-                        Ok(value) => seen = Seen { value, revision: item.revision },
-                        Err(_) => return Found::Unsure,
+                        Ok(value) => seen = Stored { value, revision: item.revision },
+                        Err(_) => return Lookup::Unsure,
                     }
                 }
-                Ok(TxnOutcome::NoLease) => return Found::Unsure,
+                Ok(TxnOutcome::NoLease) => return Lookup::Unsure,
                 Err(e) => {
                     tracing::warn!(event = "job_end_not_written", job, error = %e);
                     if self.now().saturating_sub(started) > WRITE_RETRY_TIMEOUT {
-                        return Found::Unsure;
+                        return Lookup::Unsure;
                     }
                     self.fallback_store.wait_for_recovery(RETRY_DELAY).await;
                 }
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -17,9 +17,9 @@
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
 use crate::entry::follow::FeedUpdate;
-use crate::entry::read::Read;
+use crate::entry::read::ReadResult;
 use crate::entry::remote_jobs::{JobLocation, RemoteJob};
-use crate::entry::submit::Submitted;
+use crate::entry::submit::SubmitResult;
 
 /// How long an owner may take to accept a job. It makes one write, which took a quarter of a second
 /// in the slowest store seen.
@@ -57,8 +57,8 @@
         let Some(to) = self.preferred_owner(spec) else { return ForwardOutcome::Not };
         let reply = self.request(to, PeerRequest::Submit(spec.clone()), SUBMIT_TIMEOUT).await;
         let passed = match &reply {
-            Ok(PeerReply::Submitted(Submitted::Kept)) => ForwardOutcome::Kept,
-            Ok(PeerReply::Submitted(Submitted::Refused(_))) => ForwardOutcome::Not,
+            Ok(PeerReply::Submitted(SubmitResult::Accepted)) => ForwardOutcome::Kept,
+            Ok(PeerReply::Submitted(SubmitResult::Refused(_))) => ForwardOutcome::Not,
             Err(PeerError::Connect { .. }) => ForwardOutcome::Not,
             Ok(_) | Err(_) => ForwardOutcome::Unsure,
         };
@@ -75,7 +75,7 @@
     fn preferred_owner(&self, spec: &JobSpec) -> Option<SocketAddr> {
         let routes = self.routes()?;
         let route = routes.find(&spec.host, &spec.path)?;
-        let nodes = self.membership.lock().peers();
+        let nodes = self.membership.lock().peer_addresses();
         let names: Vec<Name> = nodes.keys().cloned().collect();
         let owners = affinity::preferred(&routes.batch_routes(), &names);
         let owner = owners.get(&route.name).filter(|owner| **owner != self.settings.name)?;
@@ -89,11 +89,11 @@
         job: &str,
         after: usize,
         wait: Duration,
-    ) -> Result<Option<Read>, StoreError> {
+    ) -> Result<Option<ReadResult>, StoreError> {
         let remote = self.remote_jobs.get(job);
         let Some(incarnation) = self.locate_owner(job, &remote).await? else { return Ok(None) };
         let Some(to) =
-            self.membership.lock().peer(&incarnation).filter(|to| !self.is_unreachable(*to))
+            self.membership.lock().peer_of(&incarnation).filter(|to| !self.is_unreachable(*to))
         else {
             return Ok(None);
         };
@@ -117,7 +117,7 @@
             JobLocation::Store | JobLocation::Unknown => None,
         };
         let incarnation = self.find_owner(job, known).await?;
-        let to = self.membership.lock().peer(&incarnation)?;
+        let to = self.membership.lock().peer_of(&incarnation)?;
         let request = PeerRequest::Body { job: job.into(), item: item.into() };
         match self.request(to, request, REPLY_MARGIN).await {
             Ok(PeerReply::Body(body)) => body,
@@ -154,15 +154,15 @@
     fn likely_owners(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
         let live = self.membership.lock();
         if let Some(incarnation) = known
-            && let Some(to) = live.peer(&incarnation)
+            && let Some(to) = live.peer_of(&incarnation)
         {
             return vec![(incarnation, to)];
         }
-        let names: Vec<Name> = live.peers().keys().cloned().collect();
+        let names: Vec<Name> = live.peer_addresses().keys().cloned().collect();
         let routes = self.routes().map(|routes| routes.batch_routes()).unwrap_or_default();
         let owners = affinity::preferred(&routes, &names);
         let others = owners.values().filter(|name| **name != self.settings.name);
-        let mut likely: Vec<_> = others.filter_map(|name| live.life(name)).collect();
+        let mut likely: Vec<_> = others.filter_map(|name| live.incarnation_of(name)).collect();
         likely.dedup();
         likely
     }
@@ -183,7 +183,7 @@
                     .iter()
                     .for_each(|(service, total)| load.record(incarnation, service, *total, now));
             };
-            record_load(&self.incarnation, self.slots.wanted.totals());
+            record_load(&self.incarnation, self.slots.demand.totals());
             for reply in replies {
                 let Ok(PeerReply::Demand { steps, life: incarnation, wanted }) = reply else {
                     continue;
@@ -219,16 +219,17 @@
                 JobLocation::Owner { incarnation: incarnation.clone(), evidence };
             return Ok(Some(incarnation));
         }
-        let Some(seen) = self.home_of(job).await? else { return Ok(None) };
+        let Some(seen) = self.job_record(job).await? else { return Ok(None) };
         let mut state = remote.state.lock();
-        state.sample_count = Some(seen.value.total);
+        state.sample_count = Some(seen.value.sample_count);
         if seen.value.ended {
             state.location = JobLocation::Store;
             state.ended = true;
             return Ok(None);
         }
-        state.location = JobLocation::Owner { incarnation: seen.value.life.clone(), evidence };
-        Ok(Some(seen.value.life))
+        state.location =
+            JobLocation::Owner { incarnation: seen.value.incarnation.clone(), evidence };
+        Ok(Some(seen.value.incarnation))
     }
 
     /// Asks a node for the changes of a feed after a revision. None if it does not have them.
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -1,4 +1,4 @@
-//! One client's request at one replica, or at several in turn where it may be repeated.
+//! Relaying a client's request to a replica, or to several in turn if its route allows retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use http::{HeaderMap, Method, StatusCode};
 
 use super::app::App;
-use super::slots::Held;
+use super::slots::SlotGuard;
 use super::stream;
 use crate::decide::retry_after::DEFAULT_RETRY_AFTER;
 use crate::decide::{AttemptRequest, History, Outcome, ReplicaOutcome, RetryPolicy, Route};
@@ -17,18 +17,18 @@
 use crate::metrics::AttemptEnd;
 use crate::{Moment, Name};
 
-/// How long a request without a deadline or a route's bound may take.
-const LONGEST: Duration = Duration::from_secs(30);
-/// An attempt that may be made again elsewhere is given up after this part of the time that
-/// is left, in percent: a silent replica leaves time for two more.
-const PART: u32 = 40;
-/// It is given at least this: ten times the usual work of a plain service.
-const LEAST: Duration = Duration::from_millis(250);
+/// Time limit of a request that has no deadline and whose route has no timeout.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Percentage of the remaining time that an attempt gets if it may be repeated elsewhere, so
+/// that a silent replica leaves time for two more attempts.
+const ATTEMPT_TIMEOUT_PERCENT: u32 = 40;
+/// Minimum time for such an attempt: ten times the usual work of a plain service.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A request of a client.
+/// A client's request.
 #[derive(Debug, Clone)]
-pub struct Ask {
-    /// Its id.
+pub struct RelayRequest {
+    /// The request id.
     pub id: Name,
     /// The method.
     pub method: Method,
@@ -36,195 +36,215 @@
     pub path: Name,
     /// The host.
     pub host: Name,
-    /// The organisation that asks; none without a key.
+    /// The client's organisation; none without an API key.
     pub organisation: Option<Name>,
-    /// The headers that are passed on.
+    /// The headers that are forwarded.
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// How long the client waits.
+    /// How long the client waits; none if it did not say.
     pub deadline: Option<Duration>,
-    /// The event after which a stream goes on.
-    pub after: Option<u64>,
+    /// The id of the event after which a stream continues.
+    pub resume_after: Option<u64>,
 }
 
-/// The final answer.
+/// The final response to a client.
 #[derive(Debug)]
-pub enum Given {
-    /// A replica's whole answer.
-    Whole {
+pub enum RelayResponse {
+    /// A replica's complete response.
+    Complete {
         /// Its status.
         status: StatusCode,
         /// Its headers.
         headers: HeaderMap,
-        /// Its signature.
+        /// The replica's signature of it.
         signature: Option<Name>,
         /// Its body.
         body: Bytes,
-        /// Replicas that ran it and failed. One whose time was over has not.
+        /// The number of replicas that ran the request and failed. One that ran out of time does
+        /// not count.
         failures: u32,
     },
-    /// A replica's stream, as it comes.
+    /// A replica's stream of events, forwarded as it arrives.
     Stream {
         /// Its status.
         status: StatusCode,
         /// Its headers.
         headers: HeaderMap,
         /// The events.
-        body: Opened,
+        body: EventStream,
     },
-    /// None.
+    /// No replica's response, but a refusal.
     Refused(Refusal),
 }
 
-/// The body of a stream that is passed on.
-pub struct Opened(pub BodyStream);
+/// The body of a forwarded stream.
+pub struct EventStream(pub BodyStream);
 
-impl std::fmt::Debug for Opened {
+impl std::fmt::Debug for EventStream {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Opened")
     }
 }
 
-/// The state of a request between its attempts.
-pub(super) struct Course {
-    pub ask: Ask,
+/// A request and the state of its attempts.
+pub(super) struct RequestState {
+    pub request: RelayRequest,
     pub route: Arc<Route>,
-    pub begun: Moment,
+    pub started_at: Moment,
+    /// When the client must have a response, or the head of a stream.
     pub ends: Moment,
-    /// When its client leaves: a stream may last until then, though its head may not.
-    pub leaves: Moment,
-    pub made: u32,
+    /// When the client stops waiting. A stream may last until then, but its head must come by
+    /// `ends`.
+    pub client_leaves: Moment,
+    /// The attempts that count toward the route's limit.
+    pub attempts: u32,
+    /// The replicas that ran the request and failed.
     pub failures: u32,
+    /// The replicas that are not tried again.
     pub avoid: Vec<Name>,
+    /// What is known of the attempts, for the final refusal.
     pub history: History,
 }
 
-/// What an attempt came to.
-enum Came {
-    Given(Given),
-    /// Another attempt may be made.
-    Next,
-    /// None may.
-    Over(Refusal),
+/// What follows from an attempt.
+enum RelayStep {
+    /// The client gets this response.
+    Done(RelayResponse),
+    /// Another attempt is made, if the route and the time allow it.
+    Retry,
+    /// The client gets a refusal.
+    Failed(Refusal),
 }
 
 impl App {
-    /// Takes a request to its final answer.
-    pub async fn relay(self: &Arc<Self>, route: &Arc<Route>, ask: Ask) -> Given {
-        let mut limit = ask.deadline.unwrap_or(LONGEST);
+    /// Relays a request until there is a final response.
+    pub async fn relay(
+        self: &Arc<Self>,
+        route: &Arc<Route>,
+        request: RelayRequest,
+    ) -> RelayResponse {
+        let mut limit = request.deadline.unwrap_or(DEFAULT_TIMEOUT);
         if let Some(timeout) = route.timeout {
             limit = limit.min(timeout);
         }
-        let leaves = self.now() + ask.deadline.unwrap_or(LONGEST);
-        let mut course = Course {
-            ask,
+        let client_leaves = self.now() + request.deadline.unwrap_or(DEFAULT_TIMEOUT);
+        let mut state = RequestState {
+            request,
             route: route.clone(),
-            begun: self.now(),
+            started_at: self.now(),
             ends: self.now() + limit,
-            leaves,
-            made: 0,
+            client_leaves,
+            attempts: 0,
             failures: 0,
             avoid: Vec::new(),
             history: History::new(),
         };
         loop {
-            let given = match self.attempt(&mut course).await {
-                Came::Given(given) => given,
-                Came::Over(refusal) => Given::Refused(course.history.judge(refusal)),
-                Came::Next => continue,
+            let response = match self.attempt(&mut state).await {
+                RelayStep::Done(response) => response,
+                RelayStep::Failed(refusal) => RelayResponse::Refused(state.history.judge(refusal)),
+                RelayStep::Retry => continue,
             };
-            log(self, &course, &given);
-            return given;
+            log(self, &state, &response);
+            return response;
         }
     }
 
-    async fn attempt(self: &Arc<Self>, course: &mut Course) -> Came {
-        let left = course.ends.saturating_sub(self.now());
+    /// Makes one attempt at one replica.
+    async fn attempt(self: &Arc<Self>, state: &mut RequestState) -> RelayStep {
+        let left = state.ends.saturating_sub(self.now());
         if left.is_zero() {
-            return Came::Over(refused(Kind::DeadlinePassed, "no time is left"));
+            return RelayStep::Failed(refused(Kind::DeadlinePassed, "the deadline has passed"));
         }
-        if course.made >= course.route.max_attempts {
-            return Came::Over(refused(Kind::RetriesSpent, "no attempt is left"));
+        if state.attempts >= state.route.max_attempts {
+            return RelayStep::Failed(refused(Kind::RetriesSpent, "all attempts are used"));
         }
-        let Some(service) = course.route.pick_service(self.draw()).cloned() else {
-            return Came::Over(refused(Kind::NoUpstream, "the route names no service"));
+        let Some(service) = state.route.pick_service(self.draw()).cloned() else {
+            return RelayStep::Failed(refused(Kind::NoUpstream, "the route names no service"));
         };
         let wish = AttemptRequest {
             service: &service,
             weights: None,
-            avoid: &course.avoid,
+            avoid: &state.avoid,
             allow_full: true,
         };
-        let Some(mut held) = self.take(&wish) else {
-            return Came::Over(refused(Kind::NoUpstream, "no replica takes work"));
+        let Some(mut slot) = self.take_slot(&wish) else {
+            return RelayStep::Failed(refused(Kind::NoUpstream, "no replica accepts work"));
         };
-        course.made += 1;
+        state.attempts += 1;
         let usage = self.usage.as_ref();
-        let mut metered = usage.map(|u| u.begin(&course.ask.organisation)).unwrap_or_default();
-        let began = self.now();
-        let call = course.call(self.now());
-        let limit = course.limit(left);
-        let sending = self.replicas.send(&held.target, call);
+        let mut metered = usage.map(|u| u.begin(&state.request.organisation)).unwrap_or_default();
+        let started_at = self.now();
+        let call = state.call(self.now());
+        let limit = state.limit(left);
+        let sending = self.replicas.send(&slot.target, call);
         let reply = match tokio::time::timeout(limit, sending).await {
             Ok(Ok(reply)) => reply,
             Ok(Err(failure)) => {
                 if failure.not_run() {
                     metered.not_run();
                 }
-                return course.failed(self, &mut held, failure);
+                return state.failed(self, &mut slot, failure);
             }
             Err(_) => {
                 metered.not_run();
-                return course.failed(self, &mut held, CallError::Interrupted("silent".to_owned()));
+                return state.failed(self, &mut slot, CallError::Interrupted("silent".to_owned()));
             }
         };
-        self.heard(&held.target.id, reply.load);
-        if course.route.streaming && reply.status.is_success() {
-            return Came::Given(self.open_stream(course, &held, reply));
+        self.record_response_head(&slot.target.id, reply.load);
+        if state.route.streaming && reply.status.is_success() {
+            return RelayStep::Done(self.open_stream(state, &slot, reply));
         }
-        let left = limit.saturating_sub(self.now().saturating_sub(began));
+        let left = limit.saturating_sub(self.now().saturating_sub(started_at));
         let status = reply.status;
         let (headers, signature) = (reply.headers, reply.signature);
         let body = match tokio::time::timeout(left, collect_pieces(reply.body)).await {
             Ok(Ok(body)) => body,
             Ok(Err(reason)) => {
-                return course.failed(self, &mut held, CallError::Interrupted(reason));
+                return state.failed(self, &mut slot, CallError::Interrupted(reason));
             }
             Err(_) => {
-                return course.failed(self, &mut held, CallError::Interrupted("silent".to_owned()));
+                return state.failed(self, &mut slot, CallError::Interrupted("silent".to_owned()));
             }
         };
-        let took = self.now().saturating_sub(began);
-        held.ended(ReplicaOutcome::Answered { duration: took, cost: 1 });
+        let took = self.now().saturating_sub(started_at);
+        slot.set_end(ReplicaOutcome::Answered { duration: took, cost: 1 });
         if signature.is_none() {
-            return course.failed(self, &mut held, CallError::Interrupted("unsigned".to_owned()));
+            return state.failed(self, &mut slot, CallError::Interrupted("unsigned".to_owned()));
         }
         let failed = status.is_server_error();
         self.tally.attempt(if failed { AttemptEnd::Failed } else { AttemptEnd::Answered });
         if status == StatusCode::INTERNAL_SERVER_ERROR {
-            course.failures += 1;
+            state.failures += 1;
         }
         if failed {
-            held.ended(ReplicaOutcome::Failed);
-            if course.may_repeat() && course.made < course.route.max_attempts {
-                course.history.note(Outcome::Unknown);
-                course.avoid.push(held.target.id.clone());
-                return Came::Next;
+            slot.set_end(ReplicaOutcome::Failed);
+            if state.may_repeat() && state.attempts < state.route.max_attempts {
+                state.history.note(Outcome::Unknown);
+                state.avoid.push(slot.target.id.clone());
+                return RelayStep::Retry;
             }
         }
-        let failures = course.failures;
-        Came::Given(Given::Whole { status, headers, signature, body, failures })
+        let failures = state.failures;
+        RelayStep::Done(RelayResponse::Complete { status, headers, signature, body, failures })
     }
 
-    fn open_stream(self: &Arc<Self>, course: &mut Course, held: &Held<'_>, reply: Reply) -> Given {
+    /// Starts forwarding a replica's stream to the client.
+    fn open_stream(
+        self: &Arc<Self>,
+        state: &mut RequestState,
+        slot: &SlotGuard<'_>,
+        reply: Reply,
+    ) -> RelayResponse {
         let (status, headers) = (reply.status, reply.headers.clone());
-        let body = stream::forward(self.clone(), course, held.target.clone(), reply);
-        Given::Stream { status, headers, body: Opened(body) }
+        let body = stream::forward(self.clone(), state, slot.target.clone(), reply);
+        RelayResponse::Stream { status, headers, body: EventStream(body) }
     }
 }
 
-impl Course {
+impl RequestState {
+    /// Whether the route allows the request to run more than once.
     pub(super) fn may_repeat(&self) -> bool {
         match self.route.retry_policy {
             RetryPolicy::Rerun | RetryPolicy::Resume => true,
@@ -232,86 +252,93 @@
         }
     }
 
+    /// The call to a replica, limited to the time that is left.
     pub(super) fn call(&self, now: Moment) -> ReplicaCall {
-        let ends = if self.route.streaming { self.leaves } else { self.ends };
+        let ends = if self.route.streaming { self.client_leaves } else { self.ends };
         ReplicaCall {
-            id: self.ask.id.clone(),
-            method: self.ask.method.clone(),
-            path: self.ask.path.clone(),
-            host: self.ask.host.clone(),
-            organisation: self.ask.organisation.clone(),
-            headers: self.ask.headers.clone(),
-            body: self.ask.body.clone(),
+            id: self.request.id.clone(),
+            method: self.request.method.clone(),
+            path: self.request.path.clone(),
+            host: self.request.host.clone(),
+            organisation: self.request.organisation.clone(),
+            headers: self.request.headers.clone(),
+            body: self.request.body.clone(),
             timeout: ends.saturating_sub(now),
-            last_event: self.ask.after,
+            last_event: self.request.resume_after,
             priority: None,
         }
     }
 
-    /// How long one attempt may take.
+    /// The time limit of one attempt, given the time left for the request.
     fn limit(&self, left: Duration) -> Duration {
-        if !self.may_repeat() || self.made >= self.route.max_attempts {
+        if !self.may_repeat() || self.attempts >= self.route.max_attempts {
             return left;
         }
-        (left * PART / 100).max(LEAST).min(left)
+        (left * ATTEMPT_TIMEOUT_PERCENT / 100).max(MIN_ATTEMPT_TIMEOUT).min(left)
     }
 
-    fn failed(&mut self, app: &App, held: &mut Held<'_>, failure: CallError) -> Came {
+    /// Records a failed attempt and decides whether another may follow.
+    fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: CallError) -> RelayStep {
         app.tally.attempt(match failure {
             CallError::Unsent(_) => AttemptEnd::Unsent,
             CallError::NotRun(_) => AttemptEnd::NotRun,
             CallError::WrongInstance => AttemptEnd::Stranger,
             CallError::Interrupted(_) => AttemptEnd::Broken,
         });
-        held.ended(match failure {
+        slot.set_end(match failure {
             CallError::Unsent(_) | CallError::WrongInstance => ReplicaOutcome::Unreachable,
             CallError::NotRun(_) => ReplicaOutcome::Full,
             CallError::Interrupted(_) => ReplicaOutcome::Failed,
         });
         tracing::info!(
             event = "attempt_failed",
-            request = %self.ask.id,
-            replica = %held.target.id,
-            attempt = self.made,
+            request = %self.request.id,
+            replica = %slot.target.id,
+            attempt = self.attempts,
             %failure
         );
-        self.avoid.push(held.target.id.clone());
+        self.avoid.push(slot.target.id.clone());
         if failure.not_run() {
             self.history.note(Outcome::Refused);
-            // It ran nowhere, so it does not count among the replicas that it may run on.
+            // The replica did not run the request, so the attempt does not count toward the
+            // route's limit, unless too many replicas were tried already.
             if self.avoid.len() < 2 * self.route.max_attempts.max(1) as usize {
-                self.made -= 1;
+                self.attempts -= 1;
             }
-            return Came::Next;
+            return RelayStep::Retry;
         }
         self.history.note(Outcome::Unknown);
         if self.may_repeat() {
-            return Came::Next;
+            return RelayStep::Retry;
         }
-        Came::Over(refused(Kind::OutcomeUnknown, "the attempt broke off"))
+        RelayStep::Failed(refused(Kind::OutcomeUnknown, "the attempt was interrupted"))
     }
 }
 
+/// A refusal that asks the client to come back soon.
 fn refused(kind: Kind, detail: &str) -> Refusal {
     Refusal::new(kind, detail).after(DEFAULT_RETRY_AFTER)
 }
 
-fn log(app: &App, course: &Course, given: &Given) {
-    let (id, attempts) = (&course.ask.id, course.made);
-    app.tally.answered(app.now().saturating_sub(course.begun));
-    match given {
-        Given::Whole { status, .. } => {
+/// Counts and logs a final response.
+fn log(app: &App, state: &RequestState, response: &RelayResponse) {
+    let (id, attempts) = (&state.request.id, state.attempts);
+    app.tally.answered(app.now().saturating_sub(state.started_at));
+    match response {
+        RelayResponse::Complete { status, .. } => {
             tracing::debug!(event = "answered", request = %id, attempts, status = status.as_u16());
         }
-        Given::Stream { .. } => tracing::debug!(event = "stream_opened", request = %id, attempts),
-        Given::Refused(refusal) => {
+        RelayResponse::Stream { .. } => {
+            tracing::debug!(event = "stream_opened", request = %id, attempts)
+        }
+        RelayResponse::Refused(refusal) => {
             app.tally.refused(refusal.kind);
             tracing::info!(
                 event = "refused",
                 request = %id,
-                route = %course.route.name,
+                route = %state.route.name,
                 attempts,
-                replicas = ?course.avoid,
+                replicas = ?state.avoid,
                 kind = %refusal.kind,
                 run = refusal.run().as_str()
             );
--- a/src/entry/remote_jobs.rs
+++ b/src/entry/remote_jobs.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 
 use super::app::ByName;
-use super::keys::results;
+use super::keys::results_key;
 use crate::decide::job::{ItemResult, JobSpec};
 use crate::edge::store::KeyValue;
 use crate::{Moment, Name};
@@ -86,7 +86,7 @@
 impl RemoteJobState {
     /// Appends a batch of results if it begins where the known results end.
     pub(super) fn append_results(&mut self, job: &str, item: &KeyValue) {
-        if *item.key != *results(job, self.results.len()) {
+        if *item.key != *results_key(job, self.results.len()) {
             return;
         }
         let config = bincode::config::standard();
--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -1,4 +1,4 @@
-//! Places at replicas: who waits for one, and who gets the next.
+//! Slots at replicas: the queue of samples that wait for one, and the assignment of free slots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,20 +12,23 @@
 use crate::edge::replica::{ReplicaLoad, Target};
 use crate::{Moment, Name};
 
-/// How often those who wait are looked at again while replicas are left out for a time.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often the queue is processed while it is not empty. Replicas that are excluded for a time
+/// become usable again without any event.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
+/// Samples that wait for a slot. A waiter gets its replica over the channel.
 type Queue = SlotQueue<oneshot::Sender<Target>>;
 
-/// The replicas and those who wait for a place.
+/// The replicas with their slots, and the queue for slots.
 #[derive(Debug)]
 pub(super) struct Slots {
+    /// The known replicas and the attempts that run at them.
     pub(super) fleet: Mutex<Fleet>,
     waiting: Mutex<Queue>,
-    /// The time that samples have wanted places.
-    pub(super) wanted: Arc<SlotDemand>,
-    /// Told when someone begins to wait.
-    begun: Notify,
+    /// The time for which samples have needed slots, by service.
+    pub(super) demand: Arc<SlotDemand>,
+    /// Notified when a sample joins the queue.
+    waiter_added: Notify,
 }
 
 impl Slots {
@@ -33,40 +36,43 @@
         Self {
             fleet: Mutex::new(Fleet::new(zone)),
             waiting: Mutex::default(),
-            wanted: Arc::default(),
-            begun: Notify::new(),
+            demand: Arc::default(),
+            waiter_added: Notify::new(),
         }
     }
 
-    /// Whether anyone waits.
-    fn waits(&self) -> bool {
+    /// Whether any sample waits for a slot.
+    fn has_waiters(&self) -> bool {
         !self.waiting.lock().is_empty()
     }
 
-    /// Gives free places to those who wait, in turn.
-    pub(super) fn pump(&self, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.assign_all(fleet, now));
+    /// Assigns free slots to waiting samples, in queue order.
+    pub(super) fn assign_free(&self, now: Moment) {
+        self.assign(now, |waiting, fleet| waiting.assign_all(fleet, now));
     }
 
-    /// A place at a replica is free again.
+    /// Assigns a slot that has become free at a replica.
     ///
-    /// Load pattern: a step of thousands of texts before thousands of replicas, most of whose
-    /// places are taken. Looking through all replicas at each text's end to find the place that
-    /// it gave back costs texts times replicas; the others are looked at soon after.
-    fn freed(&self, replica: &str, now: Moment) {
+    /// Load pattern: a training step of thousands of texts at thousands of replicas, most of
+    /// whose slots are taken. Searching all replicas at each text's end would cost texts times
+    /// replicas, so that in a large fleet only this replica is offered. The others are searched
+    /// within [`RETRY_INTERVAL`].
+    fn slot_freed(&self, replica: &str, now: Moment) {
         if self.fleet.lock().is_large() {
-            self.offer(replica, now);
+            self.assign_at(replica, now);
         } else {
-            self.pump(now);
+            self.assign_free(now);
         }
     }
 
-    /// Gives the free places of one replica, in turn.
-    fn offer(&self, replica: &str, now: Moment) {
-        self.give(now, |waiting, fleet| waiting.assign_at(replica, fleet, now));
+    /// Assigns the free slots of one replica to waiting samples, in queue order.
+    fn assign_at(&self, replica: &str, now: Moment) {
+        self.assign(now, |waiting, fleet| waiting.assign_at(replica, fleet, now));
     }
 
-    fn give(
+    /// Hands the replicas that `choose` selects to their waiters. A slot whose waiter has given
+    /// up is released.
+    fn assign(
         &self,
         now: Moment,
         choose: impl FnOnce(&mut Queue, &mut Fleet) -> Vec<(oneshot::Sender<Target>, Target)>,
@@ -81,43 +87,44 @@
     }
 }
 
-/// A place at a replica. It is given back when dropped.
+/// A slot at a replica, which is released when the guard is dropped.
 #[derive(Debug)]
-pub(super) struct Held<'a> {
+pub(super) struct SlotGuard<'a> {
     app: &'a App,
     pub target: Target,
     model: Option<Name>,
     ended: ReplicaOutcome,
-    /// Of a sample, from when it began to wait.
-    _wanted: Option<SlotDemandGuard>,
+    /// Counts the demand of a sample, from when it joined the queue.
+    _demand: Option<SlotDemandGuard>,
 }
 
-impl<'a> Held<'a> {
-    /// A place that was counted by [`Fleet::start`] already.
-    pub(super) fn began(app: &'a App, target: Target) -> Self {
-        Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _wanted: None }
+impl<'a> SlotGuard<'a> {
+    /// A guard for a slot that [`Fleet::start`] has already counted.
+    pub(super) fn started(app: &'a App, target: Target) -> Self {
+        Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _demand: None }
     }
 
-    /// Says how the attempt ended.
-    pub(super) fn ended(&mut self, ended: ReplicaOutcome) {
+    /// Sets how the attempt ended; [`Ended::Dropped`] if this is never called.
+    pub(super) fn set_end(&mut self, ended: ReplicaOutcome) {
         self.ended = ended;
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         let now = self.app.now();
         let model = self.model.as_deref();
         self.app.slots.fleet.lock().end_attempt(&self.target.id, model, self.ended, now);
-        if self.app.slots.waits() {
-            self.app.slots.freed(&self.target.id, now);
+        if self.app.slots.has_waiters() {
+            self.app.slots.slot_freed(&self.target.id, now);
         }
     }
 }
 
 impl App {
-    /// The head of a replica's answer came, with its load if it tells that.
-    pub(super) fn heard(&self, replica: &str, load: Option<ReplicaLoad>) {
+    /// Records that the head of a replica's response arrived, with the load that the replica
+    /// reported in it, if any.
+    pub(super) fn record_response_head(&self, replica: &str, load: Option<ReplicaLoad>) {
         let now = self.now();
         {
             let mut fleet = self.slots.fleet.lock();
@@ -126,65 +133,77 @@
                 None => fleet.report_no_load(replica),
             }
         }
-        if self.slots.waits() {
-            self.slots.offer(replica, now);
+        if self.slots.has_waiters() {
+            self.slots.assign_at(replica, now);
         }
     }
 
-    /// Waits for a free place.
-    pub(super) async fn place(&self, turn: WaitPosition, want: SlotRequest) -> Option<Held<'_>> {
+    /// Waits in the queue for a free slot. None if the queue entry was dropped without a slot.
+    pub(super) async fn wait_for_slot(
+        &self,
+        position: WaitPosition,
+        want: SlotRequest,
+    ) -> Option<SlotGuard<'_>> {
         let (service, model) = (want.service.clone(), want.model.clone());
-        let wanted = self.slots.wanted.begin(service.clone());
+        let demand = self.slots.demand.begin(service.clone());
         let (grant, granted) = oneshot::channel();
-        self.slots.waiting.lock().add(turn, want, grant);
-        let mut waiting = Wait { app: self, turn, service, model: model.clone(), granted };
-        self.slots.pump(self.now());
-        self.slots.begun.notify_one();
+        self.slots.waiting.lock().add(position, want, grant);
+        let mut waiting =
+            QueuedWaiter { app: self, position, service, model: model.clone(), granted };
+        self.slots.assign_free(self.now());
+        self.slots.waiter_added.notify_one();
         let target = (&mut waiting.granted).await.ok()?;
-        Some(Held {
+        Some(SlotGuard {
             app: self,
             target,
             model,
             ended: ReplicaOutcome::Abandoned,
-            _wanted: Some(wanted),
+            _demand: Some(demand),
         })
     }
 
-    /// Looks after those who wait, for as long as someone does.
-    pub(super) async fn look(&self) {
+    /// Processes the queue at intervals while it is not empty. Runs for as long as the process.
+    pub(super) async fn retry_waiting(&self) {
         loop {
-            self.slots.begun.notified().await;
-            while self.slots.waits() {
-                tokio::time::sleep(LOOK).await;
-                self.slots.pump(self.now());
+            self.slots.waiter_added.notified().await;
+            while self.slots.has_waiters() {
+                tokio::time::sleep(RETRY_INTERVAL).await;
+                self.slots.assign_free(self.now());
             }
         }
     }
 
-    /// Takes a place at once, also where all are taken.
-    pub(super) fn take(&self, wish: &AttemptRequest<'_>) -> Option<Held<'_>> {
+    /// Takes a slot at once, even at a replica whose slots are all taken. None if no replica
+    /// accepts work.
+    pub(super) fn take_slot(&self, wish: &AttemptRequest<'_>) -> Option<SlotGuard<'_>> {
         let mut fleet = self.slots.fleet.lock();
         let now = self.now();
         let target = fleet.choose(wish, now)?;
         fleet.start_attempt(&target.id, now);
         let model = wish.weights.map(|(model, _)| model.into());
-        Some(Held { app: self, target, model, ended: ReplicaOutcome::Abandoned, _wanted: None })
+        Some(SlotGuard {
+            app: self,
+            target,
+            model,
+            ended: ReplicaOutcome::Abandoned,
+            _demand: None,
+        })
     }
 }
 
-/// Takes a waiter out of the queue when its sample gives up.
-struct Wait<'a> {
+/// Removes a waiter from the queue when it is dropped, as when its sample gives up.
+struct QueuedWaiter<'a> {
     app: &'a App,
-    turn: WaitPosition,
+    position: WaitPosition,
     service: Name,
     model: Option<Name>,
     granted: oneshot::Receiver<Target>,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for QueuedWaiter<'_> {
     fn drop(&mut self) {
-        self.app.slots.waiting.lock().remove(self.turn, &self.service, &self.model);
-        // A place that was granted but never taken is given back.
+        self.app.slots.waiting.lock().remove(self.position, &self.service, &self.model);
+        // A slot that was assigned but never used is released.
         self.granted.close();
         if let Ok(target) = self.granted.try_recv() {
             let now = self.app.now();
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -1,17 +1,18 @@
-//! Taking over jobs whose home is gone.
+//! Taking over jobs whose owner is gone.
 //!
-//! Load pattern: many machines go at once, or all; each open step waits until someone runs
-//! it again. If every node looked for orphans at every change, their reads would grow with
-//! the square of the fleet: only the nodes first in rank look, one after the other.
+//! Load pattern: many machines fail at once, or all of them, and each open step waits until a
+//! node runs it again. If every node scanned for orphaned jobs at every change, the reads would
+//! grow with the square of the fleet. Therefore only the first nodes in rank scan, one after
+//! the other.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::app::{App, ByName};
-use super::home::Kept;
-use super::keys::{HOMES, HomeValue, all_texts, home as home_key, whole_job};
-use super::live::Seen;
+use super::keys::{JOB_RECORD_PREFIX, JobRecord, job_data_prefix, job_record_key, texts_prefix};
+use super::membership::Stored;
+use super::runner::RestoredJob;
 use super::submit::unix_millis;
 use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
 use crate::decide::rank;
@@ -19,106 +20,114 @@
 use crate::metrics::JobStep;
 use crate::{Moment, Name};
 
-/// How much longer each next node in rank waits before it looks: the nodes ahead of it need
-/// two calls to the store for each job.
-const STEP: Duration = Duration::from_millis(500);
-/// Nodes that look at all.
-const LOOKERS: usize = 3;
-/// The pause after a look that failed, or found homes that may come back.
-const AGAIN: Duration = Duration::from_millis(300);
-/// How often the first in rank looks without a sign: what every other way has missed.
-const ROUTINE: Duration = Duration::from_secs(10);
-/// Keys that are removed by one write: a transaction takes 32 entries.
-const REMOVED: usize = 30;
-/// How long a write that was not answered may still take effect: six seconds were seen.
-const LATE: u32 = 8;
-/// How often it is looked for.
-const ASK: Duration = Duration::from_secs(1);
+/// How much longer each next node in rank waits before it scans: the nodes ahead of it need
+/// two store calls for each job.
+const RANK_DELAY: Duration = Duration::from_millis(500);
+/// Number of nodes, the first in rank, that scan.
+const MAX_SCANNERS: usize = 3;
+/// Pause after a scan that failed, or that found jobs whose owner may come back.
+const RESCAN_PAUSE: Duration = Duration::from_millis(300);
+/// How often a node scans without any change of the membership, to find jobs that were missed
+/// otherwise.
+const SCAN_INTERVAL: Duration = Duration::from_secs(10);
+/// Keys that one write removes. A transaction takes at most 32 entries.
+const MAX_KEYS_PER_DELETE: usize = 30;
+/// Number of checks whether a write whose answer was lost has taken effect late. Writes have
+/// taken effect six seconds late.
+const LATE_WRITE_POLLS: u32 = 8;
+/// Pause before each of these checks.
+const LATE_WRITE_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks for orphans whenever nodes have changed, until the process stops.
-pub(super) async fn follow(app: Arc<App>) {
-    let mut news = app.view_changes.subscribe();
+/// Scans for orphaned jobs whenever the live nodes change, until the process stops.
+pub(super) async fn run_takeover(app: Arc<App>) {
+    let mut view_changes = app.view_changes.subscribe();
     let mut known: BTreeSet<Name> = BTreeSet::new();
     let mut due: Option<Moment> = None;
     loop {
         let now = app.now();
-        let routine = due.map_or(ROUTINE, |at| at.saturating_sub(now));
+        let until_scan = due.map_or(SCAN_INTERVAL, |at| at.saturating_sub(now));
         tokio::select! {
             () = app.stop.cancelled() => return,
-            _ = news.changed() => {}
-            () = tokio::time::sleep(routine) => {
+            _ = view_changes.changed() => {}
+            () = tokio::time::sleep(until_scan) => {
                 due.get_or_insert(now);
             }
         }
         let now = app.now();
         let place = {
             let mut live = app.membership.lock();
-            let heard = app.store_time();
-            live.forget(heard);
-            app.tidy(now);
-            let lives: BTreeSet<Name> = live.lives(heard).into_iter().collect();
-            let able = live.able();
-            if lives != known {
-                known = lives;
+            let store_time = app.store_time();
+            live.forget_departed(store_time);
+            app.evict_expired(now);
+            let alive: BTreeSet<Name> = live.live_incarnations(store_time).into_iter().collect();
+            let serving = live.serving_incarnations();
+            if alive != known {
+                known = alive;
                 due = None;
             }
-            rank(HOMES, able.iter().map(|l| &**l)).iter().position(|l| **l == *app.incarnation)
+            rank(JOB_RECORD_PREFIX, serving.iter().map(|l| &**l))
+                .iter()
+                .position(|l| **l == *app.incarnation)
         };
-        let Some(place) = place.filter(|place| *place < LOOKERS) else {
+        let Some(place) = place.filter(|place| *place < MAX_SCANNERS) else {
             due = None;
             continue;
         };
-        let at = *due.get_or_insert(now + STEP * place as u32);
+        let at = *due.get_or_insert(now + RANK_DELAY * place as u32);
         if now < at {
             continue;
         }
         if !app.has_lease() {
-            due = Some(now + AGAIN);
+            due = Some(now + RESCAN_PAUSE);
             continue;
         }
-        due = match look(&app).await {
+        due = match scan_jobs(&app).await {
             Ok(true) => None,
-            Ok(false) => Some(app.now() + AGAIN),
+            Ok(false) => Some(app.now() + RESCAN_PAUSE),
             Err(e) => {
-                tracing::warn!(event = "orphans_not_read", error = %e);
-                Some(app.now() + AGAIN)
+                tracing::warn!(event = "job_scan_failed", error = %e);
+                Some(app.now() + RESCAN_PAUSE)
             }
         };
-        // Without a sign the next look is the routine one.
-        due = due.or(Some(app.now() + ROUTINE));
+        // Unless something changes, the next scan is the regular one.
+        due = due.or(Some(app.now() + SCAN_INTERVAL));
     }
 }
 
-/// Takes what has no home. False if a home that is gone may still come back.
-async fn look(app: &Arc<App>) -> Result<bool, StoreError> {
-    let page = app.store.range(HOMES).await?;
+/// Takes over jobs without a live owner, resumes this node's own, and deletes old ones. False if
+/// another scan is needed soon: an owner may still come back, or a call failed.
+async fn scan_jobs(app: &Arc<App>) -> Result<bool, StoreError> {
+    let page = app.store.range(JOB_RECORD_PREFIX).await?;
     let mut settled = true;
     for item in &page.items {
-        let Ok(value) = serde_json::from_slice::<HomeValue>(&item.value) else {
+        let Ok(value) = serde_json::from_slice::<JobRecord>(&item.value) else {
             tracing::error!(event = "value_unreadable", key = %item.key);
             continue;
         };
-        let job: Name = item.key.strip_prefix(HOMES).unwrap_or(&item.key).into();
+        let job: Name = item.key.strip_prefix(JOB_RECORD_PREFIX).unwrap_or(&item.key).into();
         if value.done {
-            if old(app, &value) {
-                forget(app, &job, item.revision).await?;
+            if past_retention(app, &value) {
+                delete_job(app, &job, item.revision).await?;
             }
             continue;
         }
         if app.owned_jobs.get(&job).is_some() {
             continue;
         }
-        let seen = Seen { value, revision: item.revision };
-        if seen.value.life == app.incarnation {
-            settled &= begin(app, &job, seen).await;
+        let seen = Stored { value, revision: item.revision };
+        if seen.value.incarnation == app.incarnation {
+            settled &= resume_job(app, &job, seen).await;
             continue;
         }
         let (alive, back) = {
             let live = app.membership.lock();
-            (live.lives(app.store_time()).contains(&seen.value.life), live.listed(&seen.value.life))
+            (
+                live.live_incarnations(app.store_time()).contains(&seen.value.incarnation),
+                live.is_registered(&seen.value.incarnation),
+            )
         };
         if !alive {
-            settled &= take(app, &job, seen).await;
+            settled &= take_over(app, &job, seen).await;
         } else if !back {
             settled = false;
         }
@@ -126,33 +135,33 @@
     Ok(settled)
 }
 
-/// Makes this node home to a job. False if that is to be looked at again.
-async fn take(app: &Arc<App>, job: &Name, seen: Seen<HomeValue>) -> bool {
-    let value = HomeValue { life: app.incarnation.clone(), ..seen.value.clone() };
+/// Makes this node the owner of a job and runs it. False if that must be tried again.
+async fn take_over(app: &Arc<App>, job: &Name, seen: Stored<JobRecord>) -> bool {
+    let value = JobRecord { incarnation: app.incarnation.clone(), ..seen.value.clone() };
     let Ok(written) = serde_json::to_vec(&value) else { return true };
-    let key = home_key(job);
+    let key = job_record_key(job);
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
     match app.store.txn(txn).await {
         Ok(TxnOutcome::Done(revision)) => {
             app.tally.job(JobStep::Taken);
-            tracing::info!(event = "job_taken", %job, from = %seen.value.life, revision);
-            begin(app, job, Seen { value, revision }).await
+            tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
+            resume_job(app, job, Stored { value, revision }).await
         }
-        // Another node has taken it, or its trainer ended it.
+        // Another node has taken the job over, or its trainer has ended it.
         Ok(TxnOutcome::Conflict(_) | TxnOutcome::NoLease) => true,
         Err(e) => {
-            tracing::warn!(event = "job_not_taken", %job, error = %e);
-            app.expect(job.clone());
+            tracing::warn!(event = "takeover_failed", %job, error = %e);
+            app.watch_for_late_write(job.clone());
             false
         }
     }
 }
 
-/// Runs a job that is this node's from what the store has of it. False if that can't be read.
-pub(super) async fn begin(app: &Arc<App>, job: &Name, key: Seen<HomeValue>) -> bool {
-    match load(app, job).await {
-        Ok((spec, kept)) => {
-            app.run(spec, kept, key);
+/// Runs a job of this node from what the store has of it. False if that can't be read.
+pub(super) async fn resume_job(app: &Arc<App>, job: &Name, key: Stored<JobRecord>) -> bool {
+    match load_job(app, job).await {
+        Ok((spec, restored)) => {
+            app.run_job(spec, restored, key);
             true
         }
         Err(e) => {
@@ -162,16 +171,18 @@
     }
 }
 
-async fn load(app: &App, job: &str) -> Result<(Arc<JobSpec>, Kept), StoreError> {
+/// Reads a job's submission, results and unfinished texts from the store.
+async fn load_job(app: &App, job: &str) -> Result<(Arc<JobSpec>, RestoredJob), StoreError> {
     let spec = app.load_spec(job).await?;
-    let listed = app.load_results(job).await?;
-    let page = app.store.range(&all_texts(job)).await?;
-    let (texts, saves) = unfinished(&page, &listed);
-    Ok((spec, Kept { listed, texts, saves }))
+    let results = app.load_results(job).await?;
+    let page = app.store.range(&texts_prefix(job)).await?;
+    let (texts, text_writes) = decode_texts(&page, &results);
+    Ok((spec, RestoredJob { results, texts, text_writes }))
 }
 
-/// The unfinished texts, from all writes of them in turn, and the number for the next write.
-fn unfinished(
+/// Rebuilds the unfinished texts from all their saves in order, and returns them with the index
+/// for the next save.
+fn decode_texts(
     page: &RangeResult,
     listed: &[Arc<ItemResult>],
 ) -> (ByName<(SampleText, SavedProgress)>, usize) {
@@ -183,7 +194,7 @@
         let growths = match decoded {
             Ok((growths, _)) => growths,
             Err(e) => {
-                tracing::error!(event = "texts_unreadable", key = %item.key, error = %e);
+                tracing::error!(event = "texts_not_decoded", key = %item.key, error = %e);
                 continue;
             }
         };
@@ -200,20 +211,20 @@
     (texts, page.items.len())
 }
 
-/// Whether nobody may ask for a job that is done any more. Twice the time it can be read:
-/// the times of day of two machines differ, and a client may have kept on asking.
-fn old(app: &App, value: &HomeValue) -> bool {
-    let age = Duration::from_millis(unix_millis().saturating_sub(value.since));
-    value.since > 0 && age >= app.settings.job_retention * 2
+/// Whether a finished job may be deleted: after twice the time for which it can be read,
+/// because the clocks of two machines differ and a client may have kept asking.
+fn past_retention(app: &App, value: &JobRecord) -> bool {
+    let age = Duration::from_millis(unix_millis().saturating_sub(value.accepted_ms));
+    value.accepted_ms > 0 && age >= app.settings.job_retention * 2
 }
 
-/// Removes a job that is done: what it is made of first, its home's key last, so that what
-/// a crash leaves behind is found again.
-async fn forget(app: &Arc<App>, job: &Name, revision: u64) -> Result<(), StoreError> {
-    let page = app.store.range(&whole_job(job)).await?;
+/// Deletes a finished job from the store: its data first and its record last, so that a scan
+/// finds what a crash leaves behind.
+async fn delete_job(app: &Arc<App>, job: &Name, revision: u64) -> Result<(), StoreError> {
+    let page = app.store.range(&job_data_prefix(job)).await?;
     let keys: Vec<Name> = page.items.into_iter().map(|item| item.key).collect();
-    let key = home_key(job);
-    for keys in keys.chunks(REMOVED) {
+    let key = job_record_key(job);
+    for keys in keys.chunks(MAX_KEYS_PER_DELETE) {
         let txn = Txn::when(key.clone(), revision);
         let txn = keys.iter().fold(txn, |txn, key| txn.remove(key.clone()));
         app.store.txn(txn).await?;
@@ -222,34 +233,35 @@
     app.owned_jobs.remove(job);
     app.ended_jobs.remove(job);
     app.remote_jobs.remove(job);
-    tracing::info!(event = "job_forgotten", %job, keys = keys.len());
+    tracing::info!(event = "job_deleted", %job, keys = keys.len());
     Ok(())
 }
 
 impl App {
-    /// Forgets views and finished homes that nobody may ask for any more.
-    fn tidy(&self, now: Moment) {
+    /// Drops cached remote jobs and finished owned jobs that are past their retention.
+    fn evict_expired(&self, now: Moment) {
         self.remote_jobs.drop_idle(now, self.settings.job_retention * 2);
-        for (job, home) in self.owned_jobs.all() {
-            let over = home.job.lock().all_written();
-            if over && old(self, &home.key.lock().value) {
+        for (job, owned) in self.owned_jobs.all() {
+            let over = owned.job.lock().all_written();
+            if over && past_retention(self, &owned.record.lock().value) {
                 self.owned_jobs.remove(&job);
             }
         }
     }
 
-    /// A write that makes this node home to a job was not answered: it may yet take effect.
-    pub(super) fn expect(self: &Arc<Self>, job: Name) {
+    /// Watches for a write that makes this node the owner of a job and whose answer was lost.
+    /// If it takes effect late, the job is run.
+    pub(super) fn watch_for_late_write(self: &Arc<Self>, job: Name) {
         let app = self.clone();
         self.spawn(async move {
-            for _ in 0..LATE {
-                tokio::time::sleep(ASK).await;
+            for _ in 0..LATE_WRITE_POLLS {
+                tokio::time::sleep(LATE_WRITE_POLL_INTERVAL).await;
                 if app.draining() || app.owned_jobs.get(&job).is_some() {
                     return;
                 }
-                let Ok(Some(seen)) = app.home_of(&job).await else { continue };
-                if seen.value.life == app.incarnation && !seen.value.done {
-                    begin(&app, &job, seen).await;
+                let Ok(Some(seen)) = app.job_record(&job).await else { continue };
+                if seen.value.incarnation == app.incarnation && !seen.value.done {
+                    resume_job(&app, &job, seen).await;
                 }
                 return;
             }
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -13,7 +13,7 @@
 use crate::decide::rank;
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
-use crate::entry::keys::HOLDER;
+use crate::entry::keys::LEADER_KEY;
 use crate::entry::peer::{PeerReply, PeerRequest};
 
 /// How long counts are collected into one message.
@@ -95,11 +95,11 @@
     /// that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
         let live = self.membership.lock();
-        let Some(seen) = live.holder() else { return Vec::new() };
-        let (candidates, leader) = (live.able(), &seen.value.life);
-        let ranked = rank(HOLDER, candidates.iter().map(|l| &**l));
+        let Some(seen) = live.leader() else { return Vec::new() };
+        let (candidates, leader) = (live.serving_incarnations(), &seen.value.incarnation);
+        let ranked = rank(LEADER_KEY, candidates.iter().map(|l| &**l));
         let successors = ranked.into_iter().filter(|l| **leader != **l);
         let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
-        collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
+        collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer_of(l)).collect()
     }
 }
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use mulberrycourse::decide::usage::Counts;
-use mulberrycourse::entry::{Ask, Given, PeerRequest};
+use mulberrycourse::entry::{PeerRequest, RelayRequest, RelayResponse};
 use standins::duties::Reported;
 use standins::kv::{Away, Faults};
 use standins::replicas::Mood;
 
 use crate::links::Link;
-use crate::world::{Node, World, ask, pass, until};
+use crate::world::{Node, World, relay_request, sleep_ms, wait_until};
 
 /// The length of a usage window in the settings of the nodes.
 const WINDOW: Duration = Duration::from_secs(5);
@@ -19,8 +19,9 @@
 async fn call(node: &Node, organisation: &str, id: &str) -> bool {
     let routes = node.app().routes().unwrap();
     let route = routes.find("host.example", "/plain/x").unwrap();
-    let ask = Ask { organisation: Some(organisation.into()), ..ask(id, "/plain/x") };
-    matches!(node.app().relay(route, ask).await, Given::Whole { status, .. } if status.is_success())
+    let ask =
+        RelayRequest { organisation: Some(organisation.into()), ..relay_request(id, "/plain/x") };
+    matches!(node.app().relay(route, ask).await, RelayResponse::Complete { status, .. } if status.is_success())
 }
 
 /// Returns the accepted reports by window. Fails if a window was reported with different counts.
@@ -43,16 +44,16 @@
 /// Waits until every window up to the present one is reported.
 async fn wait_until_reported(world: &World) {
     let window = (world.clock.truth().as_secs() / WINDOW.as_secs()) + 1;
-    until(|| reports(world).contains_key(&window)).await;
+    wait_until(|| reports(world).contains_key(&window)).await;
 }
 
 /// Starts the nodes a, b and c, and returns them with the index of the leader.
 async fn start_three(world: &World) -> (Vec<Node>, usize) {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
-        nodes.push(world.linked(name).await);
+        nodes.push(world.linked_node(name).await);
     }
-    until(|| !world.duties.reported().is_empty()).await;
+    wait_until(|| !world.duties.reported().is_empty()).await;
     let holder = world.duties.reported()[0].term.holder.clone();
     let leader = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
     (nodes, leader)
@@ -64,7 +65,7 @@
     let (nodes, _) = start_three(&world).await;
     for i in 0..40 {
         assert!(call(&nodes[i % 3], ["x", "y"][i % 2], &format!("r{i}")).await);
-        pass(211).await;
+        sleep_ms(211).await;
     }
     wait_until_reported(&world).await;
     let mut totals = Counts::new();
@@ -103,7 +104,7 @@
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
     // Its counts are shared within a few hundred milliseconds, not at the end of the window.
-    pass(300).await;
+    sleep_ms(300).await;
     drop(nodes.remove(other));
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 5);
@@ -121,7 +122,7 @@
             call(&nodes[i % 3], "x", &format!("r{i}")).await;
         }
         let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
-        pass(5_000 - elapsed_ms + 3_000 + cut).await;
+        sleep_ms(5_000 - elapsed_ms + 3_000 + cut).await;
         world.duties.lose(u32::from(cut % 2 == 0));
         drop(nodes.remove(leader));
         wait_until_reported(&world).await;
@@ -158,7 +159,7 @@
     for node in &nodes {
         node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
     }
-    pass(6_000).await;
+    sleep_ms(6_000).await;
     for node in &nodes {
         node.line.fail(Faults::default());
     }
@@ -179,7 +180,7 @@
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
     let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - elapsed_ms + 3_000).await;
+    sleep_ms(5_000 - elapsed_ms + 3_000).await;
     for to in [leader, third] {
         nodes[to].link(Link::Open);
     }
@@ -195,11 +196,11 @@
     let (mut nodes, _) = start_three(&world).await;
     world.clock = true_clock.beside();
     let clock = world.clock.clone();
-    nodes.push(world.linked("d").await);
+    nodes.push(world.linked_node("d").await);
     clock.step(Duration::from_secs(7));
     world.clock = true_clock;
     let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
-    pass(5_000 - elapsed_ms + 100).await;
+    sleep_ms(5_000 - elapsed_ms + 100).await;
     let window = world.clock.truth().as_secs() / 5;
     for i in 0..4 {
         assert!(call(&nodes[3], "x", &format!("r{i}")).await);
@@ -221,14 +222,14 @@
     let truth = std::mem::replace(&mut world.clock, wrong);
     // With two of them, one that has the wrong clock ranks next as leader.
     for name in ["d", "e"] {
-        nodes.push(world.linked(name).await);
+        nodes.push(world.linked_node(name).await);
     }
     world.clock = truth;
-    pass(6_000).await;
+    sleep_ms(6_000).await;
     drop(nodes.remove(leader));
     for i in 0..60 {
         call(&nodes[i % 4], "x", &format!("r{i}")).await;
-        pass(211).await;
+        sleep_ms(211).await;
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 60);
@@ -246,13 +247,13 @@
 #[tokio::test(start_paused = true)]
 async fn nodes_without_counts_send_nothing() {
     let world = World::new().with_usage(WINDOW);
-    let nodes = world.crowd(60);
-    until(|| nodes.iter().all(|n| n.app().ready())).await;
+    let nodes = world.start_crowd(60);
+    wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
     let usage_messages = || {
         let asked = world.links.requests();
         asked.iter().filter(|ask| matches!(ask, PeerRequest::Usage { .. })).count()
     };
-    pass(20_000).await;
+    sleep_ms(20_000).await;
     assert_eq!(usage_messages(), 0);
     call(&nodes[7], "x", "r").await;
     wait_until_reported(&world).await;
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -1,4 +1,4 @@
-//! Nodes over one service and one fleet of replicas.
+//! The setting of the tests: entry nodes that share a key-value service and a fleet of replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use mulberrycourse::decide::{RequestLimits, RetryPolicy, Route, Routes};
 use mulberrycourse::edge::schema::Directive;
 use mulberrycourse::entry::{
-    App, Ask, EntryNode, PeerReply, PeerRequest, Peers, Ports, Read, Submitted,
+    App, EntryNode, PeerReply, PeerRequest, Peers, Ports, ReadResult, RelayRequest, SubmitResult,
 };
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
@@ -23,23 +23,25 @@
 
 pub(crate) const HOST: &str = "host.example";
 pub(crate) const MODEL: &str = "coach";
-/// Guards a test against hanging; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(120);
+/// Keeps a test from hanging; no result depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 
+/// The key-value service, the replicas, and what the nodes of a test have in common.
 pub(crate) struct World {
     pub(crate) kv: KvService,
     pub(crate) words: Words,
     pub(crate) replicas: ReplicaFleet,
     pub(crate) links: Links,
     pub(crate) duties: DutyLedger,
-    /// The clocks of the nodes that start from now on.
+    /// The clock of the nodes that are started from now on.
     pub(crate) clock: TestClock,
-    /// The windows by which nodes report usage.
+    /// The windows by which nodes report usage; none if they don't.
     usage: Option<Windows>,
     /// Whether nodes may order replicas.
     ordering: bool,
 }
 
+/// A node and its connections to the store and to other nodes.
 pub(crate) struct Node {
     pub(crate) entry: EntryNode,
     pub(crate) line: KvLine,
@@ -47,7 +49,7 @@
 }
 
 impl World {
-    /// Three engines, two plain replicas, routes of every kind.
+    /// Three engine replicas, two plain replicas, and routes of every kind.
     pub(crate) fn new() -> Self {
         let (kv, words) = (KvService::spawn(), Words::default());
         let replicas = ReplicaFleet::new(kv.clone(), words.clone());
@@ -65,31 +67,31 @@
         world
     }
 
-    /// The same, where usage is reported by windows of this length.
+    /// The same, with usage reported by windows of this length.
     pub(crate) fn with_usage(self, length: Duration) -> Self {
         Self { usage: Some(Windows { length, report_grace: length * 2 }), ..self }
     }
 
-    /// The same, where replicas may be ordered.
+    /// The same, with nodes that may order replicas.
     pub(crate) fn with_duties(self) -> Self {
         Self { ordering: true, ..self }
     }
 
-    /// Which of these nodes is the holder of duties.
-    pub(crate) fn holder(&self, nodes: &[Node]) -> usize {
+    /// The index of the leader among these nodes.
+    pub(crate) fn leader(&self, nodes: &[Node]) -> usize {
         let items = self.kv.items("mulberry/live/holder");
         let text = String::from_utf8(items[0].value.to_vec()).unwrap();
-        let held = |n: &Node| text.contains(&format!("\"{}.", n.app().settings.name));
-        nodes.iter().position(held).unwrap()
+        let leads = |n: &Node| text.contains(&format!("\"{}.", n.app().settings.name));
+        nodes.iter().position(leads).unwrap()
     }
 
-    /// Writes the routes under a version.
+    /// Writes the routes with a configuration version.
     pub(crate) fn configure(&self, version: u64) {
-        self.configure_beside(version, "");
+        self.configure_with(version, "");
     }
 
-    /// The same, with the text of further routes.
-    pub(crate) fn configure_beside(&self, version: u64, others: &str) {
+    /// The same, with further routes as text.
+    pub(crate) fn configure_with(&self, version: u64, others: &str) {
         let routes = vec![
             route("/jobs/", "engines", RetryPolicy::Never),
             route("/plain/", "plain", RetryPolicy::Rerun),
@@ -109,48 +111,48 @@
         self.words.write_long(&self.kv, "config", Directive::Routes(routes), others);
     }
 
-    /// A trainer names a version.
-    pub(crate) fn name(&self, version: u64) {
+    /// Names a weight version, as a trainer does.
+    pub(crate) fn name_version(&self, version: u64) {
         let notice = Directive::Version { model: MODEL.into(), version };
         self.words.write(&self.kv, "version", notice);
     }
 
     /// Starts a node and waits until it is ready.
     pub(crate) async fn node(&self, name: &str) -> Node {
-        self.node_that_keeps(name, Duration::from_secs(120)).await
+        self.node_with_job_retention(name, Duration::from_secs(120)).await
     }
 
-    /// The same, where jobs are kept for so long.
-    pub(crate) async fn node_that_keeps(&self, name: &str, kept: Duration) -> Node {
-        self.node_with(EntrySettings { job_retention: kept, ..settings(name) }).await
+    /// The same, with this `[jobs] kept`.
+    pub(crate) async fn node_with_job_retention(&self, name: &str, retention: Duration) -> Node {
+        self.node_with_settings(EntrySettings { job_retention: retention, ..settings(name) }).await
     }
 
-    /// The same, where a replica that leaves may get work for so long.
-    pub(crate) async fn node_that_drains(&self, name: &str, drain: Duration) -> Node {
-        self.node_with(EntrySettings { drain_time: drain, ..settings(name) }).await
+    /// The same, with this `[replicas] drain`.
+    pub(crate) async fn node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
+        self.node_with_settings(EntrySettings { drain_time: drain, ..settings(name) }).await
     }
 
-    /// The same, where a value may have so many bytes.
-    pub(crate) async fn node_that_writes(&self, name: &str, value: usize) -> Node {
-        self.node_with(EntrySettings { max_value: value, ..settings(name) }).await
+    /// The same, with this `[store] value`, in bytes.
+    pub(crate) async fn node_with_value_bytes(&self, name: &str, value: usize) -> Node {
+        self.node_with_settings(EntrySettings { value_bytes: value, ..settings(name) }).await
     }
 
-    /// The same, where the store keeps its history for so long.
-    pub(crate) async fn node_that_remembers(&self, name: &str, history: Duration) -> Node {
-        self.node_with(EntrySettings { store_history: history, ..settings(name) }).await
+    /// The same, with this `[store] history`.
+    pub(crate) async fn node_with_store_history(&self, name: &str, history: Duration) -> Node {
+        self.node_with_settings(EntrySettings { store_history: history, ..settings(name) }).await
     }
 
-    /// The same, linked to others.
-    pub(crate) async fn linked(&self, name: &str) -> Node {
-        self.linked_that_drains(name, settings(name).drain_time).await
+    /// Starts a node that other nodes can connect to, and waits until it is ready.
+    pub(crate) async fn linked_node(&self, name: &str) -> Node {
+        self.linked_node_with_drain_time(name, settings(name).drain_time).await
     }
 
-    /// The same, where a replica that leaves may get work for so long.
-    pub(crate) async fn linked_that_drains(&self, name: &str, drain: Duration) -> Node {
+    /// The same, with this `[replicas] drain`.
+    pub(crate) async fn linked_node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         let port = 1_000 + u16::from(name.as_bytes()[0]);
         let at = SocketAddr::from(([127, 0, 0, 1], port));
         let node = self
-            .node_with(EntrySettings {
+            .node_with_settings(EntrySettings {
                 peer_address: Some(at),
                 drain_time: drain,
                 ..settings(name)
@@ -160,43 +162,43 @@
         node
     }
 
-    /// Starts a node that knows another from its settings and whose line fails; it need not
-    /// become ready.
-    pub(crate) fn begin_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
+    /// Starts a linked node that knows another from its settings and whose store connection has
+    /// faults. Does not wait until it is ready.
+    pub(crate) fn start_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(name.as_bytes()[0])));
         let seeds = seed.app().settings.peer_address.into_iter().collect();
         let node =
-            self.begin(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
+            self.start(EntrySettings { peer_address: Some(at), seeds, ..settings(name) }, faults);
         self.links.add_node(at, node.app().clone());
         node
     }
 
-    /// Where a node of a crowd is asked.
-    pub(crate) fn place(index: u16) -> SocketAddr {
+    /// The peer address of a node that [`Self::start_crowd`] starts.
+    pub(crate) fn crowd_address(index: u16) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 2_000 + index))
     }
 
-    /// Starts so many linked nodes at once, which know the first three from their settings.
-    pub(crate) fn crowd(&self, count: u16) -> Vec<Node> {
-        let at = Self::place;
+    /// Starts this many linked nodes at once, which know the first three from their settings.
+    pub(crate) fn start_crowd(&self, count: u16) -> Vec<Node> {
+        let at = Self::crowd_address;
         let start = |i| {
             let (peers, seeds) = (Some(at(i)), (0..3).map(at).collect());
             let settings =
                 EntrySettings { peer_address: peers, seeds, ..settings(&format!("n{i:03}")) };
-            let node = self.begin(settings, Faults::default());
+            let node = self.start(settings, Faults::default());
             self.links.add_node(at(i), node.app().clone());
             node
         };
         (0..count).map(start).collect()
     }
 
-    async fn node_with(&self, settings: EntrySettings) -> Node {
-        let node = self.begin(settings, Faults::default());
-        until(|| node.app().ready()).await;
+    async fn node_with_settings(&self, settings: EntrySettings) -> Node {
+        let node = self.start(settings, Faults::default());
+        wait_until(|| node.app().ready()).await;
         node
     }
 
-    fn begin(&self, settings: EntrySettings, faults: Faults) -> Node {
+    fn start(&self, settings: EntrySettings, faults: Faults) -> Node {
         let duties = self.ordering.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
         let settings =
             EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
@@ -220,18 +222,22 @@
         self.entry.app()
     }
 
-    /// Sets what this node does with requests of others.
+    /// Sets how this node handles requests of other nodes.
     pub(crate) fn link(&self, link: Link) {
         self.links.set(self.app().settings.peer_address.unwrap(), link);
     }
 
-    /// From now on this node's requests reach no other.
+    /// From now on this node's requests reach no other node.
     pub(crate) fn isolate(&self) {
         self.links.isolate(self.app().settings.peer_address.unwrap());
     }
 
-    /// Asks another node for results.
-    pub(crate) async fn ask(&self, to: &Node, ask: PeerRequest) -> Option<Option<Read>> {
+    /// Requests the results of a job from another node; none without a proper reply.
+    pub(crate) async fn request_results(
+        &self,
+        to: &Node,
+        ask: PeerRequest,
+    ) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
         match self.links.request(to, ask, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
@@ -239,44 +245,45 @@
         }
     }
 
-    /// Reads from a position without waiting.
-    pub(crate) async fn page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
+    /// Reads results from a position on, without waiting.
+    pub(crate) async fn read_page(&self, job: &str, after: usize) -> Vec<Arc<ItemResult>> {
         match self.app().read(job, after, Duration::ZERO).await {
-            Read::Page { results, .. } => results,
+            ReadResult::Page { results, .. } => results,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Reads until all results are there.
-    pub(crate) async fn whole(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
+    /// Reads until there are `total` results.
+    pub(crate) async fn read_all(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
         let reading = async {
             let mut all = Vec::new();
             while all.len() < total {
                 match self.app().read(job, all.len(), Duration::from_secs(1)).await {
-                    Read::Page { results, .. } => all.extend(results),
+                    ReadResult::Page { results, .. } => all.extend(results),
                     _ => tokio::time::sleep(Duration::from_millis(200)).await,
                 }
             }
             all
         };
-        tokio::time::timeout(GUARD, reading).await.unwrap()
+        tokio::time::timeout(TEST_TIMEOUT, reading).await.unwrap()
     }
 
-    pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> Submitted {
-        self.app().submit(spec(job, items)).await
+    pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> SubmitResult {
+        self.app().submit(job_spec(job, items)).await
     }
 }
 
-pub(crate) async fn until(mut reached: impl FnMut() -> bool) {
+/// Waits until a condition holds.
+pub(crate) async fn wait_until(mut reached: impl FnMut() -> bool) {
     let wait = async {
         while !reached() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(GUARD, wait).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, wait).await.unwrap();
 }
 
-pub(crate) async fn pass(millis: u64) {
+pub(crate) async fn sleep_ms(millis: u64) {
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
@@ -306,7 +313,7 @@
     }
 }
 
-pub(crate) fn spec(job: &str, items: &[&str]) -> JobSpec {
+pub(crate) fn job_spec(job: &str, items: &[&str]) -> JobSpec {
     JobSpec {
         id: job.into(),
         host: HOST.into(),
@@ -319,9 +326,9 @@
     }
 }
 
-/// The same, from this version on.
-pub(crate) fn spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
-    JobSpec { min_version: oldest, ..spec(job, items) }
+/// The same, with this minimum weight version.
+pub(crate) fn job_spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
+    JobSpec { min_version: oldest, ..job_spec(job, items) }
 }
 
 fn item(id: &str) -> ItemSpec {
@@ -341,10 +348,10 @@
     }
 }
 
-pub(crate) fn ask(id: &str, path: &str) -> Ask {
+pub(crate) fn relay_request(id: &str, path: &str) -> RelayRequest {
     let mut headers = HeaderMap::new();
     headers.insert("model", MODEL.parse().unwrap());
-    Ask {
+    RelayRequest {
         id: id.into(),
         method: Method::POST,
         path: path.into(),
@@ -353,56 +360,56 @@
         headers,
         body: Bytes::new(),
         deadline: Some(Duration::from_secs(2)),
-        after: None,
+        resume_after: None,
     }
 }
 
-/// The text that a sample must have.
-pub(crate) fn text(item: &str, events: u64) -> String {
+/// The text that the replicas generate for a sample.
+pub(crate) fn expected_text(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event(item, e)).collect();
     lines.join("\n")
 }
 
-/// Checks a result against what the replicas made.
-pub(crate) fn check(listing: &ItemResult, events: u64) {
-    let ItemState::Completed { output, versions, score } = &listing.state else {
-        panic!("{listing:?}");
+/// Checks that a result is complete and matches what the replicas generate.
+pub(crate) fn assert_completed(result: &ItemResult, events: u64) {
+    let ItemState::Completed { output, versions, score } = &result.state else {
+        panic!("{result:?}");
     };
-    assert_eq!(*output, text(&listing.id, events));
+    assert_eq!(*output, expected_text(&result.id, events));
     assert!(!versions.is_empty());
-    assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", listing.id)));
+    assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", result.id)));
 }
 
-/// Calls to the store that ended well.
-pub(crate) fn calls(node: &Node, call: &str) -> u64 {
-    counted(node, &format!("{{call=\"{call}\",end=\"Answered\","))
+/// The number of a node's store calls of one kind that succeeded.
+pub(crate) fn answered_calls(node: &Node, call: &str) -> u64 {
+    count_calls(node, &format!("{{call=\"{call}\",end=\"Answered\","))
 }
 
-/// All calls of some nodes to the store, a renewal of a lease as a tenth of one.
-pub(crate) fn charged(nodes: &[Node]) -> u64 {
-    let of = |node| (counted(node, "{"), counted(node, "{call=\"Keep\","));
+/// The number of all store calls of some nodes; a lease renewal counts as a tenth of a call.
+pub(crate) fn charged_calls(nodes: &[Node]) -> u64 {
+    let of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
     nodes.iter().map(of).map(|(all, keeps)| (all - keeps) * 10 + keeps).sum::<u64>() / 10
 }
 
-/// Calls to the store that it refused.
-pub(crate) fn refusals(node: &Node) -> u64 {
-    counted(node, "end=\"Refused\",")
+/// The number of a node's store calls that the store refused.
+pub(crate) fn refused_calls(node: &Node) -> u64 {
+    count_calls(node, "end=\"Refused\",")
 }
 
-/// Calls to the store whose labels contain this.
-fn counted(node: &Node, labels: &str) -> u64 {
+/// The number of a node's store calls whose metric labels contain this text.
+fn count_calls(node: &Node, labels: &str) -> u64 {
     let text = node.app().metrics();
     let calls = text.lines().filter(|l| l.starts_with("mulberry_store_calls_total{"));
     let counts = calls.filter(|l| l.contains(labels)).filter_map(|l| l.split(' ').nth(1));
     counts.map(|count| count.parse::<u64>().unwrap()).sum()
 }
 
-/// The replicas that a node sends plain requests to.
-pub(crate) async fn used(world: &World, node: &Node, turn: &str) -> Vec<String> {
+/// Sends six plain requests by a node and returns the replicas that ran them.
+pub(crate) async fn plain_replicas_used(world: &World, node: &Node, turn: &str) -> Vec<String> {
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let name = &node.app().settings.name;
     for i in 0..6 {
-        node.app().relay(&route, ask(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
+        node.app().relay(&route, relay_request(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
     }
     let prefix = format!("{turn}-{name}-");
     let ran = world.replicas.ran();
