--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -23,11 +23,11 @@
     pub async fn end_job(self: &Arc<Self>, job: &str) -> Found<()> {
         let started = self.now();
         let owned = self.owned_jobs.get(job);
-        if let Some(home) = &owned {
-            self.halt(home);
+        if let Some(owned) = &owned {
+            self.halt(owned);
         }
         let known = match owned {
-            Some(ref home) => Ok(Some(home.key.lock().clone())),
+            Some(ref owned) => Ok(Some(owned.key.lock().clone())),
             None => self.home_of(job).await,
         };
         let mut seen = match known {
@@ -47,8 +47,8 @@
                 Ok(TxnOutcome::Done(_)) => {
                     self.tally.job(JobStep::Ended);
                     tracing::info!(event = "job_ended", job);
-                    if let Some(home) = owned {
-                        self.retain_ended(home);
+                    if let Some(owned) = owned {
+                        self.retain_ended(owned);
                     }
                     return Found::There(());
                 }
--- a/src/entry/ended_jobs.rs
+++ b/src/entry/ended_jobs.rs
@@ -94,14 +94,14 @@
 impl App {
     /// Retains a job of this node that is recorded as ended in the store. This node then has all
     /// results that the job will ever have, unless a write of results was not answered.
-    pub(super) fn retain_ended(self: &Arc<Self>, home: Arc<Home>) {
+    pub(super) fn retain_ended(self: &Arc<Self>, owned: Arc<Home>) {
         let app = self.clone();
         self.spawn(async move {
-            let _written = home.writing.lock().await;
-            if home.unsure.load(Ordering::Relaxed) {
+            let _written = owned.writing.lock().await;
+            if owned.unsure.load(Ordering::Relaxed) {
                 return;
             }
-            let job = home.job.lock();
+            let job = owned.job.lock();
             let ended =
                 EndedJob { spec: job.spec.clone(), results: job.written_results().to_vec() };
             app.ended_jobs.add(ended);
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -24,7 +24,7 @@
                 self.update_peers();
             }
             Topic::Routes | Topic::Versions | Topic::Retirements => {
-                page.items.iter().for_each(|item| self.apply_notice(item));
+                page.items.iter().for_each(|item| self.apply_directive(item));
             }
         }
         self.slots.pump(self.now());
@@ -43,9 +43,10 @@
         self.notify_view_change();
     }
 
+    /// Applies one change of a topic.
     fn apply_change(&self, topic: Topic, change: &Change) {
         match (topic, change) {
-            (Topic::Replicas, Change::Put(item)) => self.add_replica(item),
+            (Topic::Replicas, Change::Put(item)) => self.upsert_replica(item),
             (Topic::Replicas, Change::Removed { key, .. }) => {
                 self.remove_replica(&self.schema.replica_id(key));
             }
@@ -53,7 +54,7 @@
                 self.membership.lock().change(change, self.store_time());
                 self.update_peers();
             }
-            (_, Change::Put(item)) => self.apply_notice(item),
+            (_, Change::Put(item)) => self.apply_directive(item),
             // Only newer values ever replace a configuration or a version.
             (_, Change::Removed { .. }) => {}
         }
@@ -69,7 +70,9 @@
             .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
 
-    fn apply_notice(&self, item: &KeyValue) {
+    /// Applies a configuration, a version or a retirement request. A value that cannot be read is
+    /// logged and ignored.
+    fn apply_directive(&self, item: &KeyValue) {
         match self.schema.parse_directive(&item.key, &item.value) {
             Ok(None) => {}
             Ok(Some(Directive::Routes(routes))) => {
@@ -92,7 +95,8 @@
         }
     }
 
-    fn add_replica(&self, item: &KeyValue) {
+    /// Adds a replica to the list or updates it.
+    fn upsert_replica(&self, item: &KeyValue) {
         match self.schema.parse_replica(&item.key, &item.value) {
             Ok(listed) => {
                 let (id, draining) = (listed.target.id.clone(), listed.draining);
@@ -108,6 +112,7 @@
         }
     }
 
+    /// Removes a replica from the list.
     fn remove_replica(&self, id: &str) {
         if self.slots.fleet.lock().remove(id) {
             tracing::info!(event = "replica_gone", replica = %id);
@@ -122,7 +127,7 @@
     fn replace_replicas(self: &Arc<Self>, page: &RangeResult, prefix: &str) {
         let mut missing = self.slots.fleet.lock().ids();
         for item in &page.items {
-            self.add_replica(item);
+            self.upsert_replica(item);
             let id = self.schema.replica_id(&item.key);
             missing.retain(|m| *m != id);
         }
