--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -59,7 +59,9 @@
 };
 pub use early_samples::early_samples;
 pub use ejection::{FailureTracker, max_ejected};
-pub use fleet::{Ended, Fleet, Listed, Position, Waiting, Want, Wish};
+pub use fleet::{
+    AttemptRequest, Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition,
+};
 pub use freshness::{Prospect, Served, floor};
 pub use indexed_set::IndexedSet;
 pub use label::{Label, Span, Unlabelled};
