--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -7,7 +7,7 @@
 use super::keys::{HomeValue, home as home_key};
 use super::live::Seen;
 use super::read::Found;
-use crate::edge::store::{Txn, TxnEnd};
+use crate::edge::store::{Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
 /// How long the write that ends a job is retried while the store does not answer.
@@ -44,7 +44,7 @@
             let key = home_key(job);
             let txn = Txn::when(key.clone(), seen.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
-                Ok(TxnEnd::Done(_)) => {
+                Ok(TxnOutcome::Done(_)) => {
                     self.tally.job(JobStep::Ended);
                     tracing::info!(event = "job_ended", job);
                     if let Some(home) = here {
@@ -52,7 +52,7 @@
                     }
                     return Found::There(());
                 }
-                Ok(TxnEnd::Conflict(items)) => {
+                Ok(TxnOutcome::Conflict(items)) => {
                     let Some(item) = items.into_iter().find(|i| i.key == key) else {
                         return Found::Unknown;
                     };
@@ -61,7 +61,7 @@
                         Err(_) => return Found::Unsure,
                     }
                 }
-                Ok(TxnEnd::NoLease) => return Found::Unsure,
+                Ok(TxnOutcome::NoLease) => return Found::Unsure,
                 Err(e) => {
                     tracing::warn!(event = "job_end_not_written", job, error = %e);
                     if self.now().saturating_sub(started) > WRITE_RETRY_TIMEOUT {
--- a/src/entry/follow/feed.rs
+++ b/src/entry/follow/feed.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 use crate::Name;
-use crate::edge::store::{Change, Item, Page, Watched};
+use crate::edge::store::{Change, KeyValue, RangeResult, WatchBatch};
 
 /// How many changes are retained: several seconds of changes while a fleet loads new weights on
 /// every replica.
@@ -32,12 +32,12 @@
     /// Everything under the prefix.
     Snapshot {
         /// The keys and values.
-        page: Page,
+        page: RangeResult,
         /// How long ago the copy was last confirmed by the store.
         age: Duration,
     },
     /// The changes since a revision.
-    Changes(Watched),
+    Changes(WatchBatch),
 }
 
 impl FeedUpdate {
@@ -45,7 +45,7 @@
     pub(super) fn bytes(&self) -> usize {
         match self {
             Self::Snapshot { page, .. } => page.items.iter().map(|item| item.value.len()).sum(),
-            Self::Changes(watched) => watched.changes.iter().map(Change::bytes).sum(),
+            Self::Changes(watched) => watched.changes.iter().map(Change::value_bytes).sum(),
         }
     }
 }
@@ -70,7 +70,7 @@
     changes: VecDeque<Change>,
     /// The bytes of the values in `changes`.
     change_bytes: usize,
-    items: BTreeMap<Name, Item>,
+    items: BTreeMap<Name, KeyValue>,
     /// When the store last confirmed the copy. None before the first snapshot.
     updated: Option<Instant>,
 }
@@ -83,17 +83,17 @@
 
 impl Feed {
     /// Replaces the copy by a snapshot from the store, from which this node goes on to watch.
-    pub fn begin_watch(&self, page: &Page) {
+    pub fn begin_watch(&self, page: &RangeResult) {
         self.set(page, true);
     }
 
     /// Replaces the copy by a snapshot from another node, which had it from the store `age` ago.
-    pub fn copy_from_peer(&self, page: &Page, age: Duration) {
+    pub fn copy_from_peer(&self, page: &RangeResult, age: Duration) {
         self.set(page, false);
         self.state.lock().updated = Instant::now().checked_sub(age);
     }
 
-    fn set(&self, page: &Page, watched: bool) {
+    fn set(&self, page: &RangeResult, watched: bool) {
         let items = page.items.iter().map(|item| (item.key.clone(), item.clone())).collect();
         *self.state.lock() = State {
             watched,
@@ -114,7 +114,7 @@
     }
 
     /// Applies changes that follow the present revision.
-    pub fn apply(&self, watched: &Watched) {
+    pub fn apply(&self, watched: &WatchBatch) {
         let mut state = self.state.lock();
         for change in &watched.changes {
             match change {
@@ -184,7 +184,7 @@
         }
         let changes = state.changes.iter().filter(|change| change.revision() > after);
         let changes = changes.cloned().collect();
-        Some(FeedUpdate::Changes(Watched { changes, revision: state.revision.max(after) }))
+        Some(FeedUpdate::Changes(WatchBatch { changes, revision: state.revision.max(after) }))
     }
 
     fn notify(&self) {
@@ -197,20 +197,20 @@
     /// whatever its size.
     fn retain(&mut self, changes: &[Change]) {
         for change in changes {
-            self.change_bytes += change.bytes();
+            self.change_bytes += change.value_bytes();
             self.changes.push_back(change.clone());
         }
         while self.changes.len() > MAX_RETAINED_CHANGES
             || (self.changes.len() > 1 && self.change_bytes > MAX_RETAINED_BYTES)
         {
             let Some(change) = self.changes.pop_front() else { return };
-            self.change_bytes -= change.bytes();
+            self.change_bytes -= change.value_bytes();
             self.complete_after = change.revision();
         }
     }
 
     fn snapshot(&self, age: Duration) -> FeedUpdate {
         let items = self.items.values().cloned().collect();
-        FeedUpdate::Snapshot { page: Page { items, revision: self.revision }, age }
+        FeedUpdate::Snapshot { page: RangeResult { items, revision: self.revision }, age }
     }
 }
--- a/src/entry/peer/http_peers.rs
+++ b/src/entry/peer/http_peers.rs
@@ -33,6 +33,6 @@
         timeout: Duration,
     ) -> BoxFuture<'static, Result<PeerReply, PeerError>> {
         let client = self.client.clone();
-        Box::pin(async move { client.ask(to, &request, timeout).await })
+        Box::pin(async move { client.request(to, &request, timeout).await })
     }
 }
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -9,8 +9,8 @@
 use crate::Name;
 use crate::decide::job::JobSpec;
 use crate::decide::usage::WindowNote;
-use crate::edge::peer::Message;
-use crate::edge::store::{Item, Page, StoreError, Txn, TxnEnd, Watched};
+use crate::edge::peer::PeerMessage;
+use crate::edge::store::{KeyValue, RangeResult, StoreError, Txn, TxnOutcome, WatchBatch};
 use crate::entry::follow::FeedUpdate;
 use crate::entry::read::Read;
 use crate::entry::submit::Submitted;
@@ -149,13 +149,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreReply {
     /// Replies to `Get`: the key, if it exists.
-    Item(Option<Item>),
+    Item(Option<KeyValue>),
     /// Replies to `Range`.
-    Page(Page),
+    Page(RangeResult),
     /// Replies to `Watch`.
-    Watched(Watched),
+    Watched(WatchBatch),
     /// Replies to `Txn`.
-    Txn(TxnEnd),
+    Txn(TxnOutcome),
     /// Replies to `Grant`: the lease id.
     Lease(u64),
     /// Replies to `Keep`: whether the lease still exists.
@@ -164,7 +164,7 @@
     Ended,
 }
 
-impl Message for PeerRequest {
+impl PeerMessage for PeerRequest {
     type Reply = PeerReply;
 }
 
--- a/src/entry/peer/store.rs
+++ b/src/entry/peer/store.rs
@@ -5,7 +5,7 @@
 use super::fallback_store::FallbackStore;
 use super::messages::{StoreReply, StoreRequest};
 use crate::Name;
-use crate::edge::store::{Answer, Item, Page, Store, Txn, TxnEnd, Watched};
+use crate::edge::store::{KeyValue, RangeResult, Store, StoreFuture, Txn, TxnOutcome, WatchBatch};
 
 /// The longest time that a watch through another node waits: that node may go away meanwhile.
 const MAX_PEER_WATCH_WAIT: Duration = Duration::from_millis(2_000);
@@ -21,17 +21,17 @@
 }
 
 impl Store for FallbackStore {
-    fn get(&self, key: &str) -> Answer<Option<Item>> {
+    fn get(&self, key: &str) -> StoreFuture<Option<KeyValue>> {
         let request = StoreRequest::Get(Name::from(key));
         Box::pin(self.clone().call(self.direct.get(key), request, true, extract!(Item)))
     }
 
-    fn range(&self, prefix: &str) -> Answer<Page> {
+    fn range(&self, prefix: &str) -> StoreFuture<RangeResult> {
         let request = StoreRequest::Range(Name::from(prefix));
         Box::pin(self.clone().call(self.direct.range(prefix), request, true, extract!(Page)))
     }
 
-    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> Answer<Watched> {
+    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> StoreFuture<WatchBatch> {
         let direct = self.until_closed(self.direct.watch(prefix, after, wait));
         let request = StoreRequest::Watch {
             prefix: prefix.into(),
@@ -41,24 +41,24 @@
         Box::pin(self.clone().call(direct, request, false, extract!(Watched)))
     }
 
-    fn txn(&self, txn: Txn) -> Answer<TxnEnd> {
+    fn txn(&self, txn: Txn) -> StoreFuture<TxnOutcome> {
         let request = StoreRequest::Txn(txn.clone());
         Box::pin(self.clone().call(self.direct.txn(txn), request, false, extract!(Txn)))
     }
 
-    fn grant(&self, ttl: Duration) -> Answer<u64> {
+    fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
         let request = StoreRequest::Grant(ttl);
         Box::pin(self.clone().call(self.direct.grant(ttl), request, true, extract!(Lease)))
     }
 
-    fn keep(&self, lease: u64) -> Answer<bool> {
+    fn renew(&self, lease: u64) -> StoreFuture<bool> {
         let request = StoreRequest::Keep(lease);
-        Box::pin(self.clone().call(self.direct.keep(lease), request, true, extract!(Kept)))
+        Box::pin(self.clone().call(self.direct.renew(lease), request, true, extract!(Kept)))
     }
 
-    fn end(&self, lease: u64) -> Answer<()> {
+    fn revoke(&self, lease: u64) -> StoreFuture<()> {
         let extract = |reply| matches!(reply, StoreReply::Ended).then_some(());
         let request = StoreRequest::End(lease);
-        Box::pin(self.clone().call(self.direct.end(lease), request, true, extract))
+        Box::pin(self.clone().call(self.direct.revoke(lease), request, true, extract))
     }
 }
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -40,12 +40,12 @@
     /// Returns the time of day that the nodes agree on.
     pub(in crate::entry) fn time(&self) -> Duration {
         let reading = self.clock.read();
-        self.agreed.lock().read(reading.running, reading.wall)
+        self.agreed.lock().read(reading.since_boot, reading.since_epoch)
     }
 
     /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
-        let running = self.clock.read().running;
+        let running = self.clock.read().since_boot;
         self.agreed.lock().hear(node, time, running);
     }
 
