--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -76,7 +76,10 @@
 pub use rendezvous::{rendezvous_rank, rendezvous_score};
 pub use retry::RetryBudget;
 pub use ring::HashRing;
-pub use rollout::{Cause, Chains, Rollout, Sight, Stage, StoreShare, Turn, Wanted};
+pub use rollout::{
+    EngineObservation, OrderDecision, OrderReason, Rollout, RolloutStage, SwapChains,
+    TargetWeights, WeightLoadBudget,
+};
 pub use route::{Others, bounded, expected, two};
 pub use routes::{Again, Bounds, Route, Routes};
 pub use slow_engine::SlowEngineDetector;
--- a/src/decide/quarantine/suspicion.rs
+++ b/src/decide/quarantine/notice.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of crashes.
+//! The notices that nodes exchange about crashes.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,40 +7,40 @@
 /// One crash, as one node counted it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CrashId {
-    /// The node that saw it.
+    /// The node that saw the crash.
     pub node: Name,
-    /// Counts the node's crashes; starts at a random number, so that a node that
-    /// starts anew does not repeat itself.
+    /// The node's count of crashes. It starts at a random number, so that a node that
+    /// restarts does not repeat its numbers.
     pub number: u64,
 }
 
-/// A request was in flight at an upstream when that crashed.
+/// Reports that a request was in flight at an upstream when that crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Suspicion {
+pub struct CrashReport {
     /// Hash of the service and the content.
     pub fingerprint: u64,
-    /// How often it was cleared before: what is of an earlier epoch counts no more.
+    /// How often the fingerprint was cleared before. Reports of earlier epochs are ignored.
     pub epoch: u32,
     /// The crash.
     pub crash: CrashId,
     /// The upstream.
     pub upstream: Name,
-    /// How long it had run there, in milliseconds.
+    /// How long the request had run at the upstream, in milliseconds.
     pub ran_ms: u64,
-    /// How long ago that was, in milliseconds.
+    /// Time since the crash, in milliseconds.
     pub age_ms: u64,
 }
 
 /// A change of what is known of a fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Notice {
-    /// It was there at a crash.
-    Suspect(Suspicion),
-    /// It ran elsewhere without a crash.
+pub enum CrashNotice {
+    /// The request was in flight at a crash.
+    Suspect(CrashReport),
+    /// The request ran elsewhere without a crash.
     Clear {
         /// Hash of the service and the content.
         fingerprint: u64,
-        /// How often it has been cleared now.
+        /// How often the fingerprint has been cleared, this time included.
         epoch: u32,
     },
 }
--- a/src/decide/quarantine/quarantine.rs
+++ b/src/decide/quarantine/quarantine.rs
@@ -1,174 +1,188 @@
-//! The suspects and the quarantined, as one node knows them.
+//! The suspect and quarantined requests that one node knows.
 //!
-//! Every request in flight at a crashed upstream is a suspect. A suspect runs again
-//! without another suspect beside it. It is cleared once it completes, or once it
-//! has run twice as long as it had at the crashed upstream: a request that crashes
-//! its upstream after some time does so again after about that time. A second crash
-//! quarantines it.
+//! Every request in flight at a crashed upstream is a suspect. A suspect runs again (its
+//! trial) at an upstream without another suspect. It is cleared once it completes, or once
+//! it has run twice as long as it had at the crashed upstream: a request that crashes its
+//! upstream after some time does so again after about that time. A second crash quarantines
+//! it. Requests are identified by their fingerprint, a hash of the service and the content.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{CrashId, Notice, Suspicion};
+use super::{CrashId, CrashNotice, CrashReport};
 use crate::{Moment, Name};
 
-/// Crashes after which a fingerprint is quarantined. One crash may be chance and
-/// befalls all that share the engine; the second one befell a suspect on its own.
-const CRASHES: usize = 2;
-/// How long a suspect is remembered: callers' programs retry within minutes.
-const SUSPECT: Duration = Duration::from_secs(600);
-/// How long a quarantine lasts: long enough to mend an engine or a caller, short
-/// enough that a wrong one ends by itself.
-const QUARANTINED: Duration = Duration::from_secs(3_600);
-/// Two nodes that see the same upstream crash within so long saw one crash; an engine
-/// needs longer than that to load its weights and crash again.
-const SAME: Duration = Duration::from_secs(2);
-/// Fingerprints that are remembered: 100 engines with 40 requests each in one rack.
-pub const LIMIT: usize = 4_096;
-/// Least length of a trial: a few tokens of a busy engine.
-const LEAST: Duration = Duration::from_millis(500);
-/// Longest length of a trial.
-const MOST: Duration = Duration::from_secs(60);
-
-/// How a fingerprint stands.
+/// Crashes after which a fingerprint is quarantined. One crash may be coincidence and
+/// affects all requests that share the engine; in the second one, the suspect was the only
+/// suspect at its engine.
+const CRASHES_TO_QUARANTINE: usize = 2;
+/// How long a suspect is remembered: client programs retry within minutes.
+const SUSPECT_RETENTION: Duration = Duration::from_secs(600);
+/// How long a quarantine lasts: long enough to repair an engine or a caller, short enough
+/// that a wrong one ends by itself.
+const QUARANTINE_DURATION: Duration = Duration::from_secs(3_600);
+/// Crashes of the same upstream that two nodes report within this time are one crash; an
+/// engine needs longer than that to load its weights and crash again.
+const SAME_CRASH_WINDOW: Duration = Duration::from_secs(2);
+/// Bound on the fingerprints that are remembered: 100 engines with 40 requests each in one
+/// rack.
+pub const MAX_FINGERPRINTS: usize = 4_096;
+/// Shortest trial: a few tokens of a busy engine.
+const MIN_TRIAL_DURATION: Duration = Duration::from_millis(500);
+/// Longest trial.
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(60);
+
+/// The status of a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// Nothing is known against it.
+pub enum FingerprintStatus {
+    /// The request may run.
     Clear,
-    /// It was there at one crash: it may run without another suspect beside it, and
-    /// is cleared after running for so long.
+    /// The request was in flight at one crash: it may run at an upstream without another
+    /// suspect, and is cleared after running for this time.
     Suspect(Duration),
-    /// It is refused for so long from now.
+    /// The request is refused for this time from now.
     Quarantined(Duration),
 }
 
 /// An attempt in flight at an upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Flight {
+pub struct InFlightAttempt {
     /// The upstream.
     pub upstream: Name,
     /// Hash of the service and the content.
     pub fingerprint: u64,
     /// When it was sent.
-    pub started: Moment,
+    pub sent_at: Moment,
 }
 
+/// A crash during which a fingerprint was in flight.
 #[derive(Debug, Clone)]
-struct Seen {
+struct RecordedCrash {
     crash: CrashId,
     upstream: Name,
     at: Moment,
+    /// How long the request had run at the upstream.
     ran: Duration,
 }
 
+/// The last crash of an upstream that this node saw.
 #[derive(Debug, Clone, Copy)]
-struct Crash {
+struct LastCrash {
     number: u64,
     at: Moment,
 }
 
-/// What is known of a fingerprint. It stays for a while after it was cleared, so that
-/// older news, which may come later, count no more.
+/// What is known of a fingerprint. It is kept for some time after it was cleared, so that
+/// older notices that arrive later are ignored.
 #[derive(Debug, Clone, Default)]
-struct Known {
+struct FingerprintRecord {
+    /// How often the fingerprint was cleared.
     epoch: u32,
-    seen: Vec<Seen>,
-    touched: Moment,
+    /// The crashes of this epoch.
+    crashes: Vec<RecordedCrash>,
+    updated: Moment,
 }
 
-impl Known {
-    fn quarantined(&self) -> bool {
-        self.seen.len() >= CRASHES
+impl FingerprintRecord {
+    fn is_quarantined(&self) -> bool {
+        self.crashes.len() >= CRASHES_TO_QUARANTINE
     }
 
-    fn keep(&self) -> Duration {
-        if self.quarantined() { QUARANTINED } else { SUSPECT }
+    fn retention(&self) -> Duration {
+        if self.is_quarantined() { QUARANTINE_DURATION } else { SUSPECT_RETENTION }
     }
 }
 
-/// What one node knows.
+/// The crashes and fingerprints that one node knows.
 #[derive(Debug, Clone)]
 pub struct Quarantine {
-    me: Name,
-    /// The number of this node's next crash.
-    next: u64,
+    node: Name,
+    /// The number of the last crash that this node counted.
+    last_number: u64,
     /// The last crash of each upstream.
-    crashes: HashMap<Name, Crash>,
-    known: HashMap<u64, Known>,
+    last_crashes: HashMap<Name, LastCrash>,
+    records: HashMap<u64, FingerprintRecord>,
 }
 
 impl Quarantine {
-    /// Nothing is known. `first` is a random number, for [`CrashId`].
-    pub fn new(me: Name, first: u64) -> Self {
-        Self { me, next: first, crashes: HashMap::new(), known: HashMap::new() }
+    /// A quarantine without any crashes. `first` is a random number, see [`CrashId::number`].
+    pub fn new(node: Name, first: u64) -> Self {
+        Self { node, last_number: first, last_crashes: HashMap::new(), records: HashMap::new() }
     }
 
-    /// How a fingerprint stands.
-    pub fn standing(&self, fingerprint: u64, now: Moment) -> Standing {
-        let Some(known) = self.known.get(&fingerprint) else { return Standing::Clear };
-        let left = known.keep().saturating_sub(now.saturating_sub(known.touched));
-        if known.seen.is_empty() || left.is_zero() {
-            return Standing::Clear;
+    /// The status of a fingerprint.
+    pub fn status(&self, fingerprint: u64, now: Moment) -> FingerprintStatus {
+        let Some(record) = self.records.get(&fingerprint) else { return FingerprintStatus::Clear };
+        let left = record.retention().saturating_sub(now.saturating_sub(record.updated));
+        if record.crashes.is_empty() || left.is_zero() {
+            return FingerprintStatus::Clear;
         }
-        if known.quarantined() {
-            return Standing::Quarantined(left);
+        if record.is_quarantined() {
+            return FingerprintStatus::Quarantined(left);
         }
-        let ran = known.seen.iter().map(|s| s.ran).max().unwrap_or_default();
-        Standing::Suspect((2 * ran + LEAST).min(MOST))
+        let ran = record.crashes.iter().map(|s| s.ran).max().unwrap_or_default();
+        FingerprintStatus::Suspect((2 * ran + MIN_TRIAL_DURATION).min(MAX_TRIAL_DURATION))
     }
 
-    /// The upstream of a flight crashed under it; the flight broke at `broke`. Returns
-    /// what to tell the other nodes.
-    pub fn crashed(&mut self, flight: &Flight, broke: Moment, now: Moment) -> Notice {
-        let number = match self.crashes.get(&flight.upstream) {
-            // It was there already when the upstream was first seen to crash.
-            Some(crash) if flight.started <= crash.at => crash.number,
+    /// Records that the upstream of an attempt crashed during it; the attempt broke off at
+    /// `broke_at`. Returns the notice for the other nodes.
+    pub fn record_crash(
+        &mut self,
+        attempt: &InFlightAttempt,
+        broke_at: Moment,
+        now: Moment,
+    ) -> CrashNotice {
+        let number = match self.last_crashes.get(&attempt.upstream) {
+            // The attempt was in flight already when the upstream was first seen to crash.
+            Some(crash) if attempt.sent_at <= crash.at => crash.number,
             Some(_) | None => {
-                self.next = self.next.wrapping_add(1);
-                let crash = Crash { number: self.next, at: broke };
-                self.crashes.insert(flight.upstream.clone(), crash);
-                self.next
+                self.last_number = self.last_number.wrapping_add(1);
+                let crash = LastCrash { number: self.last_number, at: broke_at };
+                self.last_crashes.insert(attempt.upstream.clone(), crash);
+                self.last_number
             }
         };
-        let suspicion = Suspicion {
-            fingerprint: flight.fingerprint,
-            epoch: self.known.get(&flight.fingerprint).map_or(0, |k| k.epoch),
-            crash: CrashId { node: self.me.clone(), number },
-            upstream: flight.upstream.clone(),
-            ran_ms: broke.saturating_sub(flight.started).as_millis() as u64,
-            age_ms: now.saturating_sub(broke).as_millis() as u64,
+        let report = CrashReport {
+            fingerprint: attempt.fingerprint,
+            epoch: self.records.get(&attempt.fingerprint).map_or(0, |k| k.epoch),
+            crash: CrashId { node: self.node.clone(), number },
+            upstream: attempt.upstream.clone(),
+            ran_ms: broke_at.saturating_sub(attempt.sent_at).as_millis() as u64,
+            age_ms: now.saturating_sub(broke_at).as_millis() as u64,
         };
-        self.suspect(&suspicion, now);
-        Notice::Suspect(suspicion)
+        self.apply_report(&report, now);
+        CrashNotice::Suspect(report)
     }
 
-    /// A fingerprint ran without a crash. Returns what to tell the other nodes, if it
-    /// was a suspect. What is quarantined stays so.
-    pub fn passed(&mut self, fingerprint: u64, now: Moment) -> Option<Notice> {
-        let known = self.known.get_mut(&fingerprint)?;
-        if known.quarantined() || known.seen.is_empty() {
+    /// Records that a request ran without a crash. Returns the notice for the other nodes, if
+    /// the fingerprint was a suspect. A quarantined fingerprint stays quarantined.
+    pub fn record_success(&mut self, fingerprint: u64, now: Moment) -> Option<CrashNotice> {
+        let record = self.records.get_mut(&fingerprint)?;
+        if record.is_quarantined() || record.crashes.is_empty() {
             return None;
         }
-        let epoch = known.epoch + 1;
-        *known = Known { epoch, seen: Vec::new(), touched: now };
-        Some(Notice::Clear { fingerprint, epoch })
+        let epoch = record.epoch + 1;
+        *record = FingerprintRecord { epoch, crashes: Vec::new(), updated: now };
+        Some(CrashNotice::Clear { fingerprint, epoch })
     }
 
-    /// Another node tells. Returns whether that was new.
-    pub fn told(&mut self, news: &Notice, now: Moment) -> bool {
-        match news {
-            Notice::Suspect(suspicion) => self.suspect(suspicion, now),
-            Notice::Clear { fingerprint, epoch } => self.clear(*fingerprint, *epoch, now),
+    /// Applies a notice of another node. Returns whether it was new.
+    pub fn apply_notice(&mut self, notice: &CrashNotice, now: Moment) -> bool {
+        match notice {
+            CrashNotice::Suspect(report) => self.apply_report(report, now),
+            CrashNotice::Clear { fingerprint, epoch } => {
+                self.apply_clear(*fingerprint, *epoch, now)
+            }
         }
     }
 
-    /// Everything that is known, for a node that starts.
-    pub fn all(&self, now: Moment) -> Vec<Notice> {
-        let each = self.known.iter().flat_map(|(fingerprint, known)| {
-            known.seen.iter().map(|s| {
-                Notice::Suspect(Suspicion {
+    /// The notices from which a starting node learns all that this node knows.
+    pub fn notices(&self, now: Moment) -> Vec<CrashNotice> {
+        let each = self.records.iter().flat_map(|(fingerprint, record)| {
+            record.crashes.iter().map(|s| {
+                CrashNotice::Suspect(CrashReport {
                     fingerprint: *fingerprint,
-                    epoch: known.epoch,
+                    epoch: record.epoch,
                     crash: s.crash.clone(),
                     upstream: s.upstream.clone(),
                     ran_ms: s.ran.as_millis() as u64,
@@ -179,63 +193,66 @@
         each.collect()
     }
 
-    /// Forgets what is old.
+    /// Removes expired fingerprints and crashes.
     pub fn tick(&mut self, now: Moment) {
-        self.known.retain(|_, k| now.saturating_sub(k.touched) < k.keep());
-        self.crashes.retain(|_, crash| now.saturating_sub(crash.at) < QUARANTINED);
+        self.records.retain(|_, k| now.saturating_sub(k.updated) < k.retention());
+        self.last_crashes.retain(|_, crash| now.saturating_sub(crash.at) < QUARANTINE_DURATION);
     }
 
-    /// How many are suspects, and how many are quarantined.
+    /// The number of suspects, and the number of quarantined fingerprints.
     pub fn counts(&self) -> (usize, usize) {
-        let suspects = self.known.values().filter(|k| !k.seen.is_empty() && !k.quarantined());
-        let quarantined = self.known.values().filter(|k| k.quarantined());
+        let suspects =
+            self.records.values().filter(|k| !k.crashes.is_empty() && !k.is_quarantined());
+        let quarantined = self.records.values().filter(|k| k.is_quarantined());
         (suspects.count(), quarantined.count())
     }
 
-    fn suspect(&mut self, suspicion: &Suspicion, now: Moment) -> bool {
-        if !self.known.contains_key(&suspicion.fingerprint) && self.known.len() >= LIMIT {
+    fn apply_report(&mut self, report: &CrashReport, now: Moment) -> bool {
+        if !self.records.contains_key(&report.fingerprint) && self.records.len() >= MAX_FINGERPRINTS
+        {
             self.evict();
         }
-        let at = now.saturating_sub(Duration::from_millis(suspicion.age_ms));
-        let known = self.known.entry(suspicion.fingerprint).or_default();
-        if suspicion.epoch < known.epoch || known.quarantined() {
+        let at = now.saturating_sub(Duration::from_millis(report.age_ms));
+        let record = self.records.entry(report.fingerprint).or_default();
+        if report.epoch < record.epoch || record.is_quarantined() {
             return false;
         }
-        if suspicion.epoch > known.epoch {
-            *known = Known { epoch: suspicion.epoch, ..Known::default() };
+        if report.epoch > record.epoch {
+            *record = FingerprintRecord { epoch: report.epoch, ..FingerprintRecord::default() };
         }
-        let again = known.seen.iter().any(|s| {
-            let one = s.upstream == suspicion.upstream && s.crash.node != suspicion.crash.node;
-            s.crash == suspicion.crash || (one && at.abs_diff(s.at) < SAME)
+        let is_same_crash = record.crashes.iter().any(|s| {
+            let same_upstream = s.upstream == report.upstream && s.crash.node != report.crash.node;
+            s.crash == report.crash || (same_upstream && at.abs_diff(s.at) < SAME_CRASH_WINDOW)
         });
-        if again {
+        if is_same_crash {
             return false;
         }
-        known.touched = known.touched.max(at);
-        known.seen.push(Seen {
-            crash: suspicion.crash.clone(),
-            upstream: suspicion.upstream.clone(),
+        record.updated = record.updated.max(at);
+        record.crashes.push(RecordedCrash {
+            crash: report.crash.clone(),
+            upstream: report.upstream.clone(),
             at,
-            ran: Duration::from_millis(suspicion.ran_ms),
+            ran: Duration::from_millis(report.ran_ms),
         });
         true
     }
 
-    fn clear(&mut self, fingerprint: u64, epoch: u32, now: Moment) -> bool {
-        let Some(known) = self.known.get_mut(&fingerprint) else { return false };
-        if known.quarantined() || epoch <= known.epoch {
+    fn apply_clear(&mut self, fingerprint: u64, epoch: u32, now: Moment) -> bool {
+        let Some(record) = self.records.get_mut(&fingerprint) else { return false };
+        if record.is_quarantined() || epoch <= record.epoch {
             return false;
         }
-        *known = Known { epoch, seen: Vec::new(), touched: now };
+        *record = FingerprintRecord { epoch, crashes: Vec::new(), updated: now };
         true
     }
 
-    /// Makes room: the oldest suspect goes before any that is quarantined.
+    /// Removes one fingerprint to make room: cleared ones first, then suspects, then
+    /// quarantined ones, and of these the oldest.
     fn evict(&mut self) {
-        let age = |known: &Known| (known.seen.len(), known.touched);
-        let oldest = self.known.iter().min_by_key(|(_, known)| age(known)).map(|(f, _)| *f);
+        let age = |record: &FingerprintRecord| (record.crashes.len(), record.updated);
+        let oldest = self.records.iter().min_by_key(|(_, record)| age(record)).map(|(f, _)| *f);
         if let Some(oldest) = oldest {
-            self.known.remove(&oldest);
+            self.records.remove(&oldest);
         }
     }
 }
--- a/src/decide/rollout/engine.rs
+++ b/src/decide/rollout/engine.rs
@@ -1,61 +1,63 @@
-//! What an engine is to be, what it was seen to be, and the difference.
+//! The target weights of an engine, its observed state, and the resulting rollout stage.
 
 use serde::{Deserialize, Serialize};
 
-/// What the bundle wants of the engines of a service.
+/// The weights that the engines of a service have to serve, from the bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Wanted {
-    /// The bundle's number: the fencing number of orders.
+pub struct TargetWeights {
+    /// The bundle's number, which is the fencing number of orders.
     pub generation: u64,
     /// The weight version.
     pub version: u64,
 }
 
-/// What a look at an engine showed.
+/// The result of a request for an engine's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sight {
-    /// It did not answer.
+pub enum EngineObservation {
+    /// The engine did not answer.
     Silent,
-    /// It answered.
+    /// The engine answered.
     Report {
-        /// The version that it serves; none if its weights are not whole.
+        /// The version that it serves; `None` if its weights are incomplete.
         version: Option<u64>,
         /// Whether it is swapping weights.
         swapping: bool,
     },
 }
 
-/// Where an engine is on its way to the wanted version.
+/// The progress of an engine towards the target version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
-    /// Nobody has looked yet.
+pub enum RolloutStage {
+    /// The engine was not observed yet.
     Unknown,
-    /// It does not answer.
+    /// The engine does not answer.
     Silent,
-    /// It serves another version.
+    /// The engine serves another version.
     Behind,
-    /// It is swapping.
+    /// The engine is swapping weights.
     Swapping,
-    /// Its weights are not whole: a swap failed partway.
+    /// The engine's weights are incomplete: a swap failed partway.
     Failed,
-    /// It serves the wanted version.
+    /// The engine serves the target version.
     Settled,
 }
 
-impl Stage {
-    /// Judges a look at an engine.
-    pub fn of(sight: Sight, wanted: Wanted) -> Self {
-        match sight {
-            Sight::Silent => Self::Silent,
-            Sight::Report { swapping: true, .. } => Self::Swapping,
-            Sight::Report { version: None, .. } => Self::Failed,
-            Sight::Report { version: Some(v), .. } if v == wanted.version => Self::Settled,
-            Sight::Report { .. } => Self::Behind,
+impl RolloutStage {
+    /// The stage that follows from an observation.
+    pub fn of(observation: EngineObservation, target: TargetWeights) -> Self {
+        match observation {
+            EngineObservation::Silent => Self::Silent,
+            EngineObservation::Report { swapping: true, .. } => Self::Swapping,
+            EngineObservation::Report { version: None, .. } => Self::Failed,
+            EngineObservation::Report { version: Some(v), .. } if v == target.version => {
+                Self::Settled
+            }
+            EngineObservation::Report { .. } => Self::Behind,
         }
     }
 
-    /// The stage's name in logs and documents.
+    /// The stage's name in logs and JSON documents.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unknown => "unknown",
--- a/src/decide/rollout/rollout.rs
+++ b/src/decide/rollout/rollout.rs
@@ -1,237 +1,254 @@
-//! The rollout of one service as one node sees it.
+//! The weight rollout of one service, as one node sees it.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::{Sight, Stage, StoreShare, Wanted};
+use super::{EngineObservation, RolloutStage, TargetWeights, WeightLoadBudget};
 use crate::{Moment, Name};
 
-/// A chain in which nothing has changed for so long goes on past the engine that
-/// holds it up. Over the longest swap that keeps to the planned 24 s for all
-/// replicas, at three engines a chain: 8 s.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// An order is given again if nothing came of it for so long: past the lag of
-/// the load reports and an order's own way.
-const RESEND: Duration = Duration::from_secs(1);
-/// Reports lag: what they say right after a change of what is wanted is old. An
-/// engine may still be swapping to the last version without saying so.
-const SETTLE: Duration = Duration::from_millis(500);
-/// Time between two looks at an engine that is not where it should be, or that
-/// may take old orders.
-const CLOSE: Duration = Duration::from_millis(250);
-/// Time between two looks at a settled engine that refuses old orders.
-const CALM: Duration = Duration::from_secs(1);
-/// Looks without an answer after which an engine counts as dead.
-const DEAD: u32 = 3;
-/// Longest time between two looks at an engine that does not answer.
-const FAR: Duration = Duration::from_secs(2);
-
-/// Why an order is given.
+/// Time without a change in a chain after which the chain skips the engine that blocks it.
+/// Longer than the longest swap, 8 s, with which three engines a chain keep to the planned
+/// 24 s for all replicas.
+const CHAIN_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time without an effect after which an order is repeated: longer than the lag of the load
+/// reports and the delivery of an order.
+const ORDER_RESEND_DELAY: Duration = Duration::from_secs(1);
+/// Time after a change of the target in which reports may be older than the change: an
+/// engine may still be swapping to the previous version without reporting it.
+const REPORT_LAG: Duration = Duration::from_millis(500);
+/// Time between two observations of an engine that is not settled, or that may accept old
+/// orders.
+const ACTIVE_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two observations of a settled engine that refuses old orders.
+const SETTLED_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Observations in a row without an answer after which an engine counts as dead.
+const SILENT_POLLS_TO_DEAD: u32 = 3;
+/// Longest time between two observations of an engine that does not answer.
+const MAX_POLL_INTERVAL: Duration = Duration::from_secs(2);
+
+/// The reason for an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Cause {
-    /// The engine is behind.
+pub enum OrderReason {
+    /// The engine serves another version.
     Rollout,
     /// A swap failed partway.
     Repair,
-    /// It had the wanted version and has another now: it took an old order, or it
-    /// restarted.
+    /// The engine had the target version and has another one now: it accepted an old order,
+    /// or it restarted.
     Correction,
 }
 
-/// Whether an engine is ordered now.
+/// Whether an order is given to an engine now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
-    /// It is where it should be, or on its way.
+pub enum OrderDecision {
+    /// The engine needs no order, or none yet.
     None,
-    /// Another engine of its chain goes first, or the weight store does.
+    /// The engine has to wait for another engine of its chain, or for the weight store.
     Wait,
-    /// Now.
-    Order(Cause),
+    /// The order is given now.
+    Order(OrderReason),
 }
 
+/// What a node knows of one engine.
 #[derive(Debug, Clone, Copy)]
-struct Member {
-    sight: Sight,
-    stage: Stage,
-    changed: Moment,
-    looked: Moment,
-    /// Looks without an answer, in a row.
-    silent: u32,
-    /// It was settled under the present generation.
-    arrived: bool,
-    /// Its chain goes on without it.
-    passed: bool,
-    ordered: Option<Moment>,
+struct EngineState {
+    observation: EngineObservation,
+    stage: RolloutStage,
+    /// When the stage last changed.
+    changed_at: Moment,
+    observed_at: Moment,
+    /// Observations without an answer, in a row.
+    silent_polls: u32,
+    /// Whether the engine has served the current target version.
+    was_settled: bool,
+    /// Whether the chain goes on without the engine.
+    skipped: bool,
+    /// When the last order towards the current target was given.
+    ordered_at: Option<Moment>,
 }
 
-/// What a node knows of a service's engines and is doing about them.
+/// The rollout of one service.
 #[derive(Debug, Clone)]
 pub struct Rollout {
-    wanted: Wanted,
-    since: Moment,
+    target: TargetWeights,
+    target_since: Moment,
+    /// Whether the engines refuse old orders.
     fenced: bool,
-    members: HashMap<Name, Member>,
-    share: StoreShare,
+    engines: HashMap<Name, EngineState>,
+    load_budget: WeightLoadBudget,
 }
 
 impl Rollout {
-    /// A rollout of which nothing is known yet.
-    pub fn new(wanted: Wanted, now: Moment) -> Self {
+    /// A rollout without any observations.
+    pub fn new(target: TargetWeights, now: Moment) -> Self {
         Self {
-            wanted,
-            since: now,
+            target,
+            target_since: now,
             fenced: true,
-            members: HashMap::new(),
-            share: StoreShare::default(),
+            engines: HashMap::new(),
+            load_budget: WeightLoadBudget::default(),
         }
     }
 
-    /// The bundle says what is wanted, and whether the engines refuse old orders.
-    pub fn want(&mut self, wanted: Wanted, fenced: bool, now: Moment) {
+    /// Sets the target from the bundle, and whether the engines refuse old orders.
+    pub fn set_target(&mut self, target: TargetWeights, fenced: bool, now: Moment) {
         self.fenced = fenced;
-        if wanted.version != self.wanted.version {
-            self.since = now;
-            for member in self.members.values_mut() {
-                member.stage = Stage::of(member.sight, wanted);
-                member.changed = now;
-                member.arrived = false;
-                // What was dead before holds nothing up.
-                member.passed = member.stage == Stage::Silent && member.silent >= DEAD;
-                member.ordered = None;
+        if target.version != self.target.version {
+            self.target_since = now;
+            for state in self.engines.values_mut() {
+                state.stage = RolloutStage::of(state.observation, target);
+                state.changed_at = now;
+                state.was_settled = false;
+                // An engine that is already dead does not block its chain.
+                state.skipped = state.stage == RolloutStage::Silent
+                    && state.silent_polls >= SILENT_POLLS_TO_DEAD;
+                state.ordered_at = None;
             }
         }
-        self.wanted = wanted;
+        self.target = target;
     }
 
-    /// The node's share of the weight store's rate.
-    pub fn share(&mut self, rate: u32, owned: usize, total: usize, now: Moment) {
-        self.share.set(rate, owned, total, now);
+    /// Sets the node's share of the weight store's rate. See [`WeightLoadBudget::set`].
+    pub fn set_load_budget(&mut self, rate: u32, owned: usize, total: usize, now: Moment) {
+        self.load_budget.set(rate, owned, total, now);
     }
 
-    /// A look at an engine ended.
-    pub fn see(&mut self, engine: &Name, sight: Sight, now: Moment) {
-        let stage = Stage::of(sight, self.wanted);
-        let member = self.members.entry(engine.clone()).or_insert(Member {
-            sight,
-            stage: Stage::Unknown,
-            changed: now,
-            looked: now,
-            silent: 0,
-            arrived: false,
-            passed: false,
-            ordered: None,
+    /// Records an observation of an engine.
+    pub fn observe(&mut self, engine: &Name, observation: EngineObservation, now: Moment) {
+        let stage = RolloutStage::of(observation, self.target);
+        let state = self.engines.entry(engine.clone()).or_insert(EngineState {
+            observation,
+            stage: RolloutStage::Unknown,
+            changed_at: now,
+            observed_at: now,
+            silent_polls: 0,
+            was_settled: false,
+            skipped: false,
+            ordered_at: None,
         });
-        member.looked = now;
-        member.sight = sight;
-        member.silent = if stage == Stage::Silent { member.silent + 1 } else { 0 };
-        member.arrived |= stage == Stage::Settled;
-        if stage != member.stage {
-            member.stage = stage;
-            member.changed = now;
-            member.passed = false;
+        state.observed_at = now;
+        state.observation = observation;
+        state.silent_polls = if stage == RolloutStage::Silent { state.silent_polls + 1 } else { 0 };
+        state.was_settled |= stage == RolloutStage::Settled;
+        if stage != state.stage {
+            state.stage = stage;
+            state.changed_at = now;
+            state.skipped = false;
         }
     }
 
-    /// Forgets engines that left the list.
+    /// Removes all engines that are not in the list.
     pub fn retain(&mut self, engines: &[Name]) {
-        self.members.retain(|name, _| engines.contains(name));
+        self.engines.retain(|name, _| engines.contains(name));
     }
 
-    /// Whether it is time to look at an engine.
-    pub fn due(&self, engine: &str, now: Moment) -> bool {
-        let Some(member) = self.members.get(engine) else { return true };
-        let pause = match member.stage {
-            Stage::Settled if self.fenced => CALM,
-            Stage::Silent => (CLOSE * 2_u32.saturating_pow(member.silent.min(8))).min(FAR),
-            Stage::Settled | Stage::Unknown | Stage::Behind | Stage::Swapping | Stage::Failed => {
-                CLOSE
-            }
+    /// Whether an engine has to be observed now.
+    pub fn poll_due(&self, engine: &str, now: Moment) -> bool {
+        let Some(state) = self.engines.get(engine) else { return true };
+        let interval = match state.stage {
+            RolloutStage::Settled if self.fenced => SETTLED_POLL_INTERVAL,
+            RolloutStage::Silent => (ACTIVE_POLL_INTERVAL
+                * 2_u32.saturating_pow(state.silent_polls.min(8)))
+            .min(MAX_POLL_INTERVAL),
+            RolloutStage::Settled
+            | RolloutStage::Unknown
+            | RolloutStage::Behind
+            | RolloutStage::Swapping
+            | RolloutStage::Failed => ACTIVE_POLL_INTERVAL,
         };
-        now.saturating_sub(member.looked) >= pause
+        now.saturating_sub(state.observed_at) >= interval
     }
 
-    /// Where an engine is.
-    pub fn stage(&self, engine: &str) -> Stage {
-        self.members.get(engine).map_or(Stage::Unknown, |m| m.stage)
+    /// The stage of an engine.
+    pub fn stage(&self, engine: &str) -> RolloutStage {
+        self.engines.get(engine).map_or(RolloutStage::Unknown, |m| m.stage)
     }
 
-    /// What an engine last showed, and when.
-    pub fn last(&self, engine: &str) -> Option<(Sight, Moment)> {
-        self.members.get(engine).map(|m| (m.sight, m.looked))
+    /// The last observation of an engine, with its time.
+    pub fn last_observation(&self, engine: &str) -> Option<(EngineObservation, Moment)> {
+        self.engines.get(engine).map(|m| (m.observation, m.observed_at))
     }
 
-    /// What is wanted.
-    pub fn wanted(&self) -> Wanted {
-        self.wanted
+    /// The target weights.
+    pub fn target(&self) -> TargetWeights {
+        self.target
     }
 
-    /// Whether an engine that this node owns is ordered now; if so, the order
-    /// counts as given. `chain` is the engine's chain, itself included.
-    pub fn turn(&mut self, engine: &str, chain: &[Name], now: Moment) -> Turn {
-        let Some(cause) = self.cause(engine, now) else { return Turn::None };
-        // An engine whose weights are not whole serves nobody: ordering it takes no
-        // capacity away. Any other waits for its chain.
-        if cause != Cause::Repair && !self.first(engine, chain, now) {
-            return Turn::Wait;
+    /// Decides whether an order is given now to an engine that this node owns; if so, the
+    /// order is recorded as given. `chain` is the engine's chain, including the engine.
+    pub fn next_order(&mut self, engine: &str, chain: &[Name], now: Moment) -> OrderDecision {
+        let Some(reason) = self.order_reason(engine, now) else { return OrderDecision::None };
+        // An engine with incomplete weights serves nobody, so that a swap takes no capacity
+        // away. Any other engine waits for its chain.
+        if reason != OrderReason::Repair && !self.may_swap(engine, chain, now) {
+            return OrderDecision::Wait;
         }
-        if !self.share.take(now) {
-            return Turn::Wait;
+        if !self.load_budget.take(now) {
+            return OrderDecision::Wait;
         }
-        if let Some(member) = self.members.get_mut(engine) {
-            member.ordered = Some(now);
+        if let Some(state) = self.engines.get_mut(engine) {
+            state.ordered_at = Some(now);
         }
-        Turn::Order(cause)
+        OrderDecision::Order(reason)
     }
 
-    fn cause(&self, engine: &str, now: Moment) -> Option<Cause> {
-        let member = self.members.get(engine)?;
-        if member.ordered.is_some_and(|at| now.saturating_sub(at) < RESEND) {
+    /// The reason to give an engine an order, if it needs one.
+    fn order_reason(&self, engine: &str, now: Moment) -> Option<OrderReason> {
+        let state = self.engines.get(engine)?;
+        if state.ordered_at.is_some_and(|at| now.saturating_sub(at) < ORDER_RESEND_DELAY) {
             return None;
         }
-        match member.stage {
-            Stage::Failed => Some(Cause::Repair),
-            Stage::Behind if member.arrived => Some(Cause::Correction),
-            Stage::Behind => Some(Cause::Rollout),
-            Stage::Unknown | Stage::Silent | Stage::Swapping | Stage::Settled => None,
+        match state.stage {
+            RolloutStage::Failed => Some(OrderReason::Repair),
+            RolloutStage::Behind if state.was_settled => Some(OrderReason::Correction),
+            RolloutStage::Behind => Some(OrderReason::Rollout),
+            RolloutStage::Unknown
+            | RolloutStage::Silent
+            | RolloutStage::Swapping
+            | RolloutStage::Settled => None,
         }
     }
 
-    /// Whether every engine of the chain that goes before this one has arrived or
-    /// is passed, and none is swapping.
-    fn first(&mut self, engine: &str, chain: &[Name], now: Moment) -> bool {
-        if now.saturating_sub(self.since) < SETTLE && chain.len() > 1 {
+    /// Whether every engine before this one in the chain is settled or skipped, and no other
+    /// engine of the chain is swapping.
+    fn may_swap(&mut self, engine: &str, chain: &[Name], now: Moment) -> bool {
+        if now.saturating_sub(self.target_since) < REPORT_LAG && chain.len() > 1 {
             return false;
         }
         let mut before = true;
         let mut blocker = None;
         for name in chain {
             before &= &**name != engine;
-            let member = self.members.get(name);
-            let stage = member.map_or(Stage::Unknown, |m| m.stage);
-            let passed = member.is_some_and(|m| m.passed);
+            let state = self.engines.get(name);
+            let stage = state.map_or(RolloutStage::Unknown, |m| m.stage);
+            let skipped = state.is_some_and(|m| m.skipped);
             let blocks = match stage {
-                Stage::Settled => false,
-                Stage::Swapping => &**name != engine,
-                Stage::Unknown | Stage::Silent | Stage::Behind | Stage::Failed => before,
+                RolloutStage::Settled => false,
+                RolloutStage::Swapping => &**name != engine,
+                RolloutStage::Unknown
+                | RolloutStage::Silent
+                | RolloutStage::Behind
+                | RolloutStage::Failed => before,
             };
-            if blocks && !passed {
+            if blocks && !skipped {
                 blocker.get_or_insert(name);
             }
         }
         let Some(blocker) = blocker else { return true };
-        self.pass(blocker, chain, now);
+        self.skip_if_stalled(blocker, chain, now);
         false
     }
 
-    /// Lets a chain go on without an engine once nothing has moved for long.
-    fn pass(&mut self, blocker: &Name, chain: &[Name], now: Moment) {
-        let changed = chain.iter().filter_map(|e| self.members.get(e)).map(|m| m.changed).max();
-        let moved = changed.unwrap_or(self.since).max(self.since);
-        if now.saturating_sub(moved) < PATIENCE {
+    /// Makes a chain skip the engine that blocks it once nothing has changed for
+    /// [`CHAIN_STALL_TIMEOUT`].
+    fn skip_if_stalled(&mut self, blocker: &Name, chain: &[Name], now: Moment) {
+        let changed = chain.iter().filter_map(|e| self.engines.get(e)).map(|m| m.changed_at).max();
+        let moved = changed.unwrap_or(self.target_since).max(self.target_since);
+        if now.saturating_sub(moved) < CHAIN_STALL_TIMEOUT {
             return;
         }
-        if let Some(member) = self.members.get_mut(blocker) {
-            member.passed = true;
+        if let Some(state) = self.engines.get_mut(blocker) {
+            state.skipped = true;
         }
     }
 }
--- a/src/edge/peer/message.rs
+++ b/src/edge/peer/message.rs
@@ -10,7 +10,7 @@
 use crate::decide::Departure;
 use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
 use crate::decide::members::{Gossip, News, NodeState};
-use crate::decide::quarantine::Notice;
+use crate::decide::quarantine::CrashNotice;
 use crate::metrics::Purpose;
 
 /// A request between nodes.
@@ -120,7 +120,7 @@
     /// What became of this attempt of yours?
     Attempt(u64),
     /// News of requests that were in flight at an upstream that crashed.
-    Suspects(Vec<Notice>),
+    Suspects(Vec<CrashNotice>),
     /// Which suspects do you know?
     ListSuspects,
     /// May I run a suspect at this upstream, which you are home to?
@@ -170,7 +170,7 @@
     /// Whether it is recorded at this node.
     Recorded(bool),
     /// The suspects that are known here.
-    Suspects(Vec<Notice>),
+    Suspects(Vec<CrashNotice>),
     /// What became of the attempt; none if it is not known here.
     Attempt(Option<AttemptState>),
 }
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -2,7 +2,7 @@
 
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 
-use crate::decide::Cause;
+use crate::decide::OrderReason;
 use crate::error::Kind;
 
 /// Why an attempt was made again.
@@ -57,12 +57,12 @@
     pub const ALL: &[Self] = &[Self::Rollout, Self::Repair, Self::Correction, Self::Fenced];
 }
 
-impl From<Cause> for OrderCause {
-    fn from(cause: Cause) -> Self {
+impl From<OrderReason> for OrderCause {
+    fn from(cause: OrderReason) -> Self {
         match cause {
-            Cause::Rollout => Self::Rollout,
-            Cause::Repair => Self::Repair,
-            Cause::Correction => Self::Correction,
+            OrderReason::Rollout => Self::Rollout,
+            OrderReason::Repair => Self::Repair,
+            OrderReason::Correction => Self::Correction,
         }
     }
 }
--- a/src/node/orders/follow.rs
+++ b/src/node/orders/follow.rs
@@ -9,7 +9,7 @@
 
 use super::orders::{Fleet, fleets, wanted};
 use crate::Name;
-use crate::decide::{Rollout, Sight, Stage, Turn};
+use crate::decide::{EngineObservation, OrderDecision, Rollout, RolloutStage};
 use crate::edge::http::JsonClientError;
 use crate::edge::upstream::{EngineOrder, EngineOrderReply, EngineStatus};
 use crate::metrics::{OrderCause, Task};
@@ -51,10 +51,10 @@
             let mut rollouts = app.orders.rollouts.lock();
             let rollout =
                 rollouts.entry(fleet.service.clone()).or_insert_with(|| Rollout::new(wanted, now));
-            rollout.want(wanted, fleet.engine.fenced, now);
+            rollout.set_target(wanted, fleet.engine.fenced, now);
             rollout.retain(&fleet.names);
             let owned = fleet.owned(&app.settings.node.name).count();
-            rollout.share(fleet.engine.loads, owned, fleet.names.len(), now);
+            rollout.set_load_budget(fleet.engine.loads, owned, fleet.names.len(), now);
             (due(app, fleet, rollout), turns(app, fleet, rollout))
         };
         for engine in due {
@@ -72,20 +72,20 @@
     let now = app.clock.now();
     let mut names: Vec<&Name> = fleet.owned(&app.settings.node.name).collect();
     let behind: Vec<&Name> =
-        names.iter().copied().filter(|e| rollout.stage(e) == Stage::Behind).collect();
+        names.iter().copied().filter(|e| rollout.stage(e) == RolloutStage::Behind).collect();
     names.extend(behind.into_iter().flat_map(|e| fleet.chains.of(e)));
     names.sort_unstable();
     names.dedup();
-    names.into_iter().filter(|e| rollout.due(e, now)).cloned().collect()
+    names.into_iter().filter(|e| rollout.poll_due(e, now)).cloned().collect()
 }
 
 fn turns(app: &App, fleet: &Fleet, rollout: &mut Rollout) -> Vec<Name> {
     let now = app.clock.now();
     let mut orders = Vec::new();
     for engine in fleet.owned(&app.settings.node.name) {
-        match rollout.turn(engine, fleet.chains.of(engine), now) {
-            Turn::None | Turn::Wait => {}
-            Turn::Order(cause) => {
+        match rollout.next_order(engine, fleet.chains.of(engine), now) {
+            OrderDecision::None | OrderDecision::Wait => {}
+            OrderDecision::Order(cause) => {
                 app.metrics.ordered(OrderCause::from(cause));
                 tracing::info!(event = "order", upstream = %engine, ?cause);
                 orders.push(engine.clone());
@@ -137,7 +137,7 @@
             }
             let sight = sight(app, &engine, result);
             if let Some(rollout) = app.orders.rollouts.lock().get_mut(&service) {
-                rollout.see(&engine, sight, now);
+                rollout.observe(&engine, sight, now);
             }
         }
         Ended::Order { engine, result } => match result {
@@ -152,17 +152,21 @@
     }
 }
 
-fn sight(app: &App, engine: &Name, result: Result<EngineStatus, JsonClientError>) -> Sight {
+fn sight(
+    app: &App,
+    engine: &Name,
+    result: Result<EngineStatus, JsonClientError>,
+) -> EngineObservation {
     match result {
         Ok(load) => {
             if let Some(version) = load.version.filter(|_| !load.swapping) {
                 app.served.lock().note(engine, version, app.clock.now());
             }
-            Sight::Report { version: load.version, swapping: load.swapping }
+            EngineObservation::Report { version: load.version, swapping: load.swapping }
         }
         Err(e) => {
             tracing::debug!(event = "load_unread", upstream = %engine, error = %e);
-            Sight::Silent
+            EngineObservation::Silent
         }
     }
 }
--- a/src/node/orders/orders.rs
+++ b/src/node/orders/orders.rs
@@ -7,7 +7,7 @@
 
 use crate::Name;
 use crate::bundle::{Bundle, Engine, ServiceSpec};
-use crate::decide::{Chains, Rollout, Wanted, rendezvous_score};
+use crate::decide::{Rollout, SwapChains, TargetWeights, rendezvous_score};
 use crate::node::app::App;
 
 /// The rollouts, by service.
@@ -35,7 +35,7 @@
     pub(super) names: Vec<Name>,
     /// The node that gives orders to each.
     pub(super) owners: BTreeMap<Name, Name>,
-    pub(super) chains: Chains,
+    pub(super) chains: SwapChains,
 }
 
 /// The services with engines, and who owns what.
@@ -58,7 +58,7 @@
     Some(Fleet {
         service: service.name.clone(),
         owners: owners.collect(),
-        chains: Chains::new(&service.name, &names, engine.swapping),
+        chains: SwapChains::new(&service.name, &names, engine.swapping),
         names,
         engine,
     })
@@ -94,6 +94,6 @@
 }
 
 /// What the bundle wants of a service's engines.
-pub(super) fn wanted(bundle: &Bundle, engine: &Engine) -> Wanted {
-    Wanted { generation: bundle.number, version: engine.version }
+pub(super) fn wanted(bundle: &Bundle, engine: &Engine) -> TargetWeights {
+    TargetWeights { generation: bundle.number, version: engine.version }
 }
--- a/src/node/orders/state.rs
+++ b/src/node/orders/state.rs
@@ -4,7 +4,7 @@
 
 use super::orders::{fleets, wanted};
 use crate::Name;
-use crate::decide::{Rollout, Sight, Stage};
+use crate::decide::{EngineObservation, Rollout, RolloutStage};
 use crate::node::app::App;
 
 /// An engine on its way to the wanted version, as this node sees it.
@@ -24,7 +24,7 @@
     /// The version that it reported last; none if its weights are not whole.
     pub reported: Option<u64>,
     /// Where it is on its way.
-    pub stage: Stage,
+    pub stage: RolloutStage,
     /// Age of the last look, in milliseconds.
     pub looked_ms: Option<u64>,
 }
@@ -39,12 +39,12 @@
         let rollout = rollouts.get(&fleet.service);
         // The stage is judged against what the rollout was last told, not against a bundle
         // that came into force a moment ago.
-        let wanted = rollout.map_or(wanted(&adopted.bundle, &fleet.engine), Rollout::wanted);
+        let wanted = rollout.map_or(wanted(&adopted.bundle, &fleet.engine), Rollout::target);
         for (name, owner) in &fleet.owners {
-            let last = rollout.and_then(|r| r.last(name));
+            let last = rollout.and_then(|r| r.last_observation(name));
             let reported = match last {
-                Some((Sight::Report { version, .. }, _)) => version,
-                Some((Sight::Silent, _)) | None => None,
+                Some((EngineObservation::Report { version, .. }, _)) => version,
+                Some((EngineObservation::Silent, _)) | None => None,
             };
             states.push(EngineState {
                 name: name.clone(),
@@ -52,7 +52,7 @@
                 owner: owner.clone(),
                 wanted: wanted.version,
                 reported,
-                stage: rollout.map_or(Stage::Unknown, |r| r.stage(name)),
+                stage: rollout.map_or(RolloutStage::Unknown, |r| r.stage(name)),
                 looked_ms: last.map(|(_, at)| now.saturating_sub(at).as_millis() as u64),
             });
         }
--- a/src/node/suspects.rs
+++ b/src/node/suspects.rs
@@ -15,7 +15,9 @@
 use super::app::App;
 use crate::Name;
 use crate::decide::AttemptOutcome;
-use crate::decide::quarantine::{Flight, Notice, Quarantine, Standing, Trials};
+use crate::decide::quarantine::{
+    CrashNotice, FingerprintStatus, InFlightAttempt, Quarantine, TrialLocks,
+};
 use crate::edge::peer::{NodeInfo, NodeReply, NodeRequest, PeerClient};
 use crate::edge::platform::VmState;
 use crate::edge::upstream::{ProbeResult, probe};
@@ -40,7 +42,7 @@
 #[derive(Debug)]
 pub(super) struct Suspects {
     known: Mutex<Quarantine>,
-    trials: Mutex<Trials>,
+    trials: Mutex<TrialLocks>,
     /// Fingerprints that are on trial at this node: one copy of each at a time.
     own: Mutex<HashSet<u64>>,
 }
@@ -58,9 +60,9 @@
 
     /// Refuses what is quarantined, at once.
     pub(super) fn check(&self, app: &App, fingerprint: u64) -> Result<(), Refusal> {
-        match self.known.lock().standing(fingerprint, app.clock.now()) {
-            Standing::Clear | Standing::Suspect(_) => Ok(()),
-            Standing::Quarantined(left) => {
+        match self.known.lock().status(fingerprint, app.clock.now()) {
+            FingerprintStatus::Clear | FingerprintStatus::Suspect(_) => Ok(()),
+            FingerprintStatus::Quarantined(left) => {
                 let detail = format!("refused for {} s more", left.as_secs());
                 Err(Refusal::new(Kind::Quarantined, detail))
             }
@@ -73,27 +75,27 @@
     }
 
     /// Another node tells.
-    pub(super) fn told(&self, app: &App, all: &[Notice]) {
+    pub(super) fn told(&self, app: &App, all: &[CrashNotice]) {
         let mut known = self.known.lock();
         all.iter().for_each(|news| {
-            known.told(news, app.clock.now());
+            known.apply_notice(news, app.clock.now());
         });
     }
 
     /// Everything that is known.
-    pub(super) fn all(&self, app: &App) -> Vec<Notice> {
-        self.known.lock().all(app.clock.now())
+    pub(super) fn all(&self, app: &App) -> Vec<CrashNotice> {
+        self.known.lock().notices(app.clock.now())
     }
 
     /// Another node asks for a trial at an upstream.
     pub(super) fn take(&self, app: &App, upstream: &Name, holder: u64) -> bool {
         let now = app.clock.now();
-        self.trials.lock().take(upstream, holder, now + HELD, now)
+        self.trials.lock().acquire(upstream, holder, now + HELD, now)
     }
 
     /// Another node's trial is over.
     pub(super) fn end(&self, upstream: &Name, holder: u64) {
-        self.trials.lock().end(upstream, holder);
+        self.trials.lock().release(upstream, holder);
     }
 }
 
@@ -101,7 +103,7 @@
 #[derive(Debug)]
 pub(super) struct Visit<'a> {
     app: &'a App,
-    flight: Flight,
+    flight: InFlightAttempt,
     address: SocketAddr,
     trial: Option<Trial>,
 }
@@ -118,10 +120,10 @@
     ) -> Result<Self, Refusal> {
         loop {
             app.suspects.check(app, fingerprint)?;
-            let standing = app.suspects.known.lock().standing(fingerprint, app.clock.now());
+            let standing = app.suspects.known.lock().status(fingerprint, app.clock.now());
             let trial = match standing {
-                Standing::Clear => None,
-                Standing::Suspect(length) => {
+                FingerprintStatus::Clear => None,
+                FingerprintStatus::Suspect(length) => {
                     let trial = Trial::take(app, upstream, fingerprint, length).await;
                     if trial.is_none() {
                         wait(deadline).await?;
@@ -129,12 +131,15 @@
                     }
                     trial
                 }
-                Standing::Quarantined(_) => continue,
+                FingerprintStatus::Quarantined(_) => continue,
             };
             // It may have been quarantined while the trial was asked for.
             app.suspects.check(app, fingerprint)?;
-            let flight =
-                Flight { upstream: upstream.clone(), fingerprint, started: app.clock.now() };
+            let flight = InFlightAttempt {
+                upstream: upstream.clone(),
+                fingerprint,
+                sent_at: app.clock.now(),
+            };
             return Ok(Self { app, flight, address, trial });
         }
     }
@@ -169,7 +174,7 @@
             return;
         }
         let app = self.app;
-        let news = app.suspects.known.lock().crashed(&self.flight, broke, app.clock.now());
+        let news = app.suspects.known.lock().record_crash(&self.flight, broke, app.clock.now());
         tracing::warn!(
             event = "upstream_crashed",
             upstream = %self.flight.upstream,
@@ -192,7 +197,7 @@
     fn clear(&mut self) {
         self.trial = None;
         let now = self.app.clock.now();
-        let news = self.app.suspects.known.lock().passed(self.flight.fingerprint, now);
+        let news = self.app.suspects.known.lock().record_success(self.flight.fingerprint, now);
         if let Some(news) = news {
             drop(spread(self.app, news));
         }
@@ -295,7 +300,7 @@
 }
 
 /// Tells every other node. The tasks go on where nobody waits for them.
-fn spread(app: &App, news: Notice) -> Vec<JoinHandle<()>> {
+fn spread(app: &App, news: CrashNotice) -> Vec<JoinHandle<()>> {
     let request = Arc::new(NodeRequest::Suspects(vec![news]));
     let others = app.members.alive(app.clock.now());
     let tell = |to: NodeInfo| tokio::spawn(tell(app.peers.clone(), to.peers, request.clone()));
--- a/standins/src/bin/training-bench.rs
+++ b/standins/src/bin/training-bench.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Parser, Subcommand};
-use mulberrycourse::decide::{Prompt, Slot, Spec, Step, Wanted};
+use mulberrycourse::decide::{Prompt, Slot, Spec, Step, TargetWeights};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use standins::rollout::{TICK, World};
@@ -56,12 +56,12 @@
         world.rate = loads;
         let mut ticks = 0_u32;
         for _ in 0..40 {
-            world.tick(Wanted { generation: 1, version: 1 }, swap, None);
+            world.tick(TargetWeights { generation: 1, version: 1 }, swap, None);
         }
         (world.looks, world.loads) = (0, Vec::new());
         let began = Instant::now();
         while !world.settled(2) && ticks < 20_000 {
-            world.tick(Wanted { generation: 2, version: 2 }, swap, None);
+            world.tick(TargetWeights { generation: 2, version: 2 }, swap, None);
             ticks += 1;
         }
         let seconds = (TICK * ticks).as_secs_f64();
--- a/standins/src/rollout.rs
+++ b/standins/src/rollout.rs
@@ -6,7 +6,8 @@
 
 use mulberrycourse::Name;
 use mulberrycourse::decide::{
-    Cause, Chains, Rollout, Sight, Stage, Turn, Wanted, rendezvous_score,
+    EngineObservation, OrderDecision, OrderReason, Rollout, RolloutStage, SwapChains,
+    TargetWeights, rendezvous_score,
 };
 
 /// Time of one tick of the model.
@@ -27,7 +28,7 @@
     pub alive: bool,
     /// The version that it loads, and the ticks that are left.
     loading: Option<(u64, u32)>,
-    reports: VecDeque<Sight>,
+    reports: VecDeque<EngineObservation>,
 }
 
 impl Engine {
@@ -47,8 +48,8 @@
             None => None,
         };
         let swapping = self.loading.is_some();
-        let now = Sight::Report { version: self.version, swapping };
-        self.reports.push_back(if self.alive { now } else { Sight::Silent });
+        let now = EngineObservation::Report { version: self.version, swapping };
+        self.reports.push_back(if self.alive { now } else { EngineObservation::Silent });
         if self.reports.len() > LAG {
             self.reports.pop_front();
         }
@@ -72,7 +73,7 @@
     /// The engines.
     pub engines: Vec<Engine>,
     /// Their chains.
-    pub chains: Chains,
+    pub chains: SwapChains,
     /// The most engines that swapped at once, those whose weights were not whole not counted.
     pub swapping: usize,
     /// Orders to engines that had left the wanted version.
@@ -93,10 +94,10 @@
     /// Engines that serve version 1, of which at most `percent` may swap at once.
     pub fn new(engines: usize, nodes: usize, percent: u32) -> Self {
         let names: Vec<Name> = (0..engines).map(|i| format!("engine-{i}").into()).collect();
-        let wanted = Wanted { generation: 1, version: 1 };
+        let wanted = TargetWeights { generation: 1, version: 1 };
         let node = |i| (format!("node-{i}").into(), Rollout::new(wanted, Duration::ZERO));
         Self {
-            chains: Chains::new("patter", &names, percent),
+            chains: SwapChains::new("patter", &names, percent),
             names,
             engines: vec![Engine::new(); engines],
             swapping: 0,
@@ -117,7 +118,7 @@
 
     /// One tick of every engine and node; `frozen` is a node that does nothing, and
     /// whose engines have passed to the others.
-    pub fn tick(&mut self, wanted: Wanted, swap: u32, frozen: Option<usize>) {
+    pub fn tick(&mut self, wanted: TargetWeights, swap: u32, frozen: Option<usize>) {
         self.now += TICK;
         self.engines.iter_mut().for_each(Engine::tick);
         self.loads.push(0);
@@ -144,29 +145,29 @@
     }
 
     /// What one node does in a tick.
-    fn act(&mut self, node: usize, owned: &[usize], wanted: Wanted, swap: u32) {
+    fn act(&mut self, node: usize, owned: &[usize], wanted: TargetWeights, swap: u32) {
         let (now, total) = (self.now, self.names.len());
         let rollout = &mut self.nodes[node].1;
-        rollout.want(wanted, true, now);
-        rollout.share(self.rate, owned.len(), total, now);
+        rollout.set_target(wanted, true, now);
+        rollout.set_load_budget(self.rate, owned.len(), total, now);
         let own: Vec<Name> = owned.iter().map(|i| self.names[*i].clone()).collect();
         let mut look = own.clone();
-        for name in own.iter().filter(|e| rollout.stage(e) == Stage::Behind) {
+        for name in own.iter().filter(|e| rollout.stage(e) == RolloutStage::Behind) {
             look.extend_from_slice(self.chains.of(name));
         }
         look.sort_unstable();
         look.dedup();
         for name in look {
-            if self.nodes[node].1.due(&name, now) {
+            if self.nodes[node].1.poll_due(&name, now) {
                 self.looks += 1;
                 let sight = self.engines[self.index(&name)].reports[0];
-                self.nodes[node].1.see(&name, sight, now);
+                self.nodes[node].1.observe(&name, sight, now);
             }
         }
         for name in own {
-            let turn = self.nodes[node].1.turn(&name, self.chains.of(&name), now);
-            if let Turn::Order(cause) = turn {
-                self.corrections += usize::from(cause == Cause::Correction);
+            let turn = self.nodes[node].1.next_order(&name, self.chains.of(&name), now);
+            if let OrderDecision::Order(cause) = turn {
+                self.corrections += usize::from(cause == OrderReason::Correction);
                 let index = self.index(&name);
                 let loads = self.engines[index].order(wanted.version, swap);
                 if let Some(last) = self.loads.last_mut() {
--- a/tests/quarantine_world.rs
+++ b/tests/quarantine_world.rs
@@ -6,7 +6,9 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::quarantine::{Flight, Notice, Quarantine, Standing, Trials};
+use mulberrycourse::decide::quarantine::{
+    CrashNotice, FingerprintStatus, InFlightAttempt, Quarantine, TrialLocks,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
@@ -24,7 +26,7 @@
 #[derive(Debug, Clone)]
 enum State {
     Waiting(Duration),
-    Running { flight: Flight, trial: Option<Duration>, holder: u64 },
+    Running { flight: InFlightAttempt, trial: Option<Duration>, holder: u64 },
     Done,
 }
 
@@ -44,10 +46,10 @@
     rng: SmallRng,
     now: Duration,
     nodes: Vec<Quarantine>,
-    trials: Trials,
+    trials: TrialLocks,
     down: Vec<Duration>,
     requests: Vec<Request>,
-    news: Vec<(Duration, usize, Notice)>,
+    news: Vec<(Duration, usize, CrashNotice)>,
     /// How long the poison runs before its upstream crashes.
     fuse: Duration,
     delay: u64,
@@ -73,7 +75,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
             nodes: (0..NODES).map(|n| Quarantine::new(name(n), n as u64 * 1_000)).collect(),
-            trials: Trials::default(),
+            trials: TrialLocks::default(),
             down: vec![Duration::ZERO; UPSTREAMS],
             requests: poison.chain(others).collect(),
             news: vec![],
@@ -111,13 +113,13 @@
         let now = self.now;
         let (due, later) = std::mem::take(&mut self.news).into_iter().partition(|n| n.0 <= now);
         self.news = later;
-        let due: Vec<(Duration, usize, Notice)> = due;
+        let due: Vec<(Duration, usize, CrashNotice)> = due;
         for (_, node, news) in due {
-            self.nodes[node].told(&news, now);
+            self.nodes[node].apply_notice(&news, now);
         }
     }
 
-    fn spread(&mut self, from: usize, news: &Notice) {
+    fn spread(&mut self, from: usize, news: &CrashNotice) {
         for node in (0..NODES).filter(|n| *n != from) {
             let delay = Duration::from_millis(self.rng.random_range(0..=self.delay));
             self.news.push((self.now + delay, node, news.clone()));
@@ -131,22 +133,22 @@
         let upstream = Name::from(format!("u{upstream}"));
         self.holders += 1;
         let holder = self.holders;
-        let trial = match self.nodes[node].standing(content, self.now) {
-            Standing::Clear => None,
-            Standing::Suspect(length) => {
+        let trial = match self.nodes[node].status(content, self.now) {
+            FingerprintStatus::Clear => None,
+            FingerprintStatus::Suspect(length) => {
                 let until = self.now + Duration::from_secs(65);
                 let own = self.requests.iter().any(|r| {
                     let on_trial = matches!(&r.state, State::Running { trial: Some(_), .. });
                     r.content == content && r.node == node && on_trial
                 });
-                if own || !self.trials.take(&upstream, holder, until, self.now) {
+                if own || !self.trials.acquire(&upstream, holder, until, self.now) {
                     return;
                 }
                 Some(length)
             }
-            Standing::Quarantined(_) => return self.refuse(index),
+            FingerprintStatus::Quarantined(_) => return self.refuse(index),
         };
-        let flight = Flight { upstream, fingerprint: content, started: self.now };
+        let flight = InFlightAttempt { upstream, fingerprint: content, sent_at: self.now };
         self.requests[index].state = State::Running { flight, trial, holder };
     }
 
@@ -165,8 +167,14 @@
         request.state = State::Waiting(self.now + Duration::from_millis(200));
     }
 
-    fn advance(&mut self, index: usize, flight: &Flight, trial: Option<Duration>, holder: u64) {
-        let ran = self.now - flight.started;
+    fn advance(
+        &mut self,
+        index: usize,
+        flight: &InFlightAttempt,
+        trial: Option<Duration>,
+        holder: u64,
+    ) {
+        let ran = self.now - flight.sent_at;
         let request = &mut self.requests[index];
         if request.content == POISON && ran >= self.fuse {
             return self.crash(&flight.upstream);
@@ -177,12 +185,12 @@
             request.state = State::Done;
         }
         if trial.is_some_and(|length| ran >= length) || (trial.is_some() && done) {
-            self.trials.end(&flight.upstream, holder);
+            self.trials.release(&flight.upstream, holder);
             let node = self.requests[index].node;
             if let State::Running { trial, .. } = &mut self.requests[index].state {
                 *trial = None;
             }
-            if let Some(news) = self.nodes[node].passed(flight.fingerprint, self.now) {
+            if let Some(news) = self.nodes[node].record_success(flight.fingerprint, self.now) {
                 self.spread(node, &news);
             }
         }
@@ -200,8 +208,8 @@
             }
             request.state = State::Waiting(self.now + Duration::from_millis(100));
             let node = request.node;
-            self.trials.end(upstream, holder);
-            let news = self.nodes[node].crashed(&flight, self.now, self.now);
+            self.trials.release(upstream, holder);
+            let news = self.nodes[node].record_crash(&flight, self.now, self.now);
             self.spread(node, &news);
         }
     }
@@ -252,8 +260,12 @@
     }
 }
 
-fn flight(upstream: &str, fingerprint: u64, started: u64) -> Flight {
-    Flight { upstream: upstream.into(), fingerprint, started: Duration::from_millis(started) }
+fn flight(upstream: &str, fingerprint: u64, started: u64) -> InFlightAttempt {
+    InFlightAttempt {
+        upstream: upstream.into(),
+        fingerprint,
+        sent_at: Duration::from_millis(started),
+    }
 }
 
 fn ms(ms: u64) -> Duration {
@@ -266,14 +278,14 @@
 fn one_crash_is_counted_once() {
     let mut a = Quarantine::new("a".into(), 7);
     let mut b = Quarantine::new("b".into(), 7);
-    let first = a.crashed(&flight("u1", 1, 100), ms(500), ms(600));
-    a.crashed(&flight("u1", 1, 200), ms(510), ms(610));
-    b.crashed(&flight("u1", 1, 300), ms(505), ms(605));
-    assert!(!b.told(&first, ms(620)));
-    assert!(matches!(a.standing(1, ms(700)), Standing::Suspect(_)));
-    assert!(matches!(b.standing(1, ms(700)), Standing::Suspect(_)));
-    a.crashed(&flight("u1", 1, 800), ms(900), ms(1_000));
-    assert!(matches!(a.standing(1, ms(1_000)), Standing::Quarantined(_)));
+    let first = a.record_crash(&flight("u1", 1, 100), ms(500), ms(600));
+    a.record_crash(&flight("u1", 1, 200), ms(510), ms(610));
+    b.record_crash(&flight("u1", 1, 300), ms(505), ms(605));
+    assert!(!b.apply_notice(&first, ms(620)));
+    assert!(matches!(a.status(1, ms(700)), FingerprintStatus::Suspect(_)));
+    assert!(matches!(b.status(1, ms(700)), FingerprintStatus::Suspect(_)));
+    a.record_crash(&flight("u1", 1, 800), ms(900), ms(1_000));
+    assert!(matches!(a.status(1, ms(1_000)), FingerprintStatus::Quarantined(_)));
 }
 
 /// News overtake each other, and the clearing may be lost: a crash from before it counts
@@ -281,11 +293,11 @@
 #[test]
 fn late_news_count_no_more() {
     let mut a = Quarantine::new("a".into(), 1);
-    let crash = a.crashed(&flight("u1", 1, 0), ms(10), ms(10));
-    let clear = a.passed(1, ms(500)).unwrap();
-    let second = a.crashed(&flight("u2", 1, 600), ms(700), ms(700));
-    assert!(matches!(a.standing(1, ms(800)), Standing::Suspect(_)));
-    let orders: [&[&Notice]; 5] = [
+    let crash = a.record_crash(&flight("u1", 1, 0), ms(10), ms(10));
+    let clear = a.record_success(1, ms(500)).unwrap();
+    let second = a.record_crash(&flight("u2", 1, 600), ms(700), ms(700));
+    assert!(matches!(a.status(1, ms(800)), FingerprintStatus::Suspect(_)));
+    let orders: [&[&CrashNotice]; 5] = [
         &[&second, &clear, &crash],
         &[&clear, &second, &crash],
         &[&crash, &second, &clear],
@@ -295,9 +307,9 @@
     for order in orders {
         let mut b = Quarantine::new("b".into(), 1);
         for news in order {
-            b.told(news, ms(800));
+            b.apply_notice(news, ms(800));
         }
-        assert!(matches!(b.standing(1, ms(800)), Standing::Suspect(_)), "{order:?}");
+        assert!(matches!(b.status(1, ms(800)), FingerprintStatus::Suspect(_)), "{order:?}");
     }
 }
 
@@ -306,19 +318,19 @@
 #[test]
 fn they_end_by_themselves() {
     let mut a = Quarantine::new("a".into(), 1);
-    a.crashed(&flight("u1", 1, 0), ms(10), ms(10));
-    a.crashed(&flight("u2", 1, 20), ms(30), ms(30));
-    a.crashed(&flight("u2", 2, 20), ms(30), ms(30));
+    a.record_crash(&flight("u1", 1, 0), ms(10), ms(10));
+    a.record_crash(&flight("u2", 1, 20), ms(30), ms(30));
+    a.record_crash(&flight("u2", 2, 20), ms(30), ms(30));
     assert_eq!(a.counts(), (1, 1));
-    assert_eq!(a.passed(1, ms(40)), None);
+    assert_eq!(a.record_success(1, ms(40)), None);
     let later = ms(601_000);
     let mut b = Quarantine::new("b".into(), 1);
-    a.all(later).iter().for_each(|news| {
-        b.told(news, later);
+    a.notices(later).iter().for_each(|news| {
+        b.apply_notice(news, later);
     });
-    assert_eq!(b.standing(2, later), Standing::Clear);
-    assert!(matches!(b.standing(1, later), Standing::Quarantined(_)));
-    assert_eq!(b.standing(1, ms(3_600_100)), Standing::Clear);
+    assert_eq!(b.status(2, later), FingerprintStatus::Clear);
+    assert!(matches!(b.status(1, later), FingerprintStatus::Quarantined(_)));
+    assert_eq!(b.status(1, ms(3_600_100)), FingerprintStatus::Clear);
     a.tick(ms(3_600_100));
     assert_eq!(a.counts(), (0, 0));
 }
@@ -328,12 +340,12 @@
 #[test]
 fn memory_is_bounded() {
     let mut a = Quarantine::new("a".into(), 1);
-    a.crashed(&flight("u1", 0, 0), ms(10), ms(10));
-    a.crashed(&flight("u2", 0, 20), ms(30), ms(30));
+    a.record_crash(&flight("u1", 0, 0), ms(10), ms(10));
+    a.record_crash(&flight("u2", 0, 20), ms(30), ms(30));
     for content in 1..20_000 {
-        a.crashed(&flight("u3", content, 40), ms(50), ms(50 + content));
+        a.record_crash(&flight("u3", content, 40), ms(50), ms(50 + content));
     }
     let (suspects, quarantined) = a.counts();
     assert_eq!(quarantined, 1);
-    assert!(suspects < mulberrycourse::decide::quarantine::LIMIT);
+    assert!(suspects < mulberrycourse::decide::quarantine::MAX_FINGERPRINTS);
 }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use mulberrycourse::Name;
-use mulberrycourse::decide::{Chains, Rollout, Sight, Stage, StoreShare, Wanted};
+use mulberrycourse::decide::{
+    EngineObservation, Rollout, RolloutStage, SwapChains, TargetWeights, WeightLoadBudget,
+};
 use proptest::prelude::*;
 use standins::rollout::{TICK, World};
 
@@ -28,9 +30,9 @@
             engine.failures = failures;
         }
         for _ in 0..second {
-            world.tick(Wanted { generation: 2, version: 2 }, swap, None);
+            world.tick(TargetWeights { generation: 2, version: 2 }, swap, None);
         }
-        let last = Wanted { generation: 3, version: 3 };
+        let last = TargetWeights { generation: 3, version: 3 };
         for _ in 0..20_000 {
             world.tick(last, swap, None);
             if world.settled(3) {
@@ -46,13 +48,13 @@
     #[test]
     fn chains_are_even(engines in 1_usize..60, percent in 1_u32..=100) {
         let mut names: Vec<Name> = (0..engines).map(|i| format!("e{i}").into()).collect();
-        let chains = Chains::new("patter", &names, percent);
+        let chains = SwapChains::new("patter", &names, percent);
         prop_assert_eq!(chains.len(), (engines * percent as usize / 100).max(1));
         let lengths: Vec<usize> = names.iter().map(|e| chains.of(e).len()).collect();
         let (least, most) = (lengths.iter().min().unwrap(), lengths.iter().max().unwrap());
         prop_assert!(most - least <= 1);
         names.reverse();
-        prop_assert_eq!(chains, Chains::new("patter", &names, percent));
+        prop_assert_eq!(chains, SwapChains::new("patter", &names, percent));
     }
 }
 
@@ -63,7 +65,7 @@
     let first = world.chains.of(&world.names[0].clone())[0].clone();
     let dead = world.index(&first);
     world.engines[dead].alive = false;
-    let wanted = Wanted { generation: 2, version: 2 };
+    let wanted = TargetWeights { generation: 2, version: 2 };
     for _ in 0..1_000 {
         world.tick(wanted, 4, None);
     }
@@ -75,7 +77,7 @@
 #[test]
 fn paused_owner_is_succeeded() {
     let mut world = World::new(9, 3, 34);
-    let wanted = Wanted { generation: 2, version: 2 };
+    let wanted = TargetWeights { generation: 2, version: 2 };
     for _ in 0..20 {
         world.tick(wanted, 10, None);
     }
@@ -90,7 +92,7 @@
 #[test]
 fn wrong_version_is_corrected() {
     let mut world = World::new(3, 2, 34);
-    let wanted = Wanted { generation: 2, version: 2 };
+    let wanted = TargetWeights { generation: 2, version: 2 };
     while !world.settled(2) {
         world.tick(wanted, 4, None);
     }
@@ -108,7 +110,7 @@
 /// Owners begin with one load and then keep to their share of the store's rate.
 #[test]
 fn shares_keep_the_rate() {
-    let mut share = StoreShare::default();
+    let mut share = WeightLoadBudget::default();
     let mut taken = 0;
     for tick in 0..200 {
         let now = TICK * tick;
@@ -122,15 +124,19 @@
 /// A settled engine that refuses old orders is looked at less often than one that takes them.
 #[test]
 fn looks_are_rarer_where_fencing_holds() {
-    let wanted = Wanted { generation: 1, version: 1 };
+    let wanted = TargetWeights { generation: 1, version: 1 };
     let name: Name = "engine".into();
     let looks = |fenced| {
         let mut rollout = Rollout::new(wanted, Duration::ZERO);
-        rollout.want(wanted, fenced, Duration::ZERO);
+        rollout.set_target(wanted, fenced, Duration::ZERO);
         let due = (0..200).map(|tick| TICK * tick).filter(|now| {
-            let due = rollout.due(&name, *now);
+            let due = rollout.poll_due(&name, *now);
             if due {
-                rollout.see(&name, Sight::Report { version: Some(1), swapping: false }, *now);
+                rollout.observe(
+                    &name,
+                    EngineObservation::Report { version: Some(1), swapping: false },
+                    *now,
+                );
             }
             due
         });
@@ -138,5 +144,5 @@
     };
     assert_eq!(looks(true), 10);
     assert_eq!(looks(false), 40);
-    assert_eq!(Stage::of(Sight::Silent, wanted), Stage::Silent);
+    assert_eq!(RolloutStage::of(EngineObservation::Silent, wanted), RolloutStage::Silent);
 }
