--- a/src/decide/dispatch/pool.rs
+++ b/src/decide/dispatch/pool.rs
@@ -11,8 +11,8 @@
 use super::upstream::Upstream;
 use super::{AttemptReport, LoadReport, UpstreamKey, UpstreamView};
 use crate::decide::{
-    AttemptOutcome, Call, Class, Deadlines, HashRing, IndexedSet, LatencyEstimate, Others, bounded,
-    expected, max_ejected, two,
+    AttemptOutcome, Call, Class, Deadlines, HashRing, IndexedSet, LatencyEstimate, OtherLoad,
+    expected_latency, max_ejected, two_random, within_load_bound,
 };
 use crate::{Moment, Name};
 
@@ -90,7 +90,7 @@
         let upstream = &mut self.upstreams[key];
         if report.requested_at >= upstream.others.at() {
             let others = report.total.saturating_sub(upstream.limit.running());
-            upstream.others = Others::new(others, report.requested_at);
+            upstream.others = OtherLoad::new(others, report.requested_at);
         }
     }
 
@@ -141,12 +141,13 @@
         let ready = self.ready(room);
         let mut best: Option<(bool, f64, UpstreamKey)> = None;
         for _ in 0..MAX_RANDOM_PAIRS {
-            let (first, second) = two(ready.len(), rng)?;
+            let (first, second) = two_random(ready.len(), rng)?;
             for key in [ready.get(first), ready.get(second)] {
                 let upstream = &self.upstreams[key];
                 let bad = Some(key) == avoid;
                 let latency = upstream.latency.decayed(typical, now);
-                let time = expected(upstream.load(now), latency, call.cost, upstream.other_zone);
+                let time =
+                    expected_latency(upstream.load(now), latency, call.cost, upstream.other_zone);
                 if best.is_none_or(|(b, t, _)| (bad, time) < (b, t)) {
                     best = Some((bad, time, key));
                 }
@@ -219,7 +220,7 @@
             let upstream = &self.upstreams[*key];
             let fine = ready.contains(*key) && Some(*key) != avoid;
             let slow = upstream.latency.decayed(typical, now) > 2.0 * typical;
-            fine && !slow && bounded(upstream.load(now), mean)
+            fine && !slow && within_load_bound(upstream.load(now), mean)
         })
     }
 
--- a/src/decide/dispatch/upstream.rs
+++ b/src/decide/dispatch/upstream.rs
@@ -4,7 +4,9 @@
 
 use super::UpstreamView;
 use crate::Moment;
-use crate::decide::{ConcurrencyLimit, FailureTracker, LatencyEstimate, Others, seconds_per_cost};
+use crate::decide::{
+    ConcurrencyLimit, FailureTracker, LatencyEstimate, OtherLoad, seconds_per_cost,
+};
 
 /// The state of one upstream.
 #[derive(Debug)]
@@ -15,7 +17,7 @@
     pub(super) limit: ConcurrencyLimit,
     pub(super) latency: LatencyEstimate,
     /// Load from other nodes.
-    pub(super) others: Others,
+    pub(super) others: OtherLoad,
     pub(super) failures: FailureTracker,
     /// When its ejection ends, if it is ejected.
     pub(super) ejected_until: Option<Moment>,
@@ -28,7 +30,7 @@
             other_zone,
             limit: ConcurrencyLimit::new(ceiling),
             latency: LatencyEstimate::default(),
-            others: Others::default(),
+            others: OtherLoad::default(),
             failures: FailureTracker::default(),
             ejected_until: None,
         }
@@ -57,6 +59,6 @@
 
     /// Attempts in flight, including those of other nodes.
     pub(super) fn load(&self, now: Moment) -> f64 {
-        f64::from(self.limit.running()) + self.others.faded(now)
+        f64::from(self.limit.running()) + self.others.decayed(now)
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -4,28 +4,27 @@
 //! The daemon turns sockets and timers into events, and actions into I/O.
 
 mod adaptive_timeout;
-mod address;
 mod admission;
 pub mod affinity;
 mod call;
 pub mod claim;
-pub mod comeback;
+mod client_nodes;
 mod concurrency;
 mod deadlines;
 mod demand;
-pub mod detour;
+mod departures;
 mod dispatch;
 mod early_samples;
 mod ejection;
+mod fair_queue;
+pub mod fallback;
 mod fleet;
 mod freshness;
 mod indexed_set;
 pub mod job;
 mod label;
 mod latency;
-mod leaving;
 pub mod members;
-pub mod moves;
 mod organisations;
 mod outcome;
 pub mod quarantine;
@@ -33,40 +32,42 @@
 mod ranges;
 mod rendezvous;
 mod retry;
+pub mod retry_after;
 mod ring;
 mod rollout;
-mod route;
 mod routes;
+mod sample_order;
 pub mod scale;
 mod slow_engine;
 mod step;
-mod straggler;
 mod subset;
 mod transfer;
-mod turns;
+mod upstream_choice;
 pub mod usage;
+pub mod weight_loads;
 
 pub use adaptive_timeout::AdaptiveTimeout;
-pub use address::{ANSWER, Site, sites_of};
 pub use admission::{RetrySchedule, WaitEstimate};
 pub use call::{Call, Class, Repeat};
+pub use client_nodes::{CandidateNode, MAX_CLIENT_NODES, nodes_for_client};
 pub use concurrency::ConcurrencyLimit;
 pub use deadlines::Deadlines;
 pub use demand::Demand;
+pub use departures::{Departure, Departures};
 pub use dispatch::{
     AttemptReport, CallerWeights, Dispatch, DispatchAction, LoadReport, ServiceLimits, Ticket,
     UpstreamKey, UpstreamView,
 };
 pub use early_samples::early_samples;
 pub use ejection::{FailureTracker, max_ejected};
+pub use fair_queue::FairQueue;
 pub use fleet::{
     AttemptRequest, Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition,
 };
-pub use freshness::{Prospect, Served, floor};
+pub use freshness::{EngineVersions, StartDecision, min_fresh_version};
 pub use indexed_set::IndexedSet;
 pub use label::{Label, Span, Unlabelled};
 pub use latency::{LatencyEstimate, seconds_per_cost};
-pub use leaving::{Departure, Leaving};
 pub use organisations::{
     Caller, KeyDigest, Organisation, OrganisationFault, Organisations, public_job,
 };
@@ -80,11 +81,12 @@
     EngineObservation, OrderDecision, OrderReason, Rollout, RolloutStage, SwapChains,
     TargetWeights, WeightLoadBudget,
 };
-pub use route::{Others, bounded, expected, two};
-pub use routes::{Again, Bounds, Route, Routes};
+pub use routes::{RequestLimits, RetryPolicy, Route, Routes};
+pub use sample_order::{
+    NORMAL_PRIORITY, RAISED_PRIORITY, max_running, order_slots, sample_priority,
+};
 pub use slow_engine::SlowEngineDetector;
-pub use step::{Fill, Group, Prompt, Sample, Slot, Spec, Step};
-pub use straggler::{ORDINARY, RAISED, order, priority, window};
+pub use step::{FillOutcome, Group, GroupSpec, Sample, Slot, Step, StepSpec};
 pub use subset::subset;
 pub use transfer::Transfer;
-pub use turns::Turns;
+pub use upstream_choice::{OtherLoad, expected_latency, two_random, within_load_bound};
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use super::{Call, Class, Turns};
+use super::{Call, Class, FairQueue};
 use crate::Name;
 
 /// The position of a request in the queue, by which it is removed.
@@ -27,14 +27,14 @@
 /// The requests of one caller in one class, by flow key.
 #[derive(Debug, Clone)]
 struct CallerQueue<T> {
-    turns: Turns<u64>,
+    turns: FairQueue<u64>,
     items: HashMap<u64, BTreeMap<i64, T>>,
 }
 
 /// The requests of one class, by caller.
 #[derive(Debug, Clone)]
 struct ClassQueue<T> {
-    turns: Turns<Name>,
+    turns: FairQueue<Name>,
     callers: HashMap<Name, CallerQueue<T>>,
     len: usize,
     /// Total cost of the requests.
@@ -43,7 +43,7 @@
 
 impl<T> Default for ClassQueue<T> {
     fn default() -> Self {
-        Self { turns: Turns::default(), callers: HashMap::new(), len: 0, cost: 0 }
+        Self { turns: FairQueue::default(), callers: HashMap::new(), len: 0, cost: 0 }
     }
 }
 
@@ -151,11 +151,11 @@
         let key = flow_key(call);
         // Of the same caller's requests, those of other flows precede it only in turn.
         let own = queue.callers.get(&call.caller).map_or(0.0, |caller| {
-            let keys = caller.turns.weights_with(&key, 1) as f64;
+            let keys = caller.turns.total_weight_with(&key, 1) as f64;
             let fair = caller.turns.backlog(&key) as f64 * keys;
             fair.min(queue.turns.backlog(&call.caller) as f64)
         });
-        let weights = queue.turns.weights_with(&call.caller, weight) as f64;
+        let weights = queue.turns.total_weight_with(&call.caller, weight) as f64;
         (own * weights / f64::from(weight.max(1))).min(queue.cost as f64)
     }
 
@@ -172,7 +172,7 @@
     fn insert(&mut self, call: &Call, weight: u32, number: i64, item: T) -> QueuePosition {
         let key = flow_key(call);
         let queue = self.class_queue_mut(call.class);
-        let fresh = || CallerQueue { turns: Turns::default(), items: HashMap::new() };
+        let fresh = || CallerQueue { turns: FairQueue::default(), items: HashMap::new() };
         let caller = queue.callers.entry(call.caller.clone()).or_insert_with(fresh);
         caller.turns.add(&key, 1, call.cost);
         caller.items.entry(key).or_default().insert(number, item);
--- a/src/edge/peer/message.rs
+++ b/src/edge/peer/message.rs
@@ -9,7 +9,7 @@
 use crate::bundle::Envelope;
 use crate::decide::Departure;
 use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
-use crate::decide::members::{Gossip, News, NodeState};
+use crate::decide::members::{Gossip, MemberRecord, NodeState};
 use crate::decide::quarantine::CrashNotice;
 use crate::metrics::Purpose;
 
@@ -57,17 +57,17 @@
     pub peers: SocketAddr,
 }
 
-impl From<&NodeInfo> for News<NodeLocation> {
+impl From<&NodeInfo> for MemberRecord<NodeLocation> {
     fn from(info: &NodeInfo) -> Self {
         let NodeInfo { name, region, zone, callers, peers, incarnation, state, bundle } = info;
         Self {
             name: name.clone(),
             incarnation: *incarnation,
             state: *state,
-            beat: 0,
+            heartbeat: 0,
             bundle: *bundle,
-            doubted: false,
-            card: NodeLocation {
+            suspected: false,
+            contact: NodeLocation {
                 region: region.clone(),
                 zone: zone.clone(),
                 callers: *callers,
@@ -77,9 +77,9 @@
     }
 }
 
-impl From<&News<NodeLocation>> for NodeInfo {
-    fn from(news: &News<NodeLocation>) -> Self {
-        let NodeLocation { region, zone, callers, peers } = &news.card;
+impl From<&MemberRecord<NodeLocation>> for NodeInfo {
+    fn from(news: &MemberRecord<NodeLocation>) -> Self {
+        let NodeLocation { region, zone, callers, peers } = &news.contact;
         Self {
             name: news.name.clone(),
             region: region.clone(),
@@ -160,7 +160,7 @@
     /// What the other knows.
     Gossip(Gossip<NodeLocation>),
     /// A page of the nodes that it knows; empty after the last.
-    Nodes(Vec<News<NodeLocation>>),
+    Nodes(Vec<MemberRecord<NodeLocation>>),
     /// The bundle in force, if there is one.
     Bundle(Option<Envelope>),
     /// Taken, or not needed.
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -15,15 +15,15 @@
 use super::counted_store::CountedStore;
 use super::ended_jobs::EndedJobs;
 use super::follow::Feeds;
-use super::homes::Homes;
-use super::live::Live;
+use super::membership::Membership;
+use super::owned_jobs::OwnedJobs;
 use super::peer::{FallbackStore, Peers};
 use super::ports::Ports;
 use super::remote_jobs::RemoteJobs;
 use super::slots::Slots;
 use super::usage::Usage;
-use crate::decide::comeback::come_back;
-use crate::decide::scale::Load;
+use crate::decide::retry_after::retry_after;
+use crate::decide::scale::DemandEstimator;
 use crate::decide::{Demand, Routes};
 use crate::edge::duty::Duties;
 use crate::edge::replica::Replicas;
@@ -65,17 +65,17 @@
     pub(super) routes: Mutex<Option<Arc<Routes>>>,
     /// The newest version of the weights that was announced for each model.
     pub(super) versions: Mutex<BTreeMap<Name, u64>>,
-    /// The work that training steps bring by model: of the jobs of this node, and on the leader also
-    /// of the jobs of other nodes.
+    /// The work of training steps by model: of the jobs of this node, and on the leader
+    /// also of the jobs of other nodes.
     pub(super) demand: Mutex<Demand>,
     /// The slots that the samples of all nodes need, on the leader.
-    pub(super) slot_load: Mutex<Load>,
+    pub(super) slot_load: Mutex<DemandEstimator>,
     /// The replicas and the samples that wait for their slots.
     pub(super) slots: Slots,
     /// The registered nodes and the leader.
-    pub(super) membership: Mutex<Live>,
+    pub(super) membership: Mutex<Membership>,
     /// The jobs that this node owns.
-    pub(super) owned_jobs: Homes,
+    pub(super) owned_jobs: OwnedJobs,
     /// Jobs that ran here and have ended.
     pub(super) ended_jobs: EndedJobs,
     /// What other nodes may follow on this node.
@@ -92,15 +92,18 @@
     pub(super) draining: AtomicBool,
     /// Whether the node has its key in the store.
     pub(super) registered: AtomicBool,
-    /// Whether the routes are from another node's old snapshot, and the store has not answered since.
+    /// Whether the routes are from another node's old snapshot, and the store has not answered
+    /// since.
     pub(super) stale_routes: AtomicBool,
     /// The state of [`App::draw`].
     pub(super) draw_counter: AtomicU64,
     /// Counts watches that were cut. The store may have dropped its history with them, so that
     /// changes may have been missed.
     pub(super) watch_gaps: AtomicU64,
-    /// Cancelled when the process begins to drain: it stops work of its own.
+    /// Cancelled when the process begins to drain: its background work stops, and the listeners go
+    /// on.
     pub(super) stop: CancellationToken,
+    /// The running background tasks.
     tasks: TaskTracker,
     /// Cancelled when the process ends: every task is dropped wherever it is.
     pub(super) abort: CancellationToken,
@@ -120,6 +123,7 @@
 }
 
 impl App {
+    /// Creates the state of a node that starts. `peers` makes the port to other nodes.
     pub(super) fn new(
         settings: EntrySettings,
         ports: Ports,
@@ -130,15 +134,16 @@
         let tally = Arc::new(Tally::default());
         let peers = peers(tally.clone());
         let direct = Arc::new(CountedStore::new(store, schema.clone(), tally.clone()));
-        let detour = FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
+        let fallback_store =
+            FallbackStore::new(direct.clone(), peers.clone(), settings.seeds.clone());
         let slots = Slots::new(settings.zone.clone());
         let usage = settings.usage_windows.map(|windows| Arc::new(Usage::new(windows, clock)));
         Arc::new(Self {
             settings,
             tally,
-            store: Arc::new(detour.clone()),
+            store: Arc::new(fallback_store.clone()),
             direct_store: direct,
-            fallback_store: detour,
+            fallback_store,
             peers,
             unreachable_peers: Mutex::default(),
             replicas,
@@ -152,7 +157,7 @@
             slot_load: Mutex::default(),
             slots,
             membership: Mutex::default(),
-            owned_jobs: Homes::default(),
+            owned_jobs: OwnedJobs::default(),
             ended_jobs: EndedJobs::default(),
             feeds: Feeds::default(),
             remote_jobs: RemoteJobs::default(),
@@ -173,10 +178,10 @@
 
     /// Runs a task until it returns or the process ends.
     pub(super) fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let gone = self.abort.clone();
+        let abort = self.abort.clone();
         self.tasks.spawn(async move {
             tokio::select! {
-                () = gone.cancelled() => {}
+                () = abort.cancelled() => {}
                 () = task => {}
             }
         });
@@ -241,7 +246,7 @@
 
     /// Returns how long a client that is refused now has to wait before it retries.
     pub fn retry_after(&self) -> Duration {
-        come_back(self.fallback_store.outage_duration(), self.draw())
+        retry_after(self.fallback_store.outage_duration(), self.draw())
     }
 
     /// Whether the node may send orders: more than half of the lease time remains since the last
@@ -252,10 +257,11 @@
     }
 
     /// Whether the term of this node as leader is certain to last: [`App::may_order`] holds, and no
-    /// newer leader is known. `fence` is the revision of the leader key that began the term.
-    pub(super) fn holds_term(&self, fence: u64) -> bool {
-        let seen = self.membership.lock().holder().map(|seen| seen.revision);
-        self.may_order() && seen.is_none_or(|revision| revision <= fence)
+    /// newer leader is known. `fencing_token` is the revision of the leader key that began the
+    /// term.
+    pub(super) fn holds_term(&self, fencing_token: u64) -> bool {
+        let seen = self.membership.lock().leader().map(|seen| seen.revision);
+        self.may_order() && seen.is_none_or(|revision| revision <= fencing_token)
     }
 
     /// Returns how long a new leader waits before its first order. The previous leader sent its
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -27,7 +27,7 @@
                 page.items.iter().for_each(|item| self.apply_notice(item));
             }
         }
-        self.slots.pump(self.now());
+        self.slots.assign_free(self.now());
         self.notify_view_change();
     }
 
@@ -39,7 +39,7 @@
         for change in &watched.changes {
             self.apply_change(topic, change);
         }
-        self.slots.pump(self.now());
+        self.slots.assign_free(self.now());
         self.notify_view_change();
     }
 
@@ -50,7 +50,7 @@
                 self.remove_replica(&self.schema.replica_id(key));
             }
             (Topic::Nodes, change) => {
-                self.membership.lock().change(change, self.store_time());
+                self.membership.lock().apply_change(change, self.store_time());
                 self.update_peers();
             }
             (_, Change::Put(item)) => self.apply_notice(item),
@@ -62,7 +62,7 @@
     /// Updates which nodes may be asked for calls to the store, in an order that is particular to
     /// this node.
     fn update_peers(&self) {
-        let nodes = self.membership.lock().peers();
+        let nodes = self.membership.lock().peer_addresses();
         let others = nodes.keys().filter(|n| **n != self.settings.name).map(|n| &**n);
         let ranked = rendezvous_rank(&self.settings.name, others);
         self.fallback_store
--- a/src/entry/follow/sources.rs
+++ b/src/entry/follow/sources.rs
@@ -110,8 +110,8 @@
         }
         let seeds = self.other_seeds();
         let deadline = self.now() + SEED_WAIT;
-        let requests = seeds.iter().zip(0..).map(|(seed, place)| async move {
-            tokio::time::sleep(SEED_STAGGER * place).await;
+        let requests = seeds.iter().zip(0..).map(|(seed, index)| async move {
+            tokio::time::sleep(SEED_STAGGER * index).await;
             self.fetch_initial_from(*seed, topic, deadline).await
         });
         let mut replies: FuturesUnordered<_> = requests.collect();
@@ -212,7 +212,7 @@
 
     /// Returns the nodes that watch the store for others. None if each node watches it itself.
     pub(super) fn watchers(&self) -> Option<Vec<(Name, SocketAddr)>> {
-        let nodes = self.membership.lock().peers_around(self.store_time());
+        let nodes = self.membership.lock().stable_peers(self.store_time());
         if nodes.len() <= MAX_NODES_WITHOUT_WATCHERS {
             return None;
         }
--- a/src/entry/follow/topic.rs
+++ b/src/entry/follow/topic.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::entry::app::App;
-use crate::entry::keys::LIVE;
+use crate::entry::keys::MEMBERSHIP_PREFIX;
 use crate::entry::peer::FeedTopic;
 
 /// How long before a departing replica must get no more work its report has to be seen here.
@@ -42,7 +42,7 @@
             Self::Versions => app.schema.versions_prefix().to_owned(),
             Self::Retirements => app.schema.retirements_prefix().to_owned(),
             Self::Replicas => app.schema.replicas_prefix().to_owned(),
-            Self::Nodes => LIVE.to_owned(),
+            Self::Nodes => MEMBERSHIP_PREFIX.to_owned(),
         }
     }
 
@@ -64,7 +64,7 @@
                     .settings
                     .drain_time
                     .saturating_sub(REPORT_LEAD_TIME + REPLICA_BATCH_INTERVAL);
-                let _ = tokio::time::timeout(longer, app.owned_jobs.work()).await;
+                let _ = tokio::time::timeout(longer, app.owned_jobs.wait_for_work()).await;
             }
         }
     }
--- /dev/null
+++ b/src/entry/membership.rs
@@ -0,0 +1,173 @@
+//! The live nodes and the leader, as the store has them.
+
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use super::keys::{LeaderRecord, MembershipKey, NodeRecord, parse_membership_key};
+use crate::edge::store::{Change, KeyValue, RangeResult};
+use crate::{Moment, Name};
+
+/// How long nodes still count as alive after their records vanished together. Only time in
+/// which the store was reachable counts: an outage of the store ends the leases of nodes that
+/// keep serving, and they can register again only after the store returns, within one renewal.
+const OUTAGE_RETENTION: Duration = Duration::from_millis(2_500);
+/// If at least one node in this many lost its record within [`OUTAGE_RETENTION`], the cause is
+/// taken to be an outage of the store.
+const OUTAGE_FRACTION: usize = 2;
+
+/// A record together with the store revision that wrote it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct Stored<T> {
+    pub value: T,
+    pub revision: u64,
+}
+
+/// This node's view of the keys under the membership prefix.
+#[derive(Debug, Default)]
+pub(super) struct Membership {
+    nodes: BTreeMap<Name, NodeRecord>,
+    /// The last records of nodes whose records were removed, and when that was seen.
+    departed: HashMap<Name, (NodeRecord, Moment)>,
+    leader: Option<Stored<LeaderRecord>>,
+    loaded: bool,
+    /// The number of removed node records so far.
+    departures: u64,
+}
+
+impl Membership {
+    /// Replaces the view by a read of the whole prefix.
+    pub(super) fn load(&mut self, page: &RangeResult, now: Moment) {
+        let before = std::mem::take(&mut self.nodes);
+        self.leader = None;
+        for item in &page.items {
+            self.put(item);
+        }
+        for (name, value) in before {
+            if !self.nodes.contains_key(&name) {
+                self.departed.insert(name, (value, now));
+                self.departures += 1;
+            }
+        }
+        self.loaded = true;
+    }
+
+    /// Applies a change from the watch.
+    pub(super) fn apply_change(&mut self, change: &Change, now: Moment) {
+        match change {
+            Change::Put(item) => self.put(item),
+            Change::Removed { key, .. } => match parse_membership_key(key) {
+                Some(MembershipKey::Node(name)) => {
+                    if let Some((name, value)) = self.nodes.remove_entry(name) {
+                        self.departed.insert(name, (value, now));
+                        self.departures += 1;
+                    }
+                }
+                Some(MembershipKey::Leader) => {
+                    self.leader = None;
+                }
+                None => {}
+            },
+        }
+    }
+
+    /// Applies a written record. One that does not parse is logged and ignored.
+    fn put(&mut self, item: &KeyValue) {
+        let parsed = match parse_membership_key(&item.key) {
+            Some(MembershipKey::Node(name)) => serde_json::from_slice(&item.value).map(|value| {
+                self.departed.remove(name);
+                self.nodes.insert(name.into(), value);
+            }),
+            Some(MembershipKey::Leader) => serde_json::from_slice(&item.value).map(|value| {
+                self.leader = Some(Stored { value, revision: item.revision });
+            }),
+            None => return,
+        };
+        if let Err(e) = parsed {
+            tracing::error!(event = "value_unreadable", key = %item.key, error = %e);
+        }
+    }
+
+    /// Whether the prefix was read at least once.
+    pub(super) fn is_loaded(&self) -> bool {
+        self.loaded
+    }
+
+    /// Names and client addresses of nodes that serve clients: the live ones, and those whose
+    /// records vanished together in an outage of the store.
+    pub(super) fn client_addresses(&self, now: Moment) -> Vec<(Name, SocketAddr)> {
+        let held = self.retained(now);
+        let nodes = self.nodes.iter().chain(held.into_iter().map(|(n, (v, _))| (n, v)));
+        nodes.filter_map(|(name, value)| Some((name.clone(), value.callers?))).collect()
+    }
+
+    /// The number of node records that were removed so far.
+    pub(super) fn departures(&self) -> u64 {
+        self.departures
+    }
+
+    /// Peer addresses by node name, of registered nodes only.
+    pub(super) fn peer_addresses(&self) -> BTreeMap<Name, SocketAddr> {
+        let nodes = self.nodes.iter();
+        nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
+    }
+
+    /// Peer addresses by node name, including nodes whose records vanished together, so that
+    /// the choice of nodes that watch the store for others does not change in an outage.
+    pub(super) fn stable_peers(&self, now: Moment) -> BTreeMap<Name, SocketAddr> {
+        let held = self.retained(now).into_iter().map(|(n, (v, _))| (n, v));
+        let nodes = held.chain(self.nodes.iter());
+        nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
+    }
+
+    /// The peer address of an incarnation, if it is registered.
+    pub(super) fn peer_of(&self, incarnation: &str) -> Option<SocketAddr> {
+        self.nodes.values().find(|v| *v.incarnation == *incarnation)?.peers
+    }
+
+    /// The incarnation and the peer address of a node, if it is registered and has one.
+    pub(super) fn incarnation_of(&self, node: &str) -> Option<(Name, SocketAddr)> {
+        let value = self.nodes.get(node)?;
+        Some((value.incarnation.clone(), value.peers?))
+    }
+
+    /// The incarnations that are registered, or whose records vanished together within
+    /// [`OUTAGE_RETENTION`].
+    pub(super) fn live_incarnations(&self, now: Moment) -> Vec<Name> {
+        let held = self.retained(now).into_iter().map(|(_, (value, _))| value.incarnation.clone());
+        self.nodes.values().map(|v| v.incarnation.clone()).chain(held).collect()
+    }
+
+    /// Whether an incarnation has its record in the store.
+    pub(super) fn is_registered(&self, incarnation: &str) -> bool {
+        self.nodes.values().any(|v| *v.incarnation == *incarnation)
+    }
+
+    /// The incarnations of registered nodes that serve clients.
+    pub(super) fn serving_incarnations(&self) -> Vec<Name> {
+        let nodes = self.nodes.values().filter(|v| v.callers.is_some());
+        nodes.map(|v| v.incarnation.clone()).collect()
+    }
+
+    /// The departed nodes that still count as alive: those of the last [`OUTAGE_RETENTION`], if
+    /// they are more than one and a large enough part of all nodes for an outage of the store.
+    fn retained(&self, now: Moment) -> Vec<(&Name, &(NodeRecord, Moment))> {
+        let fresh: Vec<_> = self
+            .departed
+            .iter()
+            .filter(|(_, (_, at))| now.saturating_sub(*at) < OUTAGE_RETENTION)
+            .collect();
+        let all = fresh.len() + self.nodes.len();
+        if fresh.len() > 1 && fresh.len() * OUTAGE_FRACTION >= all { fresh } else { Vec::new() }
+    }
+
+    /// Drops departed nodes that no longer count as alive.
+    pub(super) fn forget_departed(&mut self, now: Moment) {
+        self.departed.retain(|_, (_, at)| now.saturating_sub(*at) < OUTAGE_RETENTION);
+    }
+
+    /// The leader's record; none if there is no leader.
+    pub(super) fn leader(&self) -> Option<&Stored<LeaderRecord>> {
+        self.leader.as_ref()
+    }
+}
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -13,14 +13,15 @@
 use super::messages::{PeerReply, PeerRequest, StoreReply, StoreRequest};
 use super::peers::Peers;
 use crate::Moment;
-use crate::decide::detour::{self, Way};
+use crate::decide::fallback::{self, CallPath};
 use crate::edge::peer::PeerError;
 use crate::edge::store::{Store, StoreError, StoreFuture, WatchBatch};
 
 /// How long another node may take with a call: its own call to the store may take a third of it,
 /// and a lease has to be renewed within two seconds.
 const PEER_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How long a probe of the direct path may take, for the same reason.
+/// How long a probe of the direct path may take. The call may have to go through another node after
+/// it, and a lease has to be renewed within two seconds.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a call that began during an outage of the store may still take after its end.
 const RECOVERY_GRACE: Duration = Duration::from_millis(100);
@@ -33,13 +34,16 @@
 /// The store, reached directly or through another node. Clones share their state.
 #[derive(Debug, Clone)]
 pub(in crate::entry) struct FallbackStore {
+    /// The store, reached only directly.
     pub(super) direct: Arc<dyn Store>,
+    /// Requests to other entry nodes.
     peers: Arc<dyn Peers>,
     state: Arc<Mutex<State>>,
     /// Counts how often the store became unreachable on the direct path.
     disconnects: watch::Sender<u64>,
     /// Counts how often the store became reachable again.
     recoveries: watch::Sender<u64>,
+    /// The zero of the moments in `state`.
     started: Instant,
 }
 
@@ -49,10 +53,11 @@
 /// probe.
 const NOTICE_TIMEOUT: Duration = Duration::from_millis(300);
 
+/// What is known about the reachability of the store.
 #[derive(Debug)]
 struct State {
     /// Decides by which path calls are made.
-    fallback: detour::Detour,
+    fallback: fallback::FallbackState,
     /// The nodes that can be asked, starting with the one that answered last.
     nodes: Vec<SocketAddr>,
     /// The largest number of nodes that were known. Probes are paced by it, because an outage ends
@@ -91,13 +96,17 @@
 }
 
 impl FallbackStore {
+    /// Creates the store of a node that starts and knows only the seeds.
     pub(in crate::entry) fn new(
         direct: Arc<dyn Store>,
         peers: Arc<dyn Peers>,
         seeds: Vec<SocketAddr>,
     ) -> Self {
-        let mut fallback = detour::Detour::default();
-        fallback.set_pace(detour::pace(seeds.len() + 1, rand::random()), rand::random());
+        let mut fallback = fallback::FallbackState::default();
+        fallback.set_probe_interval(
+            fallback::probe_interval(seeds.len() + 1, rand::random()),
+            rand::random(),
+        );
         let state = State {
             fallback,
             max_nodes: seeds.len(),
@@ -118,26 +127,30 @@
 
     /// Whether this node is believed to reach the store directly.
     pub(in crate::entry) fn is_direct(&self) -> bool {
-        self.state.lock().fallback.open()
+        self.state.lock().fallback.direct_works()
     }
 
     /// Whether the store is believed to be unreachable from every node.
     pub(in crate::entry) fn is_down(&self) -> bool {
-        self.state.lock().fallback.nobody()
+        self.state.lock().fallback.is_down_for_all()
     }
 
     /// Returns for how long no node has reached the store. None if one does.
     pub(in crate::entry) fn outage_duration(&self) -> Option<Duration> {
         let state = self.state.lock();
         let elapsed = self.started.elapsed().saturating_sub(state.last_reply);
-        state.fallback.nobody().then_some(elapsed)
+        state.fallback.is_down_for_all().then_some(elapsed)
     }
 
     /// Returns the present on a clock that stops while no node reaches the store. Nodes cannot
     /// renew their registration in that time, so it does not count towards their absence.
     pub(in crate::entry) fn store_time(&self) -> Moment {
         let state = self.state.lock();
-        let now = if state.fallback.nobody() { state.last_reply } else { self.started.elapsed() };
+        let now = if state.fallback.is_down_for_all() {
+            state.last_reply
+        } else {
+            self.started.elapsed()
+        };
         now.saturating_sub(state.total_outage)
     }
 
@@ -156,12 +169,12 @@
         let first = state.nodes.first().copied();
         if nodes.len() > state.max_nodes {
             state.max_nodes = nodes.len();
-            let pace = detour::pace(nodes.len() + 1, rand::random());
-            state.fallback.set_pace(pace, rand::random());
+            let pace = fallback::probe_interval(nodes.len() + 1, rand::random());
+            state.fallback.set_probe_interval(pace, rand::random());
         }
         state.nodes = nodes;
-        if let Some(place) = state.nodes.iter().position(|n| Some(*n) == first) {
-            state.nodes.swap(0, place);
+        if let Some(position) = state.nodes.iter().position(|n| Some(*n) == first) {
+            state.nodes.swap(0, position);
         }
     }
 
@@ -170,8 +183,8 @@
     ///
     /// # Errors
     ///
-    /// `Refused` if no node has made the call, `Unknown` if one may have made it, and `Compacted`
-    /// if the store no longer retains the revision.
+    /// For a call that is not repeatable, `Refused` if it was not made and `Unknown` if it may have
+    /// been made. `Compacted` if the store no longer retains the revision.
     pub(super) async fn call<T>(
         self,
         direct: StoreFuture<T>,
@@ -180,12 +193,12 @@
         extract: fn(StoreReply) -> Option<T>,
     ) -> Result<T, StoreError> {
         let mut path = self.choose_path(repeatable);
-        if path == Way::Peer {
+        if path == CallPath::ViaPeer {
             match self.clone().call_peers(request.clone(), repeatable, None, extract).await {
                 Err(e) if repeatable || matches!(e, StoreError::Refused(_)) => {
                     // No node can help, but the direct path may have recovered meanwhile.
                     path = self.choose_path(repeatable);
-                    if path != Way::Alone {
+                    if path != CallPath::DirectOnly {
                         return Err(e);
                     }
                 }
@@ -193,14 +206,14 @@
             }
         }
         let result = match path {
-            Way::Peer | Way::Not => {
+            CallPath::ViaPeer | CallPath::NoCall => {
                 return Err(StoreError::Refused(
                     "the store is unreachable from every node".to_owned(),
                 ));
             }
-            Way::Probe => probe_call(direct).await,
-            Way::Alone if repeatable => probe_call(direct).await,
-            Way::Direct | Way::Alone => self.until_recovery(direct).await,
+            CallPath::DirectProbe => probe_call(direct).await,
+            CallPath::DirectOnly if repeatable => probe_call(direct).await,
+            CallPath::Direct | CallPath::DirectOnly => self.until_recovery(direct).await,
         };
         let failed = match result {
             Ok(answer) => {
@@ -218,7 +231,9 @@
                     return Err(e);
                 }
                 self.record_failure(&e);
-                if path == Way::Alone || (!repeatable && matches!(e, StoreError::Unknown(_))) {
+                if path == CallPath::DirectOnly
+                    || (!repeatable && matches!(e, StoreError::Unknown(_)))
+                {
                     return Err(e);
                 }
                 e
@@ -243,8 +258,8 @@
     }
 
     /// Chooses the path of a call.
-    fn choose_path(&self, repeatable: bool) -> Way {
-        self.state.lock().fallback.way(repeatable, self.started.elapsed())
+    fn choose_path(&self, repeatable: bool) -> CallPath {
+        self.state.lock().fallback.choose_path(repeatable, self.started.elapsed())
     }
 
     /// Makes a call through other nodes. `failed` is the error of the direct call before it.
@@ -264,8 +279,8 @@
             match self.call_peer(node, request.clone(), extract).await {
                 PeerCall::Answered(answer) => {
                     let mut state = self.state.lock();
-                    let was_down = state.fallback.nobody();
-                    let recovered = state.fallback.helped();
+                    let was_down = state.fallback.is_down_for_all();
+                    let recovered = state.fallback.peer_answered();
                     state.record_reply(recovered, was_down, self.started.elapsed());
                     return answer;
                 }
@@ -275,7 +290,7 @@
             // The next call asks another node first.
             self.state.lock().nodes.rotate_left(1);
         }
-        self.state.lock().fallback.alone(self.started.elapsed());
+        self.state.lock().fallback.peers_failed(self.started.elapsed());
         Err(last)
     }
 
@@ -313,8 +328,8 @@
         }
     }
 
-    /// Awaits a direct call. A call that began during an outage gets no answer after its end either,
-    /// so it is given up [`RECOVERY_GRACE`] after that.
+    /// Awaits a direct call. A call that began during an outage gets no answer after its end
+    /// either, so it is given up [`RECOVERY_GRACE`] after that.
     async fn until_recovery<T>(&self, call: StoreFuture<T>) -> Result<T, StoreError> {
         let mut recoveries = self.recoveries.subscribe();
         tokio::select! {
@@ -322,7 +337,7 @@
             () = async {
                 let _ = recoveries.changed().await;
                 tokio::time::sleep(RECOVERY_GRACE).await;
-            } => Err(StoreError::Unknown("no answer to a call that began before the store came back".to_owned())),
+            } => Err(StoreError::Unknown("no answer before the store came back".to_owned())),
         }
     }
 
@@ -334,7 +349,7 @@
             tokio::select! {
                 watched = watched => watched,
                 _ = disconnects.changed() => {
-                    Err(StoreError::Unknown("the store became unreachable during the watch".to_owned()))
+                    Err(StoreError::Unknown("the store became unreachable".to_owned()))
                 }
             }
         })
@@ -345,8 +360,8 @@
     fn record_success(&self) {
         let (was_down, recovered) = {
             let mut state = self.state.lock();
-            let was_down = state.fallback.nobody();
-            let recovered = state.fallback.answered();
+            let was_down = state.fallback.is_down_for_all();
+            let recovered = state.fallback.direct_answered();
             state.record_reply(recovered, was_down, self.started.elapsed());
             (was_down, recovered)
         };
@@ -375,10 +390,10 @@
     pub(super) fn on_recovery_notice(&self) {
         {
             let mut state = self.state.lock();
-            if !state.fallback.nobody() {
+            if !state.fallback.is_down_for_all() {
                 return;
             }
-            state.fallback.told();
+            state.fallback.on_recovery_notice();
             state.record_reply(true, true, self.started.elapsed());
         }
         self.recoveries.send_modify(|n| *n += 1);
@@ -393,7 +408,7 @@
 
     /// Records that a direct call failed.
     fn record_failure(&self, e: &StoreError) {
-        if self.state.lock().fallback.failed(self.started.elapsed()) {
+        if self.state.lock().fallback.direct_failed(self.started.elapsed()) {
             self.disconnects.send_modify(|n| *n += 1);
             tracing::info!(event = "store_not_reached", way = "direct", error = %e);
         }
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -10,7 +10,7 @@
 use crate::edge::peer::{PeerHandler, PeerListener};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::submit::Submitted;
+use crate::entry::submit::SubmitResult;
 use crate::metrics::Traffic;
 
 /// Answers the requests of other entry nodes.
@@ -73,15 +73,15 @@
         let app = &self.app;
         match request {
             PeerRequest::Submit(spec) => PeerReply::Submitted(if app.has_lease() {
-                app.accept(spec).await
+                app.accept_here(spec).await
             } else {
-                Submitted::Refused("no_lease".into())
+                SubmitResult::Refused("no_lease".into())
             }),
             PeerRequest::OwnsJob(job) => {
-                let home = app.owned_jobs.get(&job).is_some() && app.has_lease();
-                PeerReply::Found(home || app.ended_jobs.get(&job).is_some())
+                let owned = app.owned_jobs.get(&job).is_some() && app.has_lease();
+                PeerReply::Found(owned || app.ended_jobs.get(&job).is_some())
             }
-            PeerRequest::Body { job, item } => PeerReply::Body(app.own_body(&job, &item)),
+            PeerRequest::Body { job, item } => PeerReply::Body(app.local_body(&job, &item)),
             PeerRequest::Read { job, after, wait } => {
                 if let Some(ended) = app.ended_jobs.get(&job) {
                     return PeerReply::Read(Some(ended.read(after)));
@@ -89,7 +89,7 @@
                 // Without a lease another node may own the job by now and have returned more
                 // results.
                 let read = match app.owned_jobs.get(&job).filter(|_| app.has_lease()) {
-                    Some(home) => app.read_home(&home, after, app.now() + wait).await,
+                    Some(owned) => app.read_owned(&owned, after, app.now() + wait).await,
                     None => None,
                 };
                 PeerReply::Read(read.filter(|_| app.has_lease()))
@@ -99,19 +99,19 @@
             }
             PeerRequest::Follow { topic, after, wait } => {
                 let feed = app.feeds.get(topic);
-                let news = if app.reaches_store() {
+                let update = if app.reaches_store() {
                     feed.wait_for_update(after, wait).await
                 } else {
                     None
                 };
-                PeerReply::Followed(news.filter(|_| app.reaches_store()))
+                PeerReply::Followed(update.filter(|_| app.reaches_store()))
             }
             PeerRequest::Demand => {
                 let demand = app.demand.lock().by_model(app.now());
                 PeerReply::Demand {
                     steps: demand.into_iter().collect(),
                     life: app.incarnation.clone(),
-                    wanted: app.slots.wanted.totals(),
+                    wanted: app.slots.demand.totals(),
                 }
             }
             PeerRequest::Store(request) => PeerReply::Store(self.store(request).await),
@@ -137,15 +137,15 @@
         }
         let store = &self.app.direct_store;
         match request {
-            StoreRequest::Get(key) => store.get(&key).await.map(StoreReply::Item),
-            StoreRequest::Range(prefix) => store.range(&prefix).await.map(StoreReply::Page),
+            StoreRequest::Get(key) => store.get(&key).await.map(StoreReply::KeyValue),
+            StoreRequest::Range(prefix) => store.range(&prefix).await.map(StoreReply::Range),
             StoreRequest::Watch { prefix, after, wait } => {
-                store.watch(&prefix, after, wait).await.map(StoreReply::Watched)
+                store.watch(&prefix, after, wait).await.map(StoreReply::Watch)
             }
             StoreRequest::Txn(txn) => store.txn(txn).await.map(StoreReply::Txn),
-            StoreRequest::Grant(ttl) => store.grant(ttl).await.map(StoreReply::Lease),
-            StoreRequest::Keep(lease) => store.renew(lease).await.map(StoreReply::Kept),
-            StoreRequest::End(lease) => store.revoke(lease).await.map(|()| StoreReply::Ended),
+            StoreRequest::Grant(ttl) => store.grant(ttl).await.map(StoreReply::Granted),
+            StoreRequest::Renew(lease) => store.renew(lease).await.map(StoreReply::Renewed),
+            StoreRequest::Revoke(lease) => store.revoke(lease).await.map(|()| StoreReply::Revoked),
         }
     }
 }
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -10,12 +10,12 @@
 use serde::{Deserialize, Serialize};
 
 use super::meter::Usage;
-use crate::decide::usage::{Counts, Total};
+use crate::decide::usage::{Counts, WindowTotal};
 use crate::edge::duty::{DutyOutcome, Term, UsageReport};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::keys::USAGE;
-use crate::entry::record::{Record, Written};
+use crate::entry::fenced_value::{FencedValue, FencedWrite};
+use crate::entry::keys::USAGE_KEY;
 
 /// How long after its end a window is closed at the latest, in tenths of the time until its
 /// report is late. The rest of that time is for sending the report.
@@ -41,8 +41,10 @@
 struct Reporter {
     app: Arc<App>,
     usage: Arc<Usage>,
-    fence: u64,
-    record: Record,
+    /// The revision of the leader key that began the term.
+    fencing_token: u64,
+    /// The value in the store, which only the leader of the term may write.
+    record: FencedValue,
 }
 
 /// Whether this node is still the leader.
@@ -54,10 +56,14 @@
 }
 
 /// Reports usage until the term of this node as leader is over.
-pub(in crate::entry) async fn report_usage(app: &Arc<App>, fence: u64) {
+pub(in crate::entry) async fn report_usage(app: &Arc<App>, fencing_token: u64) {
     let Some(usage) = app.usage.clone() else { return std::future::pending().await };
-    let mut reporter =
-        Reporter { app: app.clone(), usage, fence, record: Record::new(USAGE, fence) };
+    let mut reporter = Reporter {
+        app: app.clone(),
+        usage,
+        fencing_token,
+        record: FencedValue::new(USAGE_KEY, fencing_token),
+    };
     tokio::time::sleep(app.takeover_delay()).await;
     let mut next = None;
     loop {
@@ -65,7 +71,7 @@
             Ok(TermState::Current) => {}
             Ok(TermState::Over) => return,
             Err(e) => {
-                tracing::warn!(event = "usage_not_fixed", fence, error = %e);
+                tracing::warn!(event = "usage_not_fixed", fence = fencing_token, error = %e);
                 next = None;
                 app.fallback_store.wait_for_recovery(INITIAL_RETRY_DELAY).await;
             }
@@ -95,35 +101,41 @@
         };
         let fixed = FixedReport { window, counts: total.counts };
         match self.record.write(&self.app, &fixed).await? {
-            Written::Done => *next = Some(window + 1),
-            Written::Other => {
+            FencedWrite::Done => *next = Some(window + 1),
+            FencedWrite::Conflict => {
                 *next = None;
                 return Ok(TermState::Current);
             }
-            Written::NotHolder => return Ok(TermState::Over),
+            FencedWrite::NotLeader => return Ok(TermState::Over),
         }
-        let missing = total.missing.len();
+        let missing = total.unclosed.len();
         let requests: u64 = fixed.counts.values().sum();
-        tracing::info!(event = "usage_fixed", window, requests, missing, fence = self.fence);
+        tracing::info!(
+            event = "usage_fixed",
+            window,
+            requests,
+            missing,
+            fence = self.fencing_token
+        );
         Ok(self.send(fixed).await)
     }
 
     /// Waits until every node has closed a window or the time for that is over, and returns its
     /// total. None if the window is too old to be reported.
-    async fn wait_until_closed(&self, window: u64) -> Option<Total> {
+    async fn wait_until_closed(&self, window: u64) -> Option<WindowTotal> {
         let windows = self.usage.windows;
-        if self.usage.time() > windows.due(window) {
+        if self.usage.time() > windows.report_deadline(window) {
             return None;
         }
-        let latest = windows.end(window) + windows.late / 10 * CLOSE_DEADLINE_TENTHS;
+        let latest = windows.end_of(window) + windows.report_grace / 10 * CLOSE_DEADLINE_TENTHS;
         loop {
             let now = self.usage.time();
-            let lives = self.app.membership.lock().able();
-            let total = self.usage.ledger.lock().total(window, &lives);
-            if now > latest || (now > windows.end(window) && total.missing.is_empty()) {
+            let incarnations = self.app.membership.lock().serving_incarnations();
+            let total = self.usage.ledger.lock().total(window, &incarnations);
+            if now > latest || (now > windows.end_of(window) && total.unclosed.is_empty()) {
                 return Some(total);
             }
-            let left = windows.end(window).saturating_sub(now);
+            let left = windows.end_of(window).saturating_sub(now);
             tokio::time::sleep(left.max(POLL_INTERVAL)).await;
         }
     }
@@ -132,17 +144,19 @@
     async fn send(&self, fixed: FixedReport) -> TermState {
         let window = fixed.window;
         let mut retry_delay = INITIAL_RETRY_DELAY;
-        while self.usage.time() <= self.usage.windows.due(window) {
-            if !self.app.holds_term(self.fence) {
+        while self.usage.time() <= self.usage.windows.report_deadline(window) {
+            if !self.app.holds_term(self.fencing_token) {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 continue;
             }
-            let term = Term { holder: self.app.settings.name.clone(), fencing_token: self.fence };
+            let term =
+                Term { holder: self.app.settings.name.clone(), fencing_token: self.fencing_token };
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
             let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
             self.app.tally.usage(end);
-            tracing::info!(event = "usage_reported", window, fence = self.fence, outcome = ?end);
+            let fence = self.fencing_token;
+            tracing::info!(event = "usage_reported", window, fence, outcome = ?end);
             match end {
                 DutyOutcome::Done => return TermState::Current,
                 DutyOutcome::Fenced => return TermState::Over,
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -13,7 +13,7 @@
 use crate::decide::rendezvous_rank;
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
-use crate::entry::keys::HOLDER;
+use crate::entry::keys::LEADER_KEY;
 use crate::entry::peer::{PeerReply, PeerRequest};
 
 /// How long counts are collected into one message.
@@ -30,14 +30,14 @@
     let mut view_changes = app.view_changes.subscribe();
     let mut acknowledged: HashMap<SocketAddr, Vec<WindowNote>> = HashMap::new();
     loop {
-        let left = usage.windows.end(usage.current_window()).saturating_sub(usage.time());
+        let left = usage.windows.end_of(usage.current_window()).saturating_sub(usage.time());
         tokio::select! {
             () = usage.changed.notified() => {}
             _ = view_changes.changed() => {}
             () = tokio::time::sleep(left) => {}
         }
         tokio::time::sleep(BATCH_INTERVAL).await;
-        let mut notes = usage.meter.lock().notes(usage.current_window());
+        let mut notes = usage.meter.lock().window_notes(usage.current_window());
         app.record_counts(&usage, &app.incarnation, &notes);
         notes.retain(|note| !note.counts.is_empty());
         if notes.is_empty() {
@@ -83,9 +83,10 @@
         notes: &[WindowNote],
     ) {
         let present = usage.current_window();
-        let rejected = usage.ledger.lock().note(incarnation, notes, present);
+        let rejected = usage.ledger.lock().record(incarnation, notes, present);
         if !rejected.is_empty() {
-            tracing::warn!(event = "usage_of_other_times", life = %incarnation, windows = ?rejected, present);
+            let life = incarnation;
+            tracing::warn!(event = "usage_of_other_times", %life, windows = ?rejected, present);
         }
     }
 
@@ -94,11 +95,11 @@
     /// that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
         let live = self.membership.lock();
-        let Some(seen) = live.holder() else { return Vec::new() };
-        let (able, holder) = (live.able(), &seen.value.life);
-        let ranked = rendezvous_rank(HOLDER, able.iter().map(|l| &**l));
-        let successors = ranked.into_iter().filter(|l| **holder != **l);
-        let lives = std::iter::once(&**holder).chain(successors).take(MAX_COLLECTORS);
-        lives.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer(l)).collect()
+        let Some(seen) = live.leader() else { return Vec::new() };
+        let (candidates, leader) = (live.serving_incarnations(), &seen.value.incarnation);
+        let ranked = rendezvous_rank(LEADER_KEY, candidates.iter().map(|l| &**l));
+        let successors = ranked.into_iter().filter(|l| **leader != **l);
+        let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
+        collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer_of(l)).collect()
     }
 }
--- a/src/node/orders/follow.rs
+++ b/src/node/orders/follow.rs
@@ -160,7 +160,7 @@
     match result {
         Ok(load) => {
             if let Some(version) = load.version.filter(|_| !load.swapping) {
-                app.served.lock().note(engine, version, app.clock.now());
+                app.served.lock().record(engine, version, app.clock.now());
             }
             EngineObservation::Report { version: load.version, swapping: load.swapping }
         }
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -1,4 +1,4 @@
-//! The shipped trainer client against a node that hands over what it should not.
+//! The trainer client against a node that hands over invalid groups.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -8,16 +8,16 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use mulberrycourse::client::Trainer;
-use mulberrycourse::decide::{Group, Prompt, Sample, Span, Spec};
+use mulberrycourse::decide::{Group, GroupSpec, Sample, Span, StepSpec};
 use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{Pull, Pulled};
 use serde_json::json;
 use standins::fleet::ANY;
 use standins::server::{Answer, Cut, Server, Service, json as answer};
 
-/// A node that hands over one group in each pull, whatever the trainer has.
+/// A node that hands over one group in each pull, regardless of the groups that the trainer has.
 struct Node {
-    /// What the pulls bring, in their order; the last is repeated.
+    /// The groups that successive pulls return; the last one is repeated.
     pulls: Vec<Group>,
     pulled: AtomicU64,
     address: std::sync::OnceLock<std::net::SocketAddr>,
@@ -58,10 +58,11 @@
     Group { group: number, samples: (0..).zip(versions).map(sample).collect() }
 }
 
-/// The trainer moves on while the reply is on its way, a group comes with a sample missing, one
-/// comes a second time: each is dropped and counted, and what is fresh and whole is kept.
+/// The trainer's version advances while the reply is in transit, a group arrives with a sample
+/// missing, and one arrives twice: each is dropped and counted, and complete fresh groups are
+/// kept.
 #[tokio::test(flavor = "multi_thread")]
-async fn arrival_is_judged() {
+async fn invalid_groups_are_dropped_and_counted() {
     let pulls = vec![
         group(0, &[5, 3]),
         group(0, &[5]),
@@ -74,8 +75,8 @@
     let server = Server::bind(ANY, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = Trainer::new("coach".into(), vec![server.address()]);
-    let prompt = Prompt { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
-    let spec = Spec { version: 4, groups: vec![prompt; 2] };
+    let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
+    let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
     trainer.advance(5);
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     assert_eq!(pulling.next().await.unwrap(), [group(0, &[5, 4])]);
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations and the jobs that are theirs.
+//! Organisations, their keys and the ids of their jobs.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::{
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_at_one_organisation_is_no_fault() {
+fn a_key_listed_twice_for_one_organisation_is_no_fault() {
     let (organisations, faults) =
         Organisations::new(vec![organisation("a", &["k", "k"]), organisation("a", &["l"])]);
     assert_eq!(faults, []);
@@ -33,15 +33,15 @@
 }
 
 #[test]
-fn a_digest_shows_nothing_of_its_key() {
+fn the_debug_output_of_a_digest_does_not_reveal_the_key() {
     assert_eq!(format!("{:?}", KeyDigest::of(b"secret")), "KeyDigest");
 }
 
 #[test]
-fn a_job_fits_a_key_of_the_store_whatever_its_organisation_is_called() {
+fn a_job_id_fits_a_key_of_the_store_for_any_organisation_name() {
     for length in [1, 40, 41, 5_000] {
         let name = "%".repeat(length);
-        let id = Caller::Organisation(name.as_str().into()).job("7c41e09b52d6a3f8");
+        let id = Caller::Organisation(name.as_str().into()).job_id("7c41e09b52d6a3f8");
         assert!(id.len() < 150 && !id.contains('/'), "{id}");
     }
 }
@@ -49,7 +49,7 @@
 proptest! {
     #[test]
     fn no_two_callers_share_a_job(a in "[ -~]{1,50}", b in "[ -~]{1,50}", i in "[ -~]{1,20}", j in "[ -~]{1,20}") {
-        let job = |organisation: &str, id: &str| Caller::Organisation(organisation.into()).job(id);
+        let job = |organisation: &str, id: &str| Caller::Organisation(organisation.into()).job_id(id);
         prop_assert_eq!(job(&a, &i) == job(&b, &j), a == b && i == j);
         prop_assert_ne!(job(&a, &i), public_job(&j));
     }
--- a/tests/step.rs
+++ b/tests/step.rs
@@ -1,4 +1,4 @@
-//! A trainer's step, without sockets.
+//! A trainer's step, without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,11 +6,11 @@
 
 use proptest::prelude::*;
 
-use mulberrycourse::decide::{Fill, Prompt, Ranges, Sample, Slot, Span, Spec, Step};
+use mulberrycourse::decide::{FillOutcome, GroupSpec, Ranges, Sample, Slot, Span, Step, StepSpec};
 
 fn step(groups: u32, samples: u32, bound: u64) -> Step {
-    let prompt = Prompt { prompt: "deal".to_owned(), samples, max_tokens: 4 };
-    Step::new(Spec { version: 5, groups: vec![prompt; groups as usize] }, bound)
+    let prompt = GroupSpec { prompt: "deal".to_owned(), samples, max_tokens: 4 };
+    Step::new(StepSpec { version: 5, groups: vec![prompt; groups as usize] }, bound)
 }
 
 fn sample(index: u32, version: u64) -> Sample {
@@ -18,63 +18,65 @@
     Sample { index, text: "ace".to_owned(), label, upstream: "patter-0".into() }
 }
 
-/// A trainer claims groups that the step does not have: the step is not whole for that.
+/// A trainer acknowledges groups that the step does not have: this does not complete the step.
 #[test]
 fn unknown_groups_complete_nothing() {
     let mut step = step(2, 1, 1);
     step.acknowledge(5, &Ranges::from_iter([7, 8]));
-    assert!(!step.complete());
+    assert!(!step.all_delivered());
     assert_eq!(step.start(usize::MAX).len(), 2);
 }
 
-/// The trainer moves on between two deliveries: what was fresh is taken back and begun again.
+/// The trainer's version advances between two deliveries: a sample that has become stale is
+/// withdrawn and begins again.
 #[test]
-fn second_delivery_is_judged_again() {
+fn second_delivery_is_checked_again() {
     let mut step = step(1, 1, 1);
     let slot = Slot { group: 0, index: 0 };
     assert_eq!(step.start(usize::MAX), [slot]);
-    assert_eq!(step.fill(slot, sample(0, 4)), Fill::Kept);
+    assert_eq!(step.fill(slot, sample(0, 4)), FillOutcome::Kept);
     step.acknowledge(5, &Ranges::from_iter([]));
-    assert_eq!(step.ready(1).len(), 1);
+    assert_eq!(step.ready_groups(1).len(), 1);
     step.acknowledge(6, &Ranges::from_iter([]));
-    assert_eq!(step.ready(1).len(), 0);
+    assert_eq!(step.ready_groups(1).len(), 0);
     assert_eq!(step.start(usize::MAX), [slot]);
 }
 
-/// The trainer moves on while a sample is under way.
+/// The trainer's version advances while a sample runs.
 #[test]
-fn sample_is_judged_as_it_arrives() {
+fn sample_is_checked_as_it_arrives() {
     let mut step = step(1, 2, 1);
     step.start(usize::MAX);
     step.acknowledge(7, &Ranges::from_iter([]));
     let slot = Slot { group: 0, index: 0 };
-    assert_eq!(step.fill(slot, sample(0, 5)), Fill::Stale);
-    assert_eq!(step.fill(slot, sample(0, 6)), Fill::Kept);
+    assert_eq!(step.fill(slot, sample(0, 5)), FillOutcome::Stale);
+    assert_eq!(step.fill(slot, sample(0, 6)), FillOutcome::Kept);
 }
 
-/// Long samples begin first, and a group together; the last of a group is raised.
+/// Long samples begin first, and the samples of a group together; the last sample of a group gets a
+/// raised priority.
 #[test]
 fn long_prompts_begin_first() {
-    let prompt = |max_tokens| Prompt { prompt: "deal".to_owned(), samples: 2, max_tokens };
-    let spec = Spec { version: 1, groups: vec![prompt(4), prompt(90), prompt(30)] };
+    let prompt = |max_tokens| GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens };
+    let spec = StepSpec { version: 1, groups: vec![prompt(4), prompt(90), prompt(30)] };
     let mut step = Step::new(spec, 1);
     let begun: Vec<u32> = step.start(5).iter().map(|slot| slot.group).collect();
     assert_eq!(begun, [1, 1, 2, 2, 0]);
     assert_eq!(step.start(5), []);
     assert_eq!(step.priority(Slot { group: 1, index: 0 }), 0);
     assert_eq!(step.start(6).len(), 1);
-    // Nothing is left to begin: what runs now is what the trainer waits for.
+    // No sample is left to begin: the trainer waits for the running ones.
     assert_eq!(step.priority(Slot { group: 1, index: 0 }), 1);
 }
 
-/// What may happen to a step, and to the naive one.
+/// What may happen to a step.
 #[derive(Debug, Clone)]
 enum Event {
-    /// The oldest of these attempts ends, with a sample of that version.
+    /// The attempt with this index ends, with a sample of this version.
     Fill(usize, u64),
-    /// The trainer is at this version and takes so many of the groups that it is handed.
+    /// The trainer is at this version and takes up to this many complete groups.
     Pull(u64, usize),
-    /// The step goes on at another node, which is told what the trainer has.
+    /// The step moves to another node, which learns the groups that the trainer has.
     Move,
 }
 
@@ -87,11 +89,11 @@
 }
 
 proptest! {
-    /// Any order of ends, pulls, versions and moves, against a naive trainer that keeps a list:
-    /// nothing is handed over that it has, that is too old or that is not whole; what it takes
-    /// stays taken; and what is left can always be begun or is under way.
+    /// Any order of ends, pulls, versions and moves, with a naive trainer that keeps a list: no
+    /// group is handed over that it has, that is too old or that is incomplete; groups that it
+    /// has taken stay taken; and the samples that are left can always begin or are running.
     #[test]
-    fn step_against_a_naive_trainer(events in prop::collection::vec(event(), 1..80)) {
+    fn step_with_a_naive_trainer(events in prop::collection::vec(event(), 1..80)) {
         const BOUND: u64 = 2;
         let (groups, samples) = (3, 2);
         let mut step = step(groups, samples, BOUND);
@@ -104,8 +106,8 @@
                     let slot = running[which];
                     let fill = step.fill(slot, sample(slot.index, made));
                     let stale = made + BOUND < version && !taken.contains_key(&slot.group);
-                    prop_assert_eq!(fill == Fill::Stale, stale);
-                    if fill != Fill::Stale {
+                    prop_assert_eq!(fill == FillOutcome::Stale, stale);
+                    if fill != FillOutcome::Stale {
                         running.remove(which);
                     }
                 }
@@ -113,7 +115,7 @@
                 Event::Pull(at, takes) => {
                     version = version.max(at);
                     step.acknowledge(version, &taken.keys().copied().collect());
-                    for group in step.ready(takes) {
+                    for group in step.ready_groups(takes) {
                         let fresh = group.samples.iter().all(|s| s.oldest() >= Some(version - BOUND));
                         prop_assert!(fresh);
                         prop_assert_eq!(group.samples.len() as u32, samples);
@@ -123,13 +125,13 @@
                 }
                 Event::Move => {
                     step.acknowledge(version, &taken.keys().copied().collect());
-                    for group in step.ready(usize::MAX) {
+                    for group in step.ready_groups(usize::MAX) {
                         let made = group.samples.iter().filter_map(|s| s.oldest()).collect();
                         prop_assert!(taken.insert(group.group, made).is_none(), "doubled");
                     }
-                    let parts = step.parts();
+                    let parts = step.partial_groups();
                     prop_assert!(parts.iter().all(|part| !taken.contains_key(&part.group)));
-                    let spec = Spec { version, ..step.spec().clone() };
+                    let spec = StepSpec { version, ..step.spec().clone() };
                     step = Step::new(spec, BOUND);
                     step.acknowledge(version, &taken.keys().copied().collect());
                     let kept: usize = parts.iter().map(|g| g.samples.len()).sum();
@@ -142,15 +144,15 @@
             let open: BTreeSet<Slot> = running.iter().copied().collect();
             prop_assert_eq!(open.len(), running.len(), "a slot runs twice");
             let left = (0..groups).filter(|g| !taken.contains_key(g)).count();
-            prop_assert_eq!(step.complete(), left == 0);
-            let ready = step.ready(usize::MAX).len();
+            prop_assert_eq!(step.all_delivered(), left == 0);
+            let ready = step.ready_groups(usize::MAX).len();
             prop_assert!(ready == left || !running.is_empty(), "nothing runs and groups are missing");
         }
     }
 
-    /// Ranges name what a list would, below the number of groups.
+    /// Ranges contain the same numbers as a list, below the number of groups.
     #[test]
-    fn ranges_are_the_list(numbers in prop::collection::btree_set(0_u32..40, 0..30), end in 0_u32..50) {
+    fn ranges_equal_the_list(numbers in prop::collection::btree_set(0_u32..40, 0..30), end in 0_u32..50) {
         let ranges: Ranges = numbers.iter().copied().collect();
         let below: Vec<u32> = ranges.below(end).collect();
         let naive: Vec<u32> = numbers.iter().copied().filter(|n| *n < end).collect();
@@ -158,13 +160,13 @@
     }
 }
 
-/// A whole training session, event by event: a step of two groups with stragglers, a trainer
-/// that moves on in the middle, a lost reply, a late sample and a move to another node.
+/// A complete training session, event by event: a step of two groups with late samples, a trainer
+/// whose version advances in the middle, a lost reply, a late sample and a move to another node.
 #[test]
 fn training_session() {
     let mut log = String::new();
-    let prompt = |samples, max_tokens| Prompt { prompt: "deal".to_owned(), samples, max_tokens };
-    let spec = Spec { version: 5, groups: vec![prompt(2, 8), prompt(2, 64)] };
+    let prompt = |samples, max_tokens| GroupSpec { prompt: "deal".to_owned(), samples, max_tokens };
+    let spec = StepSpec { version: 5, groups: vec![prompt(2, 8), prompt(2, 64)] };
     let mut step = Step::new(spec.clone(), 1);
     let at = |group, index| Slot { group, index };
     writeln!(log, "submitted at 5: starts {:?}", names(&step.start(3))).unwrap();
@@ -181,9 +183,9 @@
     pulled(&mut log, &mut step, 6, &[1]);
     writeln!(log, "starts {:?}", names(&step.start(3))).unwrap();
     writeln!(log, "0/1 by 6: {:?}", step.fill(at(0, 1), sample(1, 6))).unwrap();
-    let parts = step.parts();
+    let parts = step.partial_groups();
     writeln!(log, "leaves with {:?}", held(&parts)).unwrap();
-    let mut next = Step::new(Spec { version: 6, ..spec }, 1);
+    let mut next = Step::new(StepSpec { version: 6, ..spec }, 1);
     next.acknowledge(6, &Ranges::from_iter([1]));
     writeln!(log, "the next adopts {}, starts {:?}", next.adopt(parts), names(&next.start(3)))
         .unwrap();
@@ -204,7 +206,7 @@
 
 fn pulled(log: &mut String, step: &mut Step, version: u64, have: &[u32]) {
     step.acknowledge(version, &have.iter().copied().collect());
-    let ready = held(&step.ready(9));
-    writeln!(log, "pull at {version} with {have:?}: {ready:?}, complete: {}", step.complete())
+    let ready = held(&step.ready_groups(9));
+    writeln!(log, "pull at {version} with {have:?}: {ready:?}, complete: {}", step.all_delivered())
         .unwrap();
 }
