--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -15,7 +15,7 @@
 use super::runner::RestoredJob;
 use super::submit::unix_millis;
 use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
-use crate::decide::rank;
+use crate::decide::rendezvous_rank;
 use crate::edge::store::{RangeResult, StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 use crate::{Moment, Name};
@@ -65,7 +65,7 @@
                 known = alive;
                 due = None;
             }
-            rank(JOB_RECORD_PREFIX, serving.iter().map(|l| &**l))
+            rendezvous_rank(JOB_RECORD_PREFIX, serving.iter().map(|l| &**l))
                 .iter()
                 .position(|l| **l == *app.incarnation)
         };
--- a/src/node/orders/orders.rs
+++ b/src/node/orders/orders.rs
@@ -7,7 +7,7 @@
 
 use crate::Name;
 use crate::bundle::{Bundle, Engine, ServiceSpec};
-use crate::decide::{Chains, Rollout, Wanted, score};
+use crate::decide::{Rollout, SwapChains, TargetWeights, rendezvous_score};
 use crate::node::app::App;
 
 /// The rollouts, by service.
@@ -35,7 +35,7 @@
     pub(super) names: Vec<Name>,
     /// The node that gives orders to each.
     pub(super) owners: BTreeMap<Name, Name>,
-    pub(super) chains: Chains,
+    pub(super) chains: SwapChains,
 }
 
 /// The services with engines, and who owns what.
@@ -58,7 +58,7 @@
     Some(Fleet {
         service: service.name.clone(),
         owners: owners.collect(),
-        chains: Chains::new(&service.name, &names, engine.swapping),
+        chains: SwapChains::new(&service.name, &names, engine.swapping),
         names,
         engine,
     })
@@ -73,13 +73,16 @@
 }
 
 fn digest(app: &App) -> u64 {
-    app.upstreams.list().iter().fold(0, |digest, vm| score(&vm.name, &vm.service) ^ digest)
+    app.upstreams
+        .list()
+        .iter()
+        .fold(0, |digest, vm| rendezvous_score(&vm.name, &vm.service) ^ digest)
 }
 
 /// The node that gives orders to an upstream. Views differ for a while; two
 /// owners give the same order, or the later bundle's counts.
 fn owner(nodes: &[Name], upstream: &str) -> Name {
-    let home = nodes.iter().max_by_key(|node| (score(upstream, node), *node));
+    let home = nodes.iter().max_by_key(|node| (rendezvous_score(upstream, node), *node));
     home.cloned().unwrap_or_else(|| "".into())
 }
 
@@ -91,6 +94,6 @@
 }
 
 /// What the bundle wants of a service's engines.
-pub(super) fn wanted(bundle: &Bundle, engine: &Engine) -> Wanted {
-    Wanted { generation: bundle.number, version: engine.version }
+pub(super) fn wanted(bundle: &Bundle, engine: &Engine) -> TargetWeights {
+    TargetWeights { generation: bundle.number, version: engine.version }
 }
