--- a/src/edge/peer/server.rs
+++ b/src/edge/peer/server.rs
@@ -1,4 +1,4 @@
-//! The listener for other nodes.
+//! The listener for requests of other nodes.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,44 +18,45 @@
 use crate::edge::acceptor::Acceptor;
 use crate::metrics::Traffic;
 
-/// How long the other side may read_piece to begin: a peer sends its preface with the connection.
-const HANDSHAKE: Duration = Duration::from_secs(2);
-/// The header that names the protocol version.
+/// How long the HTTP/2 handshake may take. A peer sends its preface right after connecting.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The header with the protocol version.
 pub(super) const VERSION_HEADER: &str = "mulberry-peer-version";
 
-/// What answers the requests of peers.
+/// Handles the requests of peers.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// The requests that it answers.
+    /// The type of the requests.
     type Request: PeerMessage;
 
-    /// Answers one request.
+    /// Handles one request.
     fn handle(
         self: Arc<Self>,
         request: Self::Request,
     ) -> impl Future<Output = <Self::Request as PeerMessage>::Reply> + Send;
 
-    /// Where a request and its reply are counted.
+    /// Returns the counter for the bytes of a request and its reply.
     fn traffic(&self, request: &Self::Request) -> Traffic;
 }
 
-/// A listener that is bound but does not accept yet.
+/// A listener that is bound but does not accept connections yet.
 #[derive(Debug)]
 pub struct PeerListener {
     acceptor: Acceptor,
 }
 
 impl PeerListener {
-    /// Binds an address; port 0 takes a free one.
+    /// Binds an address. Port 0 lets the operating system choose a free port.
     pub async fn bind(address: SocketAddr) -> std::io::Result<Self> {
         Ok(Self { acceptor: Acceptor::bind(address).await? })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.acceptor.address()
     }
 
-    /// Accepts until cancelled; then lets each connection finish its streams.
+    /// Accepts connections until cancelled, then lets each connection finish its open streams.
+    /// `connections` tracks the connections and streams.
     pub fn spawn<H: PeerHandler>(
         self,
         handler: Arc<H>,
@@ -77,6 +78,7 @@
     }
 }
 
+/// Serves one connection until it ends.
 async fn serve<H: PeerHandler>(
     stream: TcpStream,
     from: SocketAddr,
@@ -84,7 +86,7 @@
     tracker: TaskTracker,
     cancel: CancellationToken,
 ) {
-    let handshake = tokio::time::timeout(HANDSHAKE, h2::server::handshake(stream));
+    let handshake = tokio::time::timeout(HANDSHAKE_TIMEOUT, h2::server::handshake(stream));
     let mut connection = match handshake.await {
         Ok(Ok(connection)) => connection,
         Ok(Err(e)) => {
@@ -92,7 +94,7 @@
             return;
         }
         Err(_) => {
-            tracing::warn!(event = "peer_mute", %from);
+            tracing::warn!(event = "peer_handshake_timeout", %from);
             return;
         }
     };
@@ -108,7 +110,7 @@
         };
         match accepted {
             Some(Ok((request, respond))) => {
-                tracker.spawn(stream_task(request, respond, handler.clone()));
+                tracker.spawn(serve_stream(request, respond, handler.clone()));
             }
             Some(Err(e)) => {
                 tracing::debug!(event = "peer_connection_ended", %from, error = %e);
@@ -119,7 +121,8 @@
     }
 }
 
-async fn stream_task<H: PeerHandler>(
+/// Reads one request, has it handled and sends the reply.
+async fn serve_stream<H: PeerHandler>(
     request: http::Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
     handler: Arc<H>,
@@ -131,7 +134,7 @@
             theirs = version.unwrap_or("none"),
             ours = PROTOCOL_VERSION
         );
-        answer(&mut respond, StatusCode::UPGRADE_REQUIRED, Vec::new());
+        respond_with(&mut respond, StatusCode::UPGRADE_REQUIRED, Vec::new());
         return;
     }
     let Some(bytes) = collect(request.into_body()).await else {
@@ -146,23 +149,24 @@
         }
         Err(e) => {
             tracing::warn!(event = "peer_undecodable", error = %e);
-            answer(&mut respond, StatusCode::BAD_REQUEST, Vec::new());
+            respond_with(&mut respond, StatusCode::BAD_REQUEST, Vec::new());
             return;
         }
     };
     match pack(&reply) {
         Ok(bytes) => {
             traffic.sent(bytes.len());
-            answer(&mut respond, StatusCode::OK, bytes);
+            respond_with(&mut respond, StatusCode::OK, bytes);
         }
         Err(e) => {
             tracing::error!(event = "peer_unencodable", error = %e);
-            answer(&mut respond, StatusCode::INTERNAL_SERVER_ERROR, Vec::new());
+            respond_with(&mut respond, StatusCode::INTERNAL_SERVER_ERROR, Vec::new());
         }
     }
 }
 
-fn answer(respond: &mut SendResponse<Bytes>, status: StatusCode, bytes: Vec<u8>) {
+/// Sends a response with a body, which may be empty.
+fn respond_with(respond: &mut SendResponse<Bytes>, status: StatusCode, bytes: Vec<u8>) {
     let mut head = Response::new(());
     *head.status_mut() = status;
     if let Ok(mut stream) = respond.send_response(head, bytes.is_empty())
@@ -172,16 +176,17 @@
     }
 }
 
-/// Reads a whole message; none if it is too large or breaks off.
+/// Reads a whole message. Returns `None` if it is too large or cut off.
 async fn collect(mut body: RecvStream) -> Option<BytesMut> {
     let mut bytes = BytesMut::new();
-    while let Some(taken) = read_piece(&mut body, &mut bytes).await {
-        taken.ok()?;
+    while let Some(read) = read_piece(&mut body, &mut bytes).await {
+        read.ok()?;
     }
     Some(bytes)
 }
 
-/// Reads the next piece of a message and says how long it is; none after the last one.
+/// Appends the next piece of a message and returns its size in bytes, or `None` after the last
+/// piece.
 pub(super) async fn read_piece(
     body: &mut RecvStream,
     message: &mut BytesMut,
@@ -191,7 +196,7 @@
         Err(e) => return Some(Err(e.to_string())),
     };
     if message.len() + piece.len() > MAX_MESSAGE_BYTES {
-        return Some(Err(format!("larger than {MAX_MESSAGE_BYTES} bytes")));
+        return Some(Err(format!("the message is larger than {MAX_MESSAGE_BYTES} bytes")));
     }
     message.extend_from_slice(&piece);
     let _ = body.flow_control().release_capacity(piece.len());
--- a/src/entry/usage/meter.rs
+++ b/src/entry/usage/meter.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 
 use crate::Name;
-use crate::decide::usage::{Agreed, Ledger, Meter, Windows};
+use crate::decide::usage::{AgreedClock, Ledger, Meter, Windows};
 use crate::edge::clock::Clock;
 
 /// The counts of this node, and the counts that other nodes have sent it.
@@ -21,8 +21,10 @@
     pub ledger: Mutex<Ledger>,
     /// Notified when a count of this node changes.
     pub changed: Notify,
+    /// The clocks of this VM.
     clock: Arc<dyn Clock>,
-    agreed: Mutex<Agreed>,
+    /// The time of day that the nodes agree on.
+    agreed: Mutex<AgreedClock>,
 }
 
 impl Usage {
@@ -45,13 +47,13 @@
 
     /// Records the time of day that another node has reported.
     pub(in crate::entry) fn record_peer_time(&self, node: &Name, time: Duration) {
-        let running = self.clock.read().since_boot;
-        self.agreed.lock().hear(node, time, running);
+        let since_boot = self.clock.read().since_boot;
+        self.agreed.lock().record_peer(node, time, since_boot);
     }
 
     /// Returns the number of the window that contains the present.
     pub(in crate::entry) fn current_window(&self) -> u64 {
-        self.windows.at(self.time())
+        self.windows.index_at(self.time())
     }
 
     /// Meters a request that is about to be sent. It counts in the window of this moment, unless
@@ -59,7 +61,7 @@
     pub(in crate::entry) fn begin(self: &Arc<Self>, organisation: &Option<Name>) -> MeteredRequest {
         let Some(organisation) = organisation.clone() else { return MeteredRequest::default() };
         let window = self.current_window();
-        self.meter.lock().sent(window);
+        self.meter.lock().request_sent(window);
         MeteredRequest { pending: Some(PendingCount { usage: self.clone(), window, organisation }) }
     }
 }
@@ -91,7 +93,7 @@
     /// Records the outcome: the request is counted if it ran.
     fn settle(self, ran: bool) {
         let ran = ran.then_some(&self.organisation);
-        self.usage.meter.lock().settled(self.window, ran);
+        self.usage.meter.lock().request_settled(self.window, ran);
         self.usage.changed.notify_one();
     }
 }
