--- a/src/entry/ended_jobs.rs
+++ b/src/entry/ended_jobs.rs
@@ -11,8 +11,8 @@
 use parking_lot::Mutex;
 
 use super::app::{App, ByName};
-use super::homes::Home;
-use super::read::{Read, page};
+use super::owned_jobs::OwnedJob;
+use super::read::{ReadResult, results_page};
 use crate::Name;
 use crate::decide::job::{ItemResult, JobSpec};
 
@@ -47,8 +47,11 @@
 
 impl EndedJob {
     /// Returns the results from a position on.
-    pub(super) fn read(&self, after: usize) -> Read {
-        Read::Page { total: self.spec.items.len(), results: page(&self.results, after) }
+    pub(super) fn read(&self, after: usize) -> ReadResult {
+        ReadResult::Page {
+            total: self.spec.items.len(),
+            results: results_page(&self.results, after),
+        }
     }
 
     /// Returns the size of the submission and the results in bytes.
@@ -94,14 +97,14 @@
 impl App {
     /// Retains a job of this node that is recorded as ended in the store. This node then has all
     /// results that the job will ever have, unless a write of results was not answered.
-    pub(super) fn retain_ended(self: &Arc<Self>, home: Arc<Home>) {
+    pub(super) fn retain_ended(self: &Arc<Self>, owned: Arc<OwnedJob>) {
         let app = self.clone();
         self.spawn(async move {
-            let _written = home.writing.lock().await;
-            if home.unsure.load(Ordering::Relaxed) {
+            let _written = owned.write_lock.lock().await;
+            if owned.write_unknown.load(Ordering::Relaxed) {
                 return;
             }
-            let job = home.job.lock();
+            let job = owned.job.lock();
             let ended =
                 EndedJob { spec: job.spec.clone(), results: job.written_results().to_vec() };
             app.ended_jobs.add(ended);
--- /dev/null
+++ b/src/entry/leader.rs
@@ -0,0 +1,258 @@
+//! Leader election, and the leader's orders that move replicas to the named weight versions.
+//!
+//! One node at a time is the leader. Its record is attached to its node's lease, and the
+//! revision that wrote the record is the fencing token of its orders. A leader that cannot be
+//! sure of its lease gives no order.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::task::JoinSet;
+
+use super::app::App;
+use super::follow::{Topic, follow};
+use super::keys::{LEADER_KEY, LeaderRecord};
+use super::scale::run_autoscaling;
+use super::usage::report_usage;
+use crate::Name;
+use crate::decide::rank;
+use crate::decide::weight_loads::{self, ReplicaWeights, WeightLoad};
+use crate::edge::replica::{OrderOutcome, Target, WeightOrder};
+use crate::edge::store::{Txn, TxnOutcome};
+
+/// How much longer each next node in rank waits before it tries to become the leader.
+const RANK_DELAY: Duration = Duration::from_millis(400);
+/// How often a node that is not the leader checks for a vacancy, and how often a leader with
+/// orders under way plans anew.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one order to a replica, or of one status request.
+const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Shortest time that a weight load takes; the replica's status is not polled before.
+const MIN_LOAD_TIME: Duration = Duration::from_millis(850);
+/// Pause between status requests during a load, and pause after a failed load.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_millis(120);
+/// Status requests until a load counts as failed. They come to eight seconds, because many
+/// simultaneous loads are slow.
+const MAX_LOAD_POLLS: u32 = 60;
+
+/// How a weight load ended.
+enum LoadOutcome {
+    /// The replica serves the version.
+    Done,
+    /// It does not, or its state is unknown. The load is planned again.
+    Failed,
+    /// The replica has accepted an order of a later term.
+    Fenced,
+}
+
+/// Runs for leader and does the leader's work whenever this node is elected, until the process
+/// stops.
+pub(super) async fn run_leader(app: Arc<App>) {
+    loop {
+        tokio::select! {
+            () = app.stop.cancelled() => return,
+            fence = acquire_leadership(&app) => {
+                tracing::info!(event = "orders_held", fence);
+                tokio::select! {
+                    () = app.stop.cancelled() => {}
+                    () = issue_orders(&app, fence) => {}
+                    () = app.poll_demand() => {}
+                    () = report_usage(&app, fence) => {}
+                    () = run_autoscaling(&app, fence) => {}
+                    () = follow(app.clone(), Topic::Versions) => {}
+                }
+                tracing::info!(event = "orders_given_up", fence);
+                app.wait_out_last_order().await;
+                let txn = Txn::when(LEADER_KEY, fence).remove(LEADER_KEY);
+                if let Err(e) = app.store.txn(txn).await {
+                    tracing::warn!(event = "leader_not_removed", fence, error = %e);
+                }
+            }
+        }
+    }
+}
+
+/// Waits until this node is the leader and returns the fencing token of its term.
+async fn acquire_leadership(app: &Arc<App>) -> u64 {
+    let mut view_changes = app.view_changes.subscribe();
+    let mut vacant_since = None;
+    loop {
+        let _ = tokio::time::timeout(CHECK_INTERVAL, view_changes.changed()).await;
+        let now = app.now();
+        let (leader, serving) = {
+            let live = app.membership.lock();
+            (live.leader().cloned(), live.serving_incarnations())
+        };
+        if let Some(seen) = leader {
+            vacant_since = None;
+            // The record is from an earlier term of this same process.
+            if seen.value.incarnation == app.incarnation && app.has_lease() {
+                return seen.revision;
+            }
+            continue;
+        }
+        let since = *vacant_since.get_or_insert(now);
+        let ranked = rank(LEADER_KEY, serving.iter().map(|l| &**l));
+        let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
+        let lease = app.lease.lock().id;
+        if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * place as u32 {
+            continue;
+        }
+        let Ok(value) = serde_json::to_vec(&LeaderRecord { incarnation: app.incarnation.clone() })
+        else {
+            continue;
+        };
+        let txn = Txn::when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
+        match app.store.txn(txn).await {
+            Ok(TxnOutcome::Done(fence)) => return fence,
+            Ok(TxnOutcome::Conflict(_) | TxnOutcome::NoLease) => {}
+            Err(e) => tracing::warn!(event = "leader_not_written", error = %e),
+        }
+    }
+}
+
+/// Orders weight loads until the term is over.
+async fn issue_orders(app: &Arc<App>, fence: u64) {
+    tokio::time::sleep(app.takeover_delay()).await;
+    let mut view_changes = app.view_changes.subscribe();
+    let mut busy: BTreeMap<Name, Name> = BTreeMap::new();
+    let mut running: JoinSet<(Name, LoadOutcome)> = JoinSet::new();
+    loop {
+        if !app.holds_term(fence) {
+            return;
+        }
+        for wanted in plan_loads(app, &busy) {
+            let Some(target) = target(app, &wanted.id) else { continue };
+            busy.insert(wanted.id.clone(), wanted.model.clone());
+            let (app, id) = (app.clone(), wanted.id.clone());
+            running.spawn(async move { (id, execute_load(&app, target, wanted, fence).await) });
+        }
+        tokio::select! {
+            _ = view_changes.changed() => {}
+            Some(ended) = running.join_next() => match ended {
+                Ok((id, LoadOutcome::Done)) => drop(busy.remove(&id)),
+                Ok((id, LoadOutcome::Failed)) => {
+                    busy.remove(&id);
+                    tokio::time::sleep(LOAD_POLL_INTERVAL).await;
+                }
+                Ok((_, LoadOutcome::Fenced)) => return,
+                Err(e) => {
+                    tracing::error!(event = "weight_load_failed", error = %e);
+                    return;
+                }
+            },
+            () = tokio::time::sleep(CHECK_INTERVAL), if !busy.is_empty() => {}
+        }
+    }
+}
+
+/// The loads to order now, given the replicas with a load under way and the models they load.
+fn plan_loads(app: &App, busy: &BTreeMap<Name, Name>) -> Vec<WeightLoad> {
+    let named = app.versions.lock().clone();
+    let demand = app.demand.lock().by_model(app.now());
+    let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
+    let mut standings: Vec<ReplicaWeights> = Vec::new();
+    let fleet = app.slots.fleet.lock();
+    for model in models {
+        for (target, version) in fleet.serving(model) {
+            let found = standings.iter().position(|s| s.id == target.id);
+            let index = found.unwrap_or_else(|| {
+                let loading = busy.get(&target.id).cloned();
+                standings.push(ReplicaWeights {
+                    id: target.id,
+                    versions: Default::default(),
+                    loading,
+                });
+                standings.len() - 1
+            });
+            standings[index].versions.insert(model.clone(), version);
+        }
+    }
+    weight_loads::next_loads(&named, &demand, &standings)
+}
+
+fn target(app: &App, id: &str) -> Option<Target> {
+    app.slots.fleet.lock().get(id).map(|l| l.target.clone())
+}
+
+/// Orders one weight load and waits for its end. Gives no order if the replica already has the
+/// version, is busy, or the term may be over.
+async fn execute_load(
+    app: &Arc<App>,
+    target: Target,
+    wanted: WeightLoad,
+    fence: u64,
+) -> LoadOutcome {
+    let Ok(stance) = app.replicas.status(&target, REPLICA_CALL_TIMEOUT).await else {
+        return LoadOutcome::Failed;
+    };
+    if stance.is_other_incarnation(&target) {
+        // The replica has restarted; its next entry in the store will show that.
+        return LoadOutcome::Failed;
+    }
+    let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
+    if let Some(has) = has
+        && has >= wanted.version
+    {
+        app.slots.fleet.lock().raise_version(&target, &wanted.model, has);
+        return LoadOutcome::Done;
+    }
+    if stance.busy || !app.holds_term(fence) {
+        return LoadOutcome::Failed;
+    }
+    let one_version = app.routes().is_some_and(|r| r.any_single_version());
+    let order = WeightOrder {
+        model: wanted.model.clone(),
+        version: wanted.version,
+        keep_runs: !one_version,
+        holder: app.settings.name.clone(),
+        fencing_token: fence,
+        accepted_orders: stance.accepted_orders,
+    };
+    *app.last_duty.lock() = Some(app.now());
+    let end = app.replicas.order(&target, order, REPLICA_CALL_TIMEOUT).await;
+    tracing::info!(
+        event = "order_given",
+        replica = %target.id,
+        model = %wanted.model,
+        version = wanted.version,
+        fence,
+        sequence = stance.accepted_orders,
+        outcome = ?end
+    );
+    app.tally.order(end);
+    match end {
+        OrderOutcome::Accepted | OrderOutcome::Unknown => await_load(app, &target, &wanted).await,
+        OrderOutcome::Holds => {
+            app.slots.fleet.lock().raise_version(&target, &wanted.model, wanted.version);
+            LoadOutcome::Done
+        }
+        OrderOutcome::Busy | OrderOutcome::Refused => LoadOutcome::Failed,
+        OrderOutcome::Fenced => LoadOutcome::Fenced,
+    }
+}
+
+/// Polls a replica until it has loaded the ordered version.
+async fn await_load(app: &App, target: &Target, wanted: &WeightLoad) -> LoadOutcome {
+    tokio::time::sleep(MIN_LOAD_TIME).await;
+    for _ in 0..MAX_LOAD_POLLS {
+        let Ok(stance) = app.replicas.status(target, REPLICA_CALL_TIMEOUT).await else {
+            return LoadOutcome::Failed;
+        };
+        if stance.is_other_incarnation(target) {
+            return LoadOutcome::Failed;
+        }
+        let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
+        if has.is_some_and(|has| has >= wanted.version) {
+            app.slots.fleet.lock().raise_version(target, &wanted.model, wanted.version);
+            app.slots.assign_free(app.now());
+            return LoadOutcome::Done;
+        }
+        if !stance.busy {
+            return LoadOutcome::Failed;
+        }
+        tokio::time::sleep(LOAD_POLL_INTERVAL).await;
+    }
+    LoadOutcome::Failed
+}
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -10,7 +10,7 @@
 use crate::edge::peer::{PeerHandler, PeerListener};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::submit::Submitted;
+use crate::entry::submit::SubmitResult;
 use crate::metrics::Traffic;
 
 /// Answers the requests of other entry nodes.
@@ -73,15 +73,15 @@
         let app = &self.app;
         match request {
             PeerRequest::Submit(spec) => PeerReply::Submitted(if app.has_lease() {
-                app.accept(spec).await
+                app.accept_here(spec).await
             } else {
-                Submitted::Refused("no_lease".into())
+                SubmitResult::Refused("no_lease".into())
             }),
             PeerRequest::OwnsJob(job) => {
                 let owned = app.owned_jobs.get(&job).is_some() && app.has_lease();
                 PeerReply::Found(owned || app.ended_jobs.get(&job).is_some())
             }
-            PeerRequest::Body { job, item } => PeerReply::Body(app.own_body(&job, &item)),
+            PeerRequest::Body { job, item } => PeerReply::Body(app.local_body(&job, &item)),
             PeerRequest::Read { job, after, wait } => {
                 if let Some(ended) = app.ended_jobs.get(&job) {
                     return PeerReply::Read(Some(ended.read(after)));
@@ -89,7 +89,7 @@
                 // Without a lease another node may own the job by now and have returned more
                 // results.
                 let read = match app.owned_jobs.get(&job).filter(|_| app.has_lease()) {
-                    Some(owned) => app.read_home(&owned, after, app.now() + wait).await,
+                    Some(owned) => app.read_owned(&owned, after, app.now() + wait).await,
                     None => None,
                 };
                 PeerReply::Read(read.filter(|_| app.has_lease()))
@@ -111,7 +111,7 @@
                 PeerReply::Demand {
                     steps: demand.into_iter().collect(),
                     life: app.incarnation.clone(),
-                    wanted: app.slots.wanted.totals(),
+                    wanted: app.slots.demand.totals(),
                 }
             }
             PeerRequest::Store(request) => PeerReply::Store(self.store(request).await),
--- a/src/entry/retire.rs
+++ b/src/entry/retire.rs
@@ -1,4 +1,4 @@
-//! Giving up a machine whose disk an operator wants emptied.
+//! Answers an operator's request to empty this machine's disk.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,17 +6,18 @@
 use super::app::App;
 use crate::edge::store::Txn;
 
-/// The pause between tries to tell the operator.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause after a failed attempt to write the answer.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
 impl App {
-    /// An operator asks for a machine's disk to be emptied. Nothing lasts on it, so the
-    /// answer is ready at once; it is the machine itself that gives it.
+    /// Handles a request to empty a machine's disk within a time. Nothing is stored on the
+    /// disk, so the node writes the answer at once. Only the named node answers, and only if
+    /// its machine has a disk.
     pub(super) fn retire(&self, node: &str, within: Duration) {
         if !self.settings.has_disk || *self.settings.name != *node {
             return;
         }
-        tracing::info!(event = "retire_asked", node, within_ms = within.as_millis() as u64);
+        tracing::info!(event = "retirement_requested", node, within_ms = within.as_millis() as u64);
         let put = self.schema.retirement_done(node);
         let store: Arc<_> = self.store.clone();
         self.spawn(async move {
@@ -24,9 +25,9 @@
                 let txn = Txn { puts: vec![put.clone()], ..Txn::default() };
                 match store.txn(txn).await {
                     Ok(_) => break tracing::info!(event = "retired"),
-                    Err(e) => tracing::warn!(event = "retired_not_told", error = %e),
+                    Err(e) => tracing::warn!(event = "retirement_not_written", error = %e),
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_PAUSE).await;
             }
         });
     }
--- /dev/null
+++ b/src/entry/runner.rs
@@ -0,0 +1,167 @@
+//! Running a job at its owner: starting its samples, stopping it, and handing it over.
+
+use std::sync::Arc;
+use std::sync::atomic::AtomicBool;
+use std::time::Duration;
+
+use parking_lot::Mutex;
+use tokio::sync::{Notify, watch};
+use tokio_util::sync::CancellationToken;
+
+use super::app::{App, ByName};
+use super::keys::{JobRecord, job_record_key};
+use super::membership::Stored;
+use super::owned_jobs::OwnedJob;
+use super::results::{drop_lost_job, flush, update_record, write_results};
+use super::sample;
+use crate::Name;
+use crate::decide::job::{ItemResult, Job, JobSpec, SampleText, SavedProgress};
+use crate::edge::store::{Change, KeyValue};
+use crate::metrics::JobStep;
+
+/// Pause after a failed read of the job's record.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
+
+/// Attempts at the last write of a job before it is handed over.
+const HANDOVER_WRITE_ATTEMPTS: usize = 2;
+/// Longest single watch of a job's record. Training steps last some seconds, so that most jobs
+/// need one call.
+const RECORD_WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// What the store has of a job besides its submission.
+#[derive(Debug, Default)]
+pub(super) struct RestoredJob {
+    /// The written results.
+    pub results: Vec<Arc<ItemResult>>,
+    /// The unfinished texts, and how much of each the store has.
+    pub texts: ByName<(SampleText, SavedProgress)>,
+    /// The number of saves of unfinished texts so far.
+    pub text_writes: usize,
+}
+
+impl App {
+    /// Runs a job that this node owns, from what the store has of it. Does nothing if the job
+    /// runs here already.
+    pub(super) fn run_job(
+        self: &Arc<Self>,
+        spec: Arc<JobSpec>,
+        restored: RestoredJob,
+        record: Stored<JobRecord>,
+    ) {
+        let RestoredJob { results, texts, text_writes } = restored;
+        let id = spec.id.clone();
+        if let Some(model) = &spec.model {
+            self.demand.lock().record(model, spec.estimated_work(), self.now());
+        }
+        let queue_order = self.owned_jobs.assign_order(&spec);
+        let job = Job::new(spec, results);
+        let slots = match &job.spec.model {
+            Some(model) => self.slots.fleet.lock().slots_at_version(model, job.spec.min_version),
+            None => job.spec.items.len(),
+        };
+        let todo = job.pending_items(slots);
+        let count = job.next_position();
+        let owned = Arc::new(OwnedJob {
+            job: Mutex::new(job),
+            record: Mutex::new(record),
+            texts: Mutex::new(texts),
+            text_writes: Mutex::new(text_writes),
+            sample_ended: Notify::new(),
+            result_count: watch::Sender::new(count),
+            write_lock: tokio::sync::Mutex::default(),
+            write_unknown: AtomicBool::new(false),
+            stop: CancellationToken::new(),
+            queue_order,
+        });
+        let Some(owned) = self.owned_jobs.insert(&id, owned) else { return };
+        let unfinished = owned.texts.lock().len();
+        tracing::info!(event = "job_begins", job = %id, listed = count, todo = todo.len(), unfinished);
+        for (index, item) in todo.into_iter().enumerate() {
+            let (app, owned) = (self.clone(), owned.clone());
+            let stop = owned.stop.clone();
+            self.spawn(async move {
+                tokio::select! {
+                    () = stop.cancelled() => {}
+                    () = sample::make_sample(&app, &owned, &item, index as u64) => {}
+                }
+            });
+        }
+        self.spawn(follow_record(self.clone(), owned.clone(), id.clone()));
+        self.spawn(write_results(self.clone(), owned, id));
+    }
+
+    /// Stops a job that its trainer has ended. Its results are read from the store from now on,
+    /// because a write whose answer was lost may have taken effect there.
+    pub(super) fn stop_job(&self, owned: &OwnedJob) {
+        owned.job.lock().end();
+        owned.stop.cancel();
+        let id = owned.job.lock().spec.id.clone();
+        self.owned_jobs.remove(&id);
+    }
+
+    /// Stops all jobs that run here, writes what they have, and leaves them to other nodes.
+    pub(super) async fn hand_over(self: &Arc<Self>) {
+        let owned_jobs = self.owned_jobs.all();
+        for (_, owned) in &owned_jobs {
+            owned.stop.cancel();
+        }
+        let writes = owned_jobs.into_iter().map(|(id, owned)| {
+            let app = self.clone();
+            async move {
+                flush(&app, &owned, &id, HANDOVER_WRITE_ATTEMPTS).await;
+                app.owned_jobs.remove(&id);
+                app.tally.job(JobStep::HandedOver);
+                tracing::info!(event = "job_handed_over", job = %id);
+            }
+        });
+        futures_util::future::join_all(writes).await;
+    }
+}
+
+/// Watches the record of a job that runs here: its trainer may end it through any node, and
+/// another node may take it over.
+async fn follow_record(app: Arc<App>, owned: Arc<OwnedJob>, id: Name) {
+    let key = job_record_key(&id);
+    let mut revision = owned.record.lock().revision;
+    loop {
+        let watched = tokio::select! {
+            () = owned.stop.cancelled() => return,
+            watched = app.store.watch(&key, revision, RECORD_WATCH_TIMEOUT) => watched,
+        };
+        let items = match watched {
+            Ok(watched) => {
+                revision = watched.revision;
+                put_items(watched.changes)
+            }
+            // The store's history may have been compacted, so the record itself is read.
+            Err(_) => match app.store.get(&key).await {
+                Ok(Some(item)) => {
+                    revision = revision.max(item.revision);
+                    vec![item]
+                }
+                Ok(None) => return drop_lost_job(&app, &owned, &id),
+                Err(_) => {
+                    tokio::time::sleep(RETRY_PAUSE).await;
+                    Vec::new()
+                }
+            },
+        };
+        for item in items.iter().filter(|i| i.key == key) {
+            if !update_record(&app, &owned, item) {
+                return drop_lost_job(&app, &owned, &id);
+            }
+        }
+        if owned.job.lock().all_written() {
+            return;
+        }
+    }
+}
+
+/// The written items among some changes.
+fn put_items(changes: Vec<Change>) -> Vec<KeyValue> {
+    let puts = changes.into_iter().filter_map(|change| match change {
+        Change::Put(item) => Some(item),
+        Change::Removed { .. } => None,
+    });
+    puts.collect()
+}
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -12,8 +12,8 @@
 use crate::edge::duty::{DutyOutcome, ScaleOrder, Term};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::keys::SCALE;
-use crate::entry::record::{Record, Written};
+use crate::entry::fenced_value::{FencedValue, FencedWrite};
+use crate::entry::keys::SCALE_KEY;
 use crate::{Moment, Name};
 
 /// How often replicas are planned: as often as the other nodes are asked for the demand of
@@ -40,7 +40,7 @@
     /// The revision of the leader key that began the term.
     fencing_token: u64,
     /// The value in the store, which only the leader of the term may write.
-    record: Record,
+    record: FencedValue,
     /// The plan of each service.
     planners: BTreeMap<Name, Planner>,
     /// The last order of each service and availability zone.
@@ -56,7 +56,7 @@
     let mut autoscaler = Autoscaler {
         app: app.clone(),
         fencing_token,
-        record: Record::new(SCALE, fencing_token),
+        record: FencedValue::new(SCALE_KEY, fencing_token),
         planners: BTreeMap::new(),
         sent: BTreeMap::new(),
     };
@@ -125,9 +125,9 @@
     /// Writes the plans to the store. False if this node is no longer the leader.
     async fn save_plans(&mut self) -> Result<bool, StoreError> {
         match self.record.write(&self.app, &self.planners).await? {
-            Written::Done => Ok(true),
-            Written::Other => self.load_plans().await,
-            Written::NotHolder => Ok(false),
+            FencedWrite::Done => Ok(true),
+            FencedWrite::Conflict => self.load_plans().await,
+            FencedWrite::NotLeader => Ok(false),
         }
     }
 
