--- a/src/edge/peer/mod.rs
+++ b/src/edge/peer/mod.rs
@@ -1,12 +1,12 @@
-//! Between nodes: HTTP/2 streams with bincode, one request and one reply a stream.
+//! Messages between nodes: bincode over HTTP/2, with one request and one reply per stream.
 
 mod client;
 mod codec;
-mod message;
+mod messages;
 mod server;
 
 pub use crate::decide::members::NodeState;
 pub use client::{PeerClient, PeerError};
 pub use codec::{CodecError, PROTOCOL_VERSION, decode, encode, pack, unpack};
-pub use message::{NodeInfo, NodeLocation, NodeReply, NodeRequest, PeerMessage};
+pub use messages::{NodeInfo, NodeLocation, NodeReply, NodeRequest, PeerMessage};
 pub use server::{PeerHandler, PeerListener};
