--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::keys::{LIVE, own_use};
+use super::keys::{MEMBERSHIP_PREFIX, key_use};
 use crate::edge::schema::StoreSchema;
 use crate::edge::store::{
     KeyValue, RangeResult, Store, StoreError, StoreFuture, Txn, TxnOutcome, WatchBatch,
@@ -34,12 +34,12 @@
     fn purpose(&self, key: &str) -> StoreUse {
         let schema = &self.schema;
         match key {
-            LIVE => StoreUse::Nodes,
+            MEMBERSHIP_PREFIX => StoreUse::Nodes,
             key if key.starts_with(schema.replicas_prefix()) => StoreUse::Replicas,
             key if key.starts_with(schema.versions_prefix()) => StoreUse::Versions,
             key if key.starts_with(schema.retirements_prefix()) => StoreUse::Retirements,
             key if key.starts_with(schema.routes_prefix()) => StoreUse::Routes,
-            key => own_use(key),
+            key => key_use(key),
         }
     }
 
--- a/src/entry/follow/sources.rs
+++ b/src/entry/follow/sources.rs
@@ -212,7 +212,7 @@
 
     /// Returns the nodes that watch the store for others. None if each node watches it itself.
     pub(super) fn watchers(&self) -> Option<Vec<(Name, SocketAddr)>> {
-        let nodes = self.membership.lock().peers_around(self.store_time());
+        let nodes = self.membership.lock().stable_peers(self.store_time());
         if nodes.len() <= MAX_NODES_WITHOUT_WATCHERS {
             return None;
         }
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -12,8 +12,8 @@
 use crate::edge::peer::PeerMessage;
 use crate::edge::store::{KeyValue, RangeResult, StoreError, Txn, TxnOutcome, WatchBatch};
 use crate::entry::follow::FeedUpdate;
-use crate::entry::read::Read;
-use crate::entry::submit::Submitted;
+use crate::entry::read::ReadResult;
+use crate::entry::submit::SubmitResult;
 use crate::metrics::PeerUse;
 
 /// A request to another node.
@@ -114,9 +114,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerReply {
     /// What became of a submission.
-    Submitted(Submitted),
+    Submitted(SubmitResult),
     /// The results. None if the node may not be the owner of the job any more.
-    Read(Option<Read>),
+    Read(Option<ReadResult>),
     /// Whether the node is certain to own the job, or has all results of it.
     Found(bool),
     /// The body. None if the node does not have it.
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -14,8 +14,8 @@
 use crate::edge::duty::{DutyOutcome, Term, UsageReport};
 use crate::edge::store::StoreError;
 use crate::entry::app::App;
-use crate::entry::keys::USAGE;
-use crate::entry::record::{Record, Written};
+use crate::entry::fenced_value::{FencedValue, FencedWrite};
+use crate::entry::keys::USAGE_KEY;
 
 /// How long after its end a window is closed at the latest, in tenths of the time until its
 /// report is late. The rest of that time is for sending the report.
@@ -44,7 +44,7 @@
     /// The revision of the leader key that began the term.
     fencing_token: u64,
     /// The value in the store, which only the leader of the term may write.
-    record: Record,
+    record: FencedValue,
 }
 
 /// Whether this node is still the leader.
@@ -62,7 +62,7 @@
         app: app.clone(),
         usage,
         fencing_token,
-        record: Record::new(USAGE, fencing_token),
+        record: FencedValue::new(USAGE_KEY, fencing_token),
     };
     tokio::time::sleep(app.takeover_delay()).await;
     let mut next = None;
@@ -101,12 +101,12 @@
         };
         let fixed = FixedReport { window, counts: total.counts };
         match self.record.write(&self.app, &fixed).await? {
-            Written::Done => *next = Some(window + 1),
-            Written::Other => {
+            FencedWrite::Done => *next = Some(window + 1),
+            FencedWrite::Conflict => {
                 *next = None;
                 return Ok(TermState::Current);
             }
-            Written::NotHolder => return Ok(TermState::Over),
+            FencedWrite::NotLeader => return Ok(TermState::Over),
         }
         let missing = total.unclosed.len();
         let requests: u64 = fixed.counts.values().sum();
@@ -130,7 +130,7 @@
         let latest = windows.end_of(window) + windows.report_grace / 10 * CLOSE_DEADLINE_TENTHS;
         loop {
             let now = self.usage.time();
-            let incarnations = self.app.membership.lock().able();
+            let incarnations = self.app.membership.lock().serving_incarnations();
             let total = self.usage.ledger.lock().total(window, &incarnations);
             if now > latest || (now > windows.end_of(window) && total.unclosed.is_empty()) {
                 return Some(total);
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use mulberrycourse::edge::store::Store;
-use mulberrycourse::entry::{Found, PeerRequest, Read, StoreRequest, Submitted};
+use mulberrycourse::entry::{Lookup, PeerRequest, ReadResult, StoreRequest, SubmitResult};
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
-use crate::world::{Node, World, calls, pass, spec, until};
+use crate::world::{Node, World, answered_calls, job_spec, sleep_ms, wait_until};
 
 /// Returns the incarnations that own jobs according to the store.
 fn owners(world: &World) -> BTreeSet<String> {
@@ -25,14 +25,14 @@
 async fn start_three(world: &World) -> [Node; 3] {
     let mut nodes = Vec::new();
     for name in ["a", "b", "c"] {
-        nodes.push(world.linked(name).await);
+        nodes.push(world.linked_node(name).await);
     }
-    pass(1_000).await;
-    assert_eq!(nodes[0].submit("first", &["f1"]).await, Submitted::Kept);
+    sleep_ms(1_000).await;
+    assert_eq!(nodes[0].submit("first", &["f1"]).await, SubmitResult::Accepted);
     let owner = owners(world).first().unwrap().split('.').next().unwrap().to_owned();
     nodes.sort_by_key(|node| *node.app().settings.name != *owner);
     let nodes: [Node; 3] = nodes.try_into().unwrap_or_else(|_| unreachable!());
-    nodes[0].whole("first", 1).await;
+    nodes[0].read_all("first", 1).await;
     nodes
 }
 
@@ -48,11 +48,14 @@
     let world = World::new();
     let nodes = start_three(&world).await;
     for (i, node) in nodes.iter().enumerate() {
-        assert_eq!(node.submit(&format!("j{i}"), &[&format!("i{i}")]).await, Submitted::Kept);
+        assert_eq!(
+            node.submit(&format!("j{i}"), &[&format!("i{i}")]).await,
+            SubmitResult::Accepted
+        );
     }
     assert_eq!(owners(&world).len(), 1);
     for (i, node) in nodes.iter().enumerate() {
-        node.whole(&format!("j{i}"), 1).await;
+        node.read_all(&format!("j{i}"), 1).await;
     }
 }
 
@@ -63,8 +66,8 @@
         let [owner, other, _third] = start_three(&world).await;
         owner.link(link);
         for (job, item) in [("j1", "i1"), ("j2", "i2")] {
-            assert_eq!(other.submit(job, &[item]).await, Submitted::Kept, "{link:?}");
-            other.whole(job, 1).await;
+            assert_eq!(other.submit(job, &[item]).await, SubmitResult::Accepted, "{link:?}");
+            other.read_all(job, 1).await;
         }
         let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
         assert_eq!(runs, 1, "{link:?}");
@@ -81,12 +84,12 @@
     third.link(Link::Refusing);
     other.line.fail(away(Away::Refusing));
     let cut = async {
-        pass(100).await;
+        sleep_ms(100).await;
         owner.link(Link::Refusing);
     };
     let (submitted, ()) = tokio::join!(other.submit("j", &["i1"]), cut);
-    assert_eq!(submitted, Submitted::Unknown);
-    assert_eq!(owner.whole("j", 1).await.len(), 1);
+    assert_eq!(submitted, SubmitResult::Unknown);
+    assert_eq!(owner.read_all("j", 1).await.len(), 1);
 }
 
 #[tokio::test(start_paused = true)]
@@ -95,9 +98,9 @@
     let [owner, other, _third] = start_three(&world).await;
     let draining = owner.entry.drain();
     let submitting = async {
-        pass(1).await;
-        assert_eq!(other.submit("j1", &["i1"]).await, Submitted::Kept);
-        other.whole("j1", 1).await;
+        sleep_ms(1).await;
+        assert_eq!(other.submit("j1", &["i1"]).await, SubmitResult::Accepted);
+        other.read_all("j1", 1).await;
     };
     tokio::join!(draining, submitting);
 }
@@ -112,11 +115,11 @@
         world.replicas.length(item, 20 * (i as u64 + 1));
     }
     other.submit("j", &items).await;
-    let before = calls(&other, "Get") + calls(&other, "Range");
-    let watches = calls(&other, "Watch");
-    other.whole("j", 4).await;
-    assert_eq!(calls(&other, "Get") + calls(&other, "Range") - before, 0);
-    assert!(calls(&other, "Watch") - watches <= 1);
+    let before = answered_calls(&other, "Get") + answered_calls(&other, "Range");
+    let watches = answered_calls(&other, "Watch");
+    other.read_all("j", 4).await;
+    assert_eq!(answered_calls(&other, "Get") + answered_calls(&other, "Range") - before, 0);
+    assert!(answered_calls(&other, "Watch") - watches <= 1);
 }
 
 /// Guards against each node reading the results and bodies of an ended job from the store with two
@@ -127,23 +130,27 @@
     let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 2_000);
     owner.submit("j", &["i1", "i2"]).await;
-    other.whole("j", 1).await;
-    assert_eq!(other.app().end_job("j").await, Found::There(()));
-    pass(1_000).await;
-    let count = |node: &Node| calls(node, "Get") + calls(node, "Range") + calls(node, "Watch");
+    other.read_all("j", 1).await;
+    assert_eq!(other.app().end_job("j").await, Lookup::Found(()));
+    sleep_ms(1_000).await;
+    let count = |node: &Node| {
+        answered_calls(node, "Get") + answered_calls(node, "Range") + answered_calls(node, "Watch")
+    };
     let before = count(&third);
     for _ in 0..5 {
-        let page = third.page("j", 0).await;
+        let page = third.read_page("j", 0).await;
         assert_eq!(page.iter().map(|l| &*l.id).collect::<Vec<_>>(), ["i1"]);
-        let Found::There(body) = third.app().body("j", "i2").await else { panic!("no body") };
+        let Lookup::Found(body) = third.app().sample_body("j", "i2").await else {
+            panic!("no body")
+        };
         assert_eq!(body, "body of i2");
-        pass(4_000).await;
+        sleep_ms(4_000).await;
     }
     let polled = count(&third) - before;
     assert!(polled <= 6, "{polled} calls, its own watches among them");
     drop(owner);
-    pass(5_000).await;
-    assert_eq!(third.page("j", 0).await.len(), 1, "the store has the results as well");
+    sleep_ms(5_000).await;
+    assert_eq!(third.read_page("j", 0).await.len(), 1, "the store has the results as well");
 }
 
 /// The results that a reader sees of an ended job are final: none is added later, although the
@@ -156,21 +163,21 @@
         world.replicas.length(item, length);
     }
     owner.submit("j", &["i1", "i2", "i3", "i4"]).await;
-    other.whole("j", 1).await;
+    other.read_all("j", 1).await;
     owner.line.fail(away(Away::Refusing));
     owner.isolate();
     owner.link(Link::Refusing);
-    pass(1_500).await;
-    assert_eq!(other.app().end_job("j").await, Found::There(()));
-    let seen = third.page("j", 0).await;
+    sleep_ms(1_500).await;
+    assert_eq!(other.app().end_job("j").await, Lookup::Found(()));
+    let seen = third.read_page("j", 0).await;
     owner.line.fail(Faults::default());
     owner.link(Link::Open);
-    pass(3_000).await;
+    sleep_ms(3_000).await;
     for node in [&owner, &other, &third] {
-        assert_eq!(node.page("j", 0).await, seen);
+        assert_eq!(node.read_page("j", 0).await, seen);
     }
     let stored = world.kv.items("mulberry/job/j/results").len();
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     assert_eq!(world.kv.items("mulberry/job/j/results").len(), stored);
 }
 
@@ -180,14 +187,14 @@
     let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 200);
     other.submit("j", &["i1", "i2"]).await;
-    until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    let shown = other.page("j", 0).await;
+    wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
+    let shown = other.read_page("j", 0).await;
     assert_eq!(shown.len(), 1);
     owner.link(Link::Refusing);
     drop(owner);
-    let whole = other.whole("j", 2).await;
+    let whole = other.read_all("j", 2).await;
     assert_eq!(whole[..1], shown[..]);
-    assert_eq!(third.whole("j", 2).await, whole);
+    assert_eq!(third.read_all("j", 2).await, whole);
 }
 
 /// Guards against an owner whose lease has ended returning fewer results than the next owner has
@@ -198,19 +205,19 @@
     let [owner, other, third] = start_three(&world).await;
     world.replicas.length("i2", 150);
     other.submit("j", &["i1", "i2"]).await;
-    until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
+    wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     // The owner reaches neither the store nor the other nodes, but they reach it.
     owner.line.fail(away(Away::Silent));
     other.line.fail(away(Away::Refusing));
     third.line.fail(away(Away::Refusing));
-    pass(400).await;
+    sleep_ms(400).await;
     other.line.fail(Faults::default());
     third.line.fail(Faults::default());
     owner.isolate();
-    pass(4_000).await;
+    sleep_ms(4_000).await;
     let ask = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
-    assert_eq!(other.ask(&owner, ask).await, Some(None));
-    assert_eq!(other.whole("j", 2).await.len(), 2);
+    assert_eq!(other.request_results(&owner, ask).await, Some(None));
+    assert_eq!(other.read_all("j", 2).await.len(), 2);
 }
 
 /// Guards against results whose write was not answered being visible on nodes that read the store,
@@ -222,10 +229,10 @@
     world.replicas.length("i2", 500);
     other.submit("j", &["i1", "i2"]).await;
     owner.line.fail(Faults { lose: 3, ..Faults::default() });
-    until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    pass(1_200).await;
-    assert_eq!(owner.page("j", 0).await.len(), 1);
-    assert_eq!(other.page("j", 0).await.len(), 1);
+    wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
+    sleep_ms(1_200).await;
+    assert_eq!(owner.read_page("j", 0).await.len(), 1);
+    assert_eq!(other.read_page("j", 0).await.len(), 1);
 }
 
 /// Guards against a node that the store does not answer losing its lease, so that its jobs stand
@@ -239,14 +246,14 @@
         other.submit("j", &["i1", "i2"]).await;
         let before = owners(&world);
         owner.line.fail(away(how));
-        assert_eq!(other.whole("j", 2).await.len(), 2, "{how:?}");
+        assert_eq!(other.read_all("j", 2).await.len(), 2, "{how:?}");
         assert_eq!(owners(&world), before, "{how:?}");
-        assert_eq!(owner.submit("k", &["k1"]).await, Submitted::Kept, "{how:?}");
+        assert_eq!(owner.submit("k", &["k1"]).await, SubmitResult::Accepted, "{how:?}");
         let asked = world.links.requests().len();
         owner.line.fail(Faults::default());
-        pass(3_000).await;
+        sleep_ms(3_000).await;
         owner.app().read("j", 0, Duration::ZERO).await;
-        pass(5_000).await;
+        sleep_ms(5_000).await;
         let after = world.links.requests();
         let peer_calls =
             after[asked..].iter().filter(|a| matches!(a, PeerRequest::Store(_))).count();
@@ -262,9 +269,9 @@
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
     other.line.fail(away(Away::Refusing));
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     world.configure(7);
-    pass(1_500).await;
+    sleep_ms(1_500).await;
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
@@ -276,9 +283,9 @@
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
     other.line.fail(away(Away::Hanging));
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     world.configure(7);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
@@ -292,9 +299,9 @@
         world.replicas.length("i1", 10);
         nodes[1].submit("j", &["i1"]).await;
         nodes.iter().for_each(|node| node.line.fail(away(Away::Silent)));
-        pass(2_900 + extra_ms).await;
+        sleep_ms(2_900 + extra_ms).await;
         nodes.iter().for_each(|node| node.line.fail(Faults::default()));
-        pass(1_000).await;
+        sleep_ms(1_000).await;
         assert!(!world.kv.items("mulberry/job/j/results").is_empty(), "after {extra_ms} ms");
         assert_eq!(world.kv.items("mulberry/live/node/").len(), 3, "after {extra_ms} ms");
     }
@@ -311,9 +318,9 @@
         asked.iter().filter(|a| matches!(a, PeerRequest::Store(StoreRequest::Txn(_)))).count()
     };
     owner.line.fail(Faults { lose: 1, ..Faults::default() });
-    assert_eq!(owner.submit("j", &["i1"]).await, Submitted::Kept);
+    assert_eq!(owner.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert!(writes() <= 1, "only the retry may go through another node");
-    other.whole("j", 1).await;
+    other.read_all("j", 1).await;
     let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(runs, 1);
 }
@@ -324,21 +331,21 @@
     let world = World::new();
     let nodes = start_three(&world).await;
     nodes.iter().for_each(|node| node.line.fail(away(Away::Refusing)));
-    pass(1_000).await;
+    sleep_ms(1_000).await;
     let before = world.links.requests().len();
-    pass(10_000).await;
+    sleep_ms(10_000).await;
     let asked = world.links.requests().len() - before;
     assert!(asked <= 3 * 10 * 5, "{asked} requests in ten seconds of three nodes");
     nodes.iter().for_each(|node| node.line.fail(Faults::default()));
-    pass(3_000).await;
-    assert_eq!(nodes[1].submit("j", &["i1"]).await, Submitted::Kept);
+    sleep_ms(3_000).await;
+    assert_eq!(nodes[1].submit("j", &["i1"]).await, SubmitResult::Accepted);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_unknown_job_is_unknown_on_linked_nodes() {
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
-    assert_eq!(other.app().read("none", 0, Duration::ZERO).await, Read::Unknown);
+    assert_eq!(other.app().read("none", 0, Duration::ZERO).await, ReadResult::Unknown);
 }
 
 /// Requests between nodes work over sockets as well.
@@ -359,14 +366,14 @@
     let got = client.request(server.address(), get, limit).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::KeyValue(item))));
     let submitted =
-        client.request(server.address(), PeerRequest::Submit(spec("j", &["i1"])), limit).await;
-    assert_eq!(submitted.unwrap(), PeerReply::Submitted(Submitted::Kept));
-    node.whole("j", 1).await;
+        client.request(server.address(), PeerRequest::Submit(job_spec("j", &["i1"])), limit).await;
+    assert_eq!(submitted.unwrap(), PeerReply::Submitted(SubmitResult::Accepted));
+    node.read_all("j", 1).await;
     let read = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
-    let PeerReply::Read(Some(Read::Page { total: 1, results })) =
+    let PeerReply::Read(Some(ReadResult::Page { total: 1, results })) =
         client.request(server.address(), read, limit).await.unwrap()
     else {
         panic!("no page");
     };
-    assert_eq!(results, node.page("j", 0).await);
+    assert_eq!(results, node.read_page("j", 0).await);
 }
