--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -260,8 +260,8 @@
     /// newer leader is known. `fencing_token` is the revision of the leader key that began the
     /// term.
     pub(super) fn holds_term(&self, fencing_token: u64) -> bool {
-        let seen = self.membership.lock().leader().map(|seen| seen.revision);
-        self.may_order() && seen.is_none_or(|revision| revision <= fencing_token)
+        let leader = self.membership.lock().leader().map(|leader| leader.revision);
+        self.may_order() && leader.is_none_or(|revision| revision <= fencing_token)
     }
 
     /// Returns how long a new leader waits before its first order. The previous leader sent its
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -30,19 +30,19 @@
             Some(ref owned) => Ok(Some(owned.record.lock().clone())),
             None => self.job_record(job).await,
         };
-        let mut seen = match known {
-            Ok(Some(seen)) => seen,
+        let mut stored = match known {
+            Ok(Some(stored)) => stored,
             Ok(None) => return Lookup::Unknown,
             Err(_) => return Lookup::Unsure,
         };
         loop {
-            if seen.value.ended {
+            if stored.value.ended {
                 return Lookup::Found(());
             }
-            let value = JobRecord { ended: true, done: true, ..seen.value.clone() };
+            let value = JobRecord { ended: true, done: true, ..stored.value.clone() };
             let Ok(value) = serde_json::to_vec(&value) else { return Lookup::Unsure };
             let key = job_record_key(job);
-            let txn = Txn::when(key.clone(), seen.revision).put(key.clone(), value);
+            let txn = Txn::when(key.clone(), stored.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
                 Ok(TxnOutcome::Done(_)) => {
                     self.tally.job(JobStep::Ended);
@@ -57,7 +57,7 @@
                         return Lookup::Unknown;
                     };
                     match serde_json::from_slice(&item.value) {
-                        Ok(value) => seen = Stored { value, revision: item.revision },
+                        Ok(value) => stored = Stored { value, revision: item.revision },
                         Err(_) => return Lookup::Unsure,
                     }
                 }
--- a/src/entry/peer/fallback_store.rs
+++ b/src/entry/peer/fallback_store.rs
@@ -169,8 +169,8 @@
         let first = state.nodes.first().copied();
         if nodes.len() > state.max_nodes {
             state.max_nodes = nodes.len();
-            let pace = fallback::probe_interval(nodes.len() + 1, rand::random());
-            state.fallback.set_probe_interval(pace, rand::random());
+            let interval = fallback::probe_interval(nodes.len() + 1, rand::random());
+            state.fallback.set_probe_interval(interval, rand::random());
         }
         state.nodes = nodes;
         if let Some(position) = state.nodes.iter().position(|n| Some(*n) == first) {
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -152,17 +152,18 @@
     /// Returns `known` if that incarnation is running, and otherwise the nodes that are preferred
     /// as owners of jobs.
     fn likely_owners(&self, known: Option<Name>) -> Vec<(Name, SocketAddr)> {
-        let live = self.membership.lock();
+        let membership = self.membership.lock();
         if let Some(incarnation) = known
-            && let Some(to) = live.peer_of(&incarnation)
+            && let Some(to) = membership.peer_of(&incarnation)
         {
             return vec![(incarnation, to)];
         }
-        let names: Vec<Name> = live.peer_addresses().keys().cloned().collect();
+        let names: Vec<Name> = membership.peer_addresses().keys().cloned().collect();
         let routes = self.routes().map(|routes| routes.batch_routes()).unwrap_or_default();
         let owners = affinity::preferred(&routes, &names);
         let others = owners.values().filter(|name| **name != self.settings.name);
-        let mut likely: Vec<_> = others.filter_map(|name| live.incarnation_of(name)).collect();
+        let mut likely: Vec<_> =
+            others.filter_map(|name| membership.incarnation_of(name)).collect();
         likely.dedup();
         likely
     }
@@ -219,17 +220,17 @@
                 JobLocation::Owner { incarnation: incarnation.clone(), evidence };
             return Ok(Some(incarnation));
         }
-        let Some(seen) = self.job_record(job).await? else { return Ok(None) };
+        let Some(stored) = self.job_record(job).await? else { return Ok(None) };
         let mut state = remote.state.lock();
-        state.sample_count = Some(seen.value.sample_count);
-        if seen.value.ended {
+        state.sample_count = Some(stored.value.sample_count);
+        if stored.value.ended {
             state.location = JobLocation::Store;
             state.ended = true;
             return Ok(None);
         }
         state.location =
-            JobLocation::Owner { incarnation: seen.value.incarnation.clone(), evidence };
-        Ok(Some(seen.value.incarnation))
+            JobLocation::Owner { incarnation: stored.value.incarnation.clone(), evidence };
+        Ok(Some(stored.value.incarnation))
     }
 
     /// Asks a node for the changes of a feed after a revision. None if it does not have them.
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -94,12 +94,15 @@
     /// that ranks next. Empty while there is no leader, because ranks change with every node
     /// that comes back.
     fn collectors(&self) -> Vec<SocketAddr> {
-        let live = self.membership.lock();
-        let Some(seen) = live.leader() else { return Vec::new() };
-        let (candidates, leader) = (live.serving_incarnations(), &seen.value.incarnation);
+        let membership = self.membership.lock();
+        let Some(stored) = membership.leader() else { return Vec::new() };
+        let (candidates, leader) = (membership.serving_incarnations(), &stored.value.incarnation);
         let ranked = rank(LEADER_KEY, candidates.iter().map(|l| &**l));
         let successors = ranked.into_iter().filter(|l| **leader != **l);
         let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
-        collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer_of(l)).collect()
+        collectors
+            .filter(|l| **l != *self.incarnation)
+            .filter_map(|l| membership.peer_of(l))
+            .collect()
     }
 }
