--- a/src/decide/claim/commits.rs
+++ b/src/decide/claim/commits.rs
@@ -10,11 +10,11 @@
 };
 use crate::{Moment, Name};
 
-/// How long a node that lost a partition redirects requests to the new home.
+/// How long a node that lost a partition redirects requests to the new owner.
 const REDIRECT_DURATION: Moment = Moment::from_secs(2);
 
 impl ClaimJournal {
-    /// Handles the result of the swap that is under way.
+    /// Handles the result of the swap in progress.
     pub fn swap_completed(&mut self, result: SwapResult, now: Moment) {
         let state = std::mem::replace(&mut self.state, State::Open);
         let (mut commit, sealing) = match state {
@@ -31,7 +31,7 @@
                 self.commit_applied(commit, revision, sealing, now);
             }
             // A failed compare against a revision that is not newer comes from a lagging
-            // replica and says nothing about the swap.
+            // replica and does not tell whether the swap was applied.
             SwapResult::Conflict(Some((_, revision))) if revision <= commit.expected => {
                 commit.may_be_applied = true;
                 if sealing {
--- a/src/decide/claim/decision.rs
+++ b/src/decide/claim/decision.rs
@@ -1,4 +1,4 @@
-//! The answer of a home node to a claim request.
+//! The answer of an owner to a claim request.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     pub runner: Name,
     /// The attempt.
     pub nonce: u64,
-    /// How the call ended, if it has and the home node knows.
+    /// How the call ended, if it has and the owner knows.
     pub outcome: Option<ClaimOutcome>,
 }
 
@@ -27,7 +27,7 @@
     Held(Holder),
     /// The key is held for different content.
     KeyReused,
-    /// Another node is the home of the partition.
+    /// Another node is the owner of the partition.
     Moved(Name),
     /// Nothing can be recorded now; the caller may retry after this time.
     Unavailable(Duration),
--- a/src/decide/claim/head.rs
+++ b/src/decide/claim/head.rs
@@ -21,9 +21,9 @@
 pub struct PartitionHead {
     /// The storage format, [`FORMAT_VERSION`].
     pub format: u8,
-    /// Incremented with every change of the home node.
+    /// Incremented with every change of the owner.
     pub epoch: u64,
-    /// The home node of the partition.
+    /// The owner of the partition.
     pub owner: Name,
     /// Random number of the commit that wrote this head. It identifies the commit when its
     /// reply was lost.
@@ -46,7 +46,7 @@
 }
 
 impl PartitionHead {
-    /// The head with which a new home node replaces `before`.
+    /// The head with which a new owner replaces `before`.
     pub(super) fn sealed(before: Option<&Self>, owner: Name, nonce: u64) -> Self {
         match before {
             Some(head) => Self { epoch: head.epoch + 1, owner, nonce, ..head.clone() },
--- a/src/decide/claim/journal.rs
+++ b/src/decide/claim/journal.rs
@@ -1,8 +1,8 @@
 //! The journal of one partition at one node: takes claim requests and produces commits.
 //!
-//! A new home node first seals the partition: it replaces the head by compare-and-swap
+//! A new owner first seals the partition: it replaces the head by compare-and-swap
 //! against the revision that it read. Every commit is a compare-and-swap too, so the next
-//! commit of a home node that was paused during another node's seal fails, whatever its
+//! commit of an owner that was paused during another node's seal fails, whatever its
 //! clock says. A commit without a reply is sent again unchanged: it either is applied now,
 //! or conflicts with a head that carries its own nonce, which shows that it was applied
 //! before.
@@ -75,7 +75,7 @@
 
 #[derive(Debug, Clone)]
 pub(super) enum State {
-    /// This node is not the home node. Until `until`, requests are redirected to the owner
+    /// This node is not the owner. Until `until`, requests are redirected to the owner
     /// or, if there is none, refused.
     Closed { owner: Option<Name>, until: Moment },
     /// The head is being read.
@@ -84,9 +84,9 @@
     Sealing(Commit),
     /// The segments from this number on have still to be read.
     Loading(u64),
-    /// This node is the home node; no commit is in progress.
+    /// This node is the owner; no commit is in progress.
     Open,
-    /// This node is the home node; a commit is in progress.
+    /// This node is the owner; a commit is in progress.
     Committing(Commit),
 }
 
@@ -157,8 +157,8 @@
         }
     }
 
-    /// Records the outcome of a claimed call. Returns false if this node is not the home
-    /// node of the claim.
+    /// Records the outcome of a claimed call. Returns false if this node is not the owner of
+    /// the partition.
     pub fn call_ended(
         &mut self,
         key: ClaimKey,
@@ -233,7 +233,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Whether this node is the home node of the partition.
+    /// Whether this node is the owner of the partition.
     pub fn is_open(&self) -> bool {
         matches!(self.state, State::Open | State::Committing(_))
     }
--- a/src/decide/claim/key.rs
+++ b/src/decide/claim/key.rs
@@ -1,4 +1,4 @@
-//! Keys of claims, the partitions of the key space, and the home node of a partition.
+//! Keys of claims, the partitions of the key space, and the owner of a partition.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -36,7 +36,7 @@
         (self.0 % u128::from(PARTITION_COUNT)) as u16
     }
 
-    /// The rendezvous hash key by which the home node of the key's partition is found.
+    /// The rendezvous hash key by which the owner of the key's partition is found.
     pub fn placement_key(self) -> String {
         placement_key(self.partition())
     }
@@ -48,8 +48,8 @@
     }
 }
 
-/// The home node of a partition among the serving nodes.
-pub fn home_node<'a>(
+/// The owner of a partition among the serving nodes.
+pub fn partition_owner<'a>(
     partition: u16,
     serving: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
--- a/src/decide/claim/resolve.rs
+++ b/src/decide/claim/resolve.rs
@@ -13,7 +13,7 @@
 pub enum Resolution {
     /// Return the cached answer.
     Answer(CachedAnswer),
-    /// The holder never ran: report that to the home node, and claim again.
+    /// The holder never ran: report that to the owner, and claim again.
     Release,
     /// Refuse the request.
     Refuse(Refusal),
@@ -26,9 +26,9 @@
     Known(AttemptState),
     /// The runner answers but does not know the attempt: it restarted, or forgot it.
     Forgotten,
-    /// The runner does not answer, but there was a sign of life from it lately.
+    /// The runner does not answer, but it was recently seen alive.
     Unresponsive,
-    /// The runner does not answer, and there was no sign of life from it lately.
+    /// The runner does not answer, and it was not recently seen alive.
     Unreachable,
 }
 
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -1,6 +1,6 @@
 //! The concurrency limit of one upstream, adapted to the upstream's latency.
 //!
-//! Load pattern: an upstream gets slow, or is smaller than the bundle says. With a fixed
+//! Load pattern: an upstream gets slow, or has less capacity than the bundle configures. With a fixed
 //! limit, requests pile up inside it, where they can neither be refused nor moved, and every
 //! answer is late. The limit rises while answers take the usual time per unit of cost, and
 //! falls when they take twice as long, or when the upstream refuses.
--- a/src/decide/dispatch/pending.rs
+++ b/src/decide/dispatch/pending.rs
@@ -31,7 +31,7 @@
     /// Whether part of its answer was received.
     pub(super) has_progress: bool,
     /// Whether any attempt so far may have run. The worst outcome of all attempts decides
-    /// what a refusal says, not the last one.
+    /// what a refusal reports, not the last one.
     pub(super) may_have_run: bool,
     /// The upstream of the last attempt, which the next one avoids.
     pub(super) avoid: Option<UpstreamKey>,
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -1,4 +1,4 @@
-//! How an attempt at an upstream ended, and what all attempts say about a request.
+//! How an attempt at an upstream ended, and whether a request may have run in any attempt.
 
 use serde::{Deserialize, Serialize};
 
@@ -63,7 +63,7 @@
 
 impl AttemptHistory {
     /// The history of a request without attempts.
-    #[allow(clippy::new_without_default)] // each place that starts a history says so
+    #[allow(clippy::new_without_default)] // starting a history has to be explicit
     pub fn new() -> Self {
         Self { may_have_run: false }
     }
@@ -76,7 +76,7 @@
         };
     }
 
-    /// The refusal to return after these attempts: one that says "not run" becomes
+    /// The refusal to return after these attempts: one that reports "not run" becomes
     /// [`Kind::OutcomeUnknown`] if the request may have run.
     pub fn adjust(self, refusal: Refusal) -> Refusal {
         match refusal.run() {
--- a/src/decide/quarantine/trial_locks.rs
+++ b/src/decide/quarantine/trial_locks.rs
@@ -11,7 +11,7 @@
     until: Moment,
 }
 
-/// The trial locks of the upstreams for which this node is the home node.
+/// The trial locks of the upstreams for which this node is the owner.
 ///
 /// Each of two suspects at one upstream would be blamed for the other's crash. A holder that
 /// dies blocks an upstream for other suspects only, and only until its lock expires.
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -77,7 +77,7 @@
         let route = routes.find(&spec.host, &spec.path)?;
         let nodes = self.membership.lock().peer_addresses();
         let names: Vec<Name> = nodes.keys().cloned().collect();
-        let owners = affinity::preferred_homes(&routes.batch_routes(), &names);
+        let owners = affinity::preferred_owners(&routes.batch_routes(), &names);
         let owner = owners.get(&route.name).filter(|owner| **owner != self.settings.name)?;
         let to = *nodes.get(owner)?;
         (!self.is_unreachable(to)).then_some(to)
@@ -160,7 +160,7 @@
         }
         let names: Vec<Name> = live.peer_addresses().keys().cloned().collect();
         let routes = self.routes().map(|routes| routes.batch_routes()).unwrap_or_default();
-        let owners = affinity::preferred_homes(&routes, &names);
+        let owners = affinity::preferred_owners(&routes, &names);
         let others = owners.values().filter(|name| **name != self.settings.name);
         let mut likely: Vec<_> = others.filter_map(|name| live.incarnation_of(name)).collect();
         likely.dedup();
--- a/tests/claims/parts.rs
+++ b/tests/claims/parts.rs
@@ -5,7 +5,7 @@
 use mulberrycourse::decide::claim::{
     AttemptState, Attempts, CLAIM_RETENTION, CachedAnswer, ClaimDecision, ClaimIndex, ClaimJournal,
     ClaimKey, ClaimOutcome, ClaimRequest, JournalAction, JournalEntry, MAX_SEGMENT_ENTRIES,
-    Segment, SwapResult, home_node,
+    Segment, SwapResult, partition_owner,
 };
 use mulberrycourse::error::{Kind, Run};
 
@@ -199,11 +199,11 @@
     assert_ne!(ClaimKey::new("sync", "a", "bc"), ClaimKey::new("sync", "ab", "c"));
     let names = ["a", "b", "c", "d", "e", "f", "g"];
     for partition in 0..16 {
-        let all = home_node(partition, names).unwrap();
-        let fewer = home_node(partition, names.into_iter().filter(|n| *n != "c")).unwrap();
+        let all = partition_owner(partition, names).unwrap();
+        let fewer = partition_owner(partition, names.into_iter().filter(|n| *n != "c")).unwrap();
         assert!(all == fewer || all == "c");
     }
-    assert_eq!(home_node(0, []), None);
+    assert_eq!(partition_owner(0, []), None);
 }
 
 /// What is told of a claim: only a claim that can't be recorded counts as not run.
--- a/tests/claims_processes.rs
+++ b/tests/claims_processes.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use mulberrycourse::decide::claim::{ClaimKey, home_node};
+use mulberrycourse::decide::claim::{ClaimKey, partition_owner};
 use mulberrycourse::edge::peer::NodeState;
 use standins::caller::{Answered, send};
 use standins::daemon::Daemon;
@@ -86,7 +86,7 @@
 
 /// Keys of one partition whose home is `name`, and the key of its head.
 fn homed_at(name: &str) -> (Vec<String>, String) {
-    let partition = (0..16).find(|p| home_node(*p, NAMES) == Some(name)).unwrap();
+    let partition = (0..16).find(|p| partition_owner(*p, NAMES) == Some(name)).unwrap();
     let keys = (0..).map(|n| format!("key-{n}"));
     let of = |key: &String| ClaimKey::new("sync", "shop", key).partition() == partition;
     (keys.filter(of).take(2).collect(), format!("claims/{partition:02x}/head"))
