--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -23,11 +23,11 @@
     pub async fn end_job(self: &Arc<Self>, job: &str) -> Lookup<()> {
         let started = self.now();
         let owned = self.owned_jobs.get(job);
-        if let Some(home) = &owned {
-            self.stop_job(home);
+        if let Some(owned) = &owned {
+            self.stop_job(owned);
         }
         let known = match owned {
-            Some(ref home) => Ok(Some(home.record.lock().clone())),
+            Some(ref owned) => Ok(Some(owned.record.lock().clone())),
             None => self.job_record(job).await,
         };
         let mut seen = match known {
@@ -47,8 +47,8 @@
                 Ok(TxnOutcome::Done(_)) => {
                     self.tally.job(JobStep::Ended);
                     tracing::info!(event = "job_ended", job);
-                    if let Some(home) = owned {
-                        self.retain_ended(home);
+                    if let Some(owned) = owned {
+                        self.retain_ended(owned);
                     }
                     return Lookup::Found(());
                 }
