--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -93,7 +93,7 @@
 }
 
 impl<'a> Held<'a> {
-    /// A place that was counted by [`Fleet::start`] already.
+    /// A place that was counted by [`Fleet::start_attempt`] already.
     pub(super) fn began(app: &'a App, target: Target) -> Self {
         Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _wanted: None }
     }
