--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -15,8 +15,8 @@
 use super::counted_store::CountedStore;
 use super::ended_jobs::EndedJobs;
 use super::follow::Feeds;
-use super::homes::Homes;
-use super::live::Live;
+use super::membership::Membership;
+use super::owned_jobs::OwnedJobs;
 use super::peer::{FallbackStore, Peers};
 use super::ports::Ports;
 use super::remote_jobs::RemoteJobs;
@@ -73,9 +73,9 @@
     /// The replicas and the samples that wait for their slots.
     pub(super) slots: Slots,
     /// The registered nodes and the leader.
-    pub(super) membership: Mutex<Live>,
+    pub(super) membership: Mutex<Membership>,
     /// The jobs that this node owns.
-    pub(super) owned_jobs: Homes,
+    pub(super) owned_jobs: OwnedJobs,
     /// Jobs that ran here and have ended.
     pub(super) ended_jobs: EndedJobs,
     /// What other nodes may follow on this node.
@@ -157,7 +157,7 @@
             slot_load: Mutex::default(),
             slots,
             membership: Mutex::default(),
-            owned_jobs: Homes::default(),
+            owned_jobs: OwnedJobs::default(),
             ended_jobs: EndedJobs::default(),
             feeds: Feeds::default(),
             remote_jobs: RemoteJobs::default(),
@@ -260,7 +260,7 @@
     /// newer leader is known. `fencing_token` is the revision of the leader key that began the
     /// term.
     pub(super) fn holds_term(&self, fencing_token: u64) -> bool {
-        let seen = self.membership.lock().holder().map(|seen| seen.revision);
+        let seen = self.membership.lock().leader().map(|seen| seen.revision);
         self.may_order() && seen.is_none_or(|revision| revision <= fencing_token)
     }
 
--- a/src/entry/entry_node.rs
+++ b/src/entry/entry_node.rs
@@ -9,7 +9,7 @@
 use super::peer::Peers;
 use super::ports::Ports;
 use super::usage::share_counts;
-use super::{member, mover, takeover};
+use super::{leader, registration, takeover};
 use crate::metrics::Tally;
 use crate::settings::EntrySettings;
 
@@ -46,14 +46,14 @@
             app.spawn(follow(app.clone(), Topic::Routes));
             app.spawn(follow(app.clone(), Topic::Replicas));
             app.spawn(follow(app.clone(), Topic::Nodes));
-            app.spawn(member::keep(app.clone()));
-            app.spawn(takeover::follow(app.clone()));
-            app.spawn(mover::give(app.clone()));
+            app.spawn(registration::maintain_registration(app.clone()));
+            app.spawn(takeover::run_takeover(app.clone()));
+            app.spawn(leader::run_leader(app.clone()));
             if let Some(usage) = app.usage.clone() {
                 app.spawn(share_counts(app.clone(), usage));
             }
             let waiting = app.clone();
-            app.spawn(async move { waiting.look().await });
+            app.spawn(async move { waiting.retry_waiting().await });
         }
         Self { app }
     }
@@ -78,13 +78,13 @@
         // lease ends.
         let handover = async {
             self.app.hand_over().await;
-            self.app.leave().await;
+            self.app.deregister().await;
         };
         if tokio::time::timeout(grace / HANDOVER_GRACE_DIVISOR, handover).await.is_err() {
             tracing::warn!(event = "handover_timed_out", node = %self.app.settings.name);
         }
-        let cached = Duration::from_secs(self.app.settings.address_ttl) * CLIENT_CACHE_FACTOR
-            + CONNECT_MARGIN;
+        let cached =
+            Duration::from_secs(self.app.settings.ttl_secs) * CLIENT_CACHE_FACTOR + CONNECT_MARGIN;
         let left = (grace / 2 + CONNECT_MARGIN).saturating_sub(self.app.now() - started);
         tokio::time::sleep(cached.min(left)).await;
     }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -8,26 +8,26 @@
 
 mod addresses;
 mod app;
+mod attempt;
 mod counted_store;
 mod end_job;
 mod ended_jobs;
 mod entry_node;
+mod fenced_value;
 mod follow;
-mod home;
-mod homes;
 mod keys;
-mod listing;
-mod live;
-mod member;
-mod mover;
+mod leader;
+mod membership;
+mod owned_jobs;
 mod peer;
 mod ports;
 mod read;
-mod record;
+mod registration;
 mod relay;
 mod remote_jobs;
+mod results;
 mod retire;
-mod run;
+mod runner;
 mod sample;
 mod scale;
 mod score;
@@ -45,6 +45,6 @@
     StoreRequest,
 };
 pub use ports::Ports;
-pub use read::{Found, Read};
-pub use relay::{Ask, Given};
-pub use submit::Submitted;
+pub use read::{Lookup, ReadResult};
+pub use relay::{RelayRequest, RelayResponse};
+pub use submit::SubmitResult;
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -1,4 +1,4 @@
-//! Taking in a batch job: it lies in the store before it is accepted.
+//! Accepting a batch job: it is written to the store before it is acknowledged.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -7,40 +7,41 @@
 use serde::{Deserialize, Serialize};
 
 use super::app::App;
-use super::home::Kept;
-use super::keys::{HomeValue, home, part};
-use super::live::Seen;
+use super::keys::{JobRecord, job_record_key, spec_part_key};
+use super::membership::Stored;
 use super::peer::ForwardOutcome;
+use super::runner::RestoredJob;
 use super::takeover;
 use crate::Name;
 use crate::decide::job::JobSpec;
 use crate::edge::store::{StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
-/// Writes of one transaction, less the home's own key.
-const PARTS: usize = 24;
-/// Room that a value keeps free, in bytes.
-pub(super) const SPARE: usize = 4_096;
-/// How long a submission whose write was not answered is tried again: a trainer's own
-/// limit for the answer is a few seconds.
-const TRY: Duration = Duration::from_millis(2_000);
-/// The pause between tries.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Most parts of a submission: they and the job's record are written in one transaction.
+const MAX_SPEC_PARTS: usize = 24;
+/// Bytes of a value that are left unused, so that it stays below the store's limit.
+pub(super) const VALUE_RESERVE_BYTES: usize = 4_096;
+/// How long the write of a submission is retried. A trainer's own timeout for the answer is a
+/// few seconds.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Pause between attempts to write a submission.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The end of a submission.
+/// The result of a submission.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Submitted {
-    /// The job is kept, from this submission or an earlier one.
-    Kept,
-    /// It is not kept, and never will be from this submission.
+pub enum SubmitResult {
+    /// The job is in the store, from this submission or an earlier one.
+    Accepted,
+    /// The job is not in the store, and this submission never will put it there; with the
+    /// reason.
     Refused(Name),
-    /// It may be kept.
+    /// The job may be in the store.
     Unknown,
 }
 
 impl App {
-    /// Takes in a job.
-    pub async fn submit(self: &Arc<Self>, spec: JobSpec) -> Submitted {
+    /// Accepts a job, at this node or at one that it forwards the job to.
+    pub async fn submit(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let kept = self.owned_jobs.get(&spec.id).is_some();
         let passed = if kept || self.draining() {
             ForwardOutcome::Not
@@ -48,118 +49,127 @@
             self.forward_job(&spec).await
         };
         match passed {
-            ForwardOutcome::Kept => Submitted::Kept,
-            ForwardOutcome::Not => self.accept(spec).await,
-            // What the other may have written is found there as this node writes. Where it
-            // can't, nobody knows.
-            ForwardOutcome::Unsure => match self.accept(spec).await {
-                Submitted::Refused(_) => Submitted::Unknown,
+            ForwardOutcome::Kept => SubmitResult::Accepted,
+            ForwardOutcome::Not => self.accept_here(spec).await,
+            // If the other node has written the job, this node's own write finds it in the
+            // store. If this write fails as well, the outcome is unknown.
+            ForwardOutcome::Unsure => match self.accept_here(spec).await {
+                SubmitResult::Refused(_) => SubmitResult::Unknown,
                 submitted => submitted,
             },
         }
     }
 
-    /// Takes in a job at this node.
-    pub(super) async fn accept(self: &Arc<Self>, spec: JobSpec) -> Submitted {
-        let submitted = self.take_in(spec).await;
+    /// Accepts a job at this node, and counts the outcome.
+    pub(super) async fn accept_here(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
+        let submitted = self.store_job(spec).await;
         self.tally.job(match submitted {
-            Submitted::Kept => JobStep::Accepted,
-            Submitted::Refused(_) => JobStep::Refused,
-            Submitted::Unknown => JobStep::Unsure,
+            SubmitResult::Accepted => JobStep::Accepted,
+            SubmitResult::Refused(_) => JobStep::Refused,
+            SubmitResult::Unknown => JobStep::Unsure,
         });
         submitted
     }
 
-    async fn take_in(self: &Arc<Self>, spec: JobSpec) -> Submitted {
+    async fn store_job(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let id = spec.id.clone();
         if self.owned_jobs.get(&id).is_some() {
-            return Submitted::Kept;
+            return SubmitResult::Accepted;
         }
         if self.draining() {
-            return Submitted::Refused("draining".into());
+            return SubmitResult::Refused("draining".into());
         }
         let Ok(bytes) = bincode::serde::encode_to_vec(&spec, bincode::config::standard()) else {
-            return Submitted::Refused("unreadable".into());
+            return SubmitResult::Refused("unreadable".into());
         };
         let parts: Vec<Bytes> = Bytes::from(bytes)
-            .chunks(self.settings.max_value - SPARE)
+            .chunks(self.settings.value_bytes - VALUE_RESERVE_BYTES)
             .map(Bytes::copy_from_slice)
             .collect();
-        if parts.len() > PARTS {
-            return Submitted::Refused("too_large".into());
+        if parts.len() > MAX_SPEC_PARTS {
+            return SubmitResult::Refused("too_large".into());
         }
-        let value = HomeValue {
-            life: self.incarnation.clone(),
-            total: spec.items.len(),
-            parts: parts.len(),
+        let value = JobRecord {
+            incarnation: self.incarnation.clone(),
+            sample_count: spec.items.len(),
+            part_count: parts.len(),
             done: false,
             ended: false,
-            since: unix_millis(),
+            accepted_ms: unix_millis(),
         };
         let Ok(written) = serde_json::to_vec(&value) else {
-            return Submitted::Refused("unreadable".into());
+            return SubmitResult::Refused("unreadable".into());
         };
-        let key = home(&id);
+        let key = job_record_key(&id);
         let mut txn = Txn::when(key.clone(), 0).put(key, written);
         for (index, bytes) in parts.into_iter().enumerate() {
-            txn = txn.put(part(&id, index), bytes);
+            txn = txn.put(spec_part_key(&id, index), bytes);
         }
         let spec = Arc::new(spec);
-        self.write(spec, value, txn).await
+        self.write_submission(spec, value, txn).await
     }
 
-    async fn write(self: &Arc<Self>, spec: Arc<JobSpec>, value: HomeValue, txn: Txn) -> Submitted {
-        let begun = self.now();
-        let mut unsure = false;
-        let mut looked = false;
+    async fn write_submission(
+        self: &Arc<Self>,
+        spec: Arc<JobSpec>,
+        value: JobRecord,
+        txn: Txn,
+    ) -> SubmitResult {
+        let started_at = self.now();
+        let mut outcome_unknown = false;
+        let mut probed = false;
         loop {
             let reason = match self.store.txn(txn.clone()).await {
                 Ok(TxnOutcome::Done(revision)) => {
                     tracing::info!(event = "job_accepted", job = %spec.id, items = spec.items.len(), revision);
-                    self.run(spec, Kept::default(), Seen { value, revision });
-                    return Submitted::Kept;
+                    self.run_job(spec, RestoredJob::default(), Stored { value, revision });
+                    return SubmitResult::Accepted;
                 }
-                // It lies there already: from an earlier try, or through another node.
+                // The job is in the store already: from an earlier attempt, or through another
+                // node.
                 Ok(TxnOutcome::Conflict(items)) => {
                     let own = items.first().and_then(|item| {
-                        let value: HomeValue = serde_json::from_slice(&item.value).ok()?;
-                        let seen = Seen { value, revision: item.revision };
-                        (seen.value.life == self.incarnation && !seen.value.done).then_some(seen)
+                        let value: JobRecord = serde_json::from_slice(&item.value).ok()?;
+                        let seen = Stored { value, revision: item.revision };
+                        (seen.value.incarnation == self.incarnation && !seen.value.done)
+                            .then_some(seen)
                     });
-                    // Results may lie there by now: it is read rather than begun anew.
+                    // The store may have results of it by now, so the job is resumed from the
+                    // store instead of being started anew.
                     if let Some(seen) = own {
                         tracing::info!(event = "job_accepted", job = %spec.id, late = true);
-                        takeover::begin(self, &spec.id, seen).await;
+                        takeover::resume_job(self, &spec.id, seen).await;
                     }
-                    return Submitted::Kept;
+                    return SubmitResult::Accepted;
                 }
-                Ok(TxnOutcome::NoLease) => return Submitted::Refused("no_lease".into()),
+                Ok(TxnOutcome::NoLease) => return SubmitResult::Refused("no_lease".into()),
                 Err(StoreError::Unknown(reason)) => {
-                    unsure = true;
+                    outcome_unknown = true;
                     reason
                 }
                 Err(StoreError::Refused(reason)) => reason,
                 Err(StoreError::Compacted) => "compacted".to_owned(),
             };
-            tracing::warn!(event = "submission_not_written", job = %spec.id, unsure, %reason);
-            if self.now().saturating_sub(begun) > TRY {
-                // An outage that has just ended costs no step: one look, and one try more.
-                if !looked && self.fallback_store.probe(&home(&spec.id)).await {
-                    looked = true;
+            tracing::warn!(event = "submission_not_written", job = %spec.id, unsure = outcome_unknown, %reason);
+            if self.now().saturating_sub(started_at) > WRITE_TIMEOUT {
+                // An outage that has just ended must not cost a training step: the store is
+                // probed once, and the write is tried once more.
+                if !probed && self.fallback_store.probe(&job_record_key(&spec.id)).await {
+                    probed = true;
                     continue;
                 }
-                if unsure {
-                    self.expect(spec.id.clone());
-                    return Submitted::Unknown;
+                if outcome_unknown {
+                    self.watch_for_late_write(spec.id.clone());
+                    return SubmitResult::Unknown;
                 }
-                return Submitted::Refused("store_away".into());
+                return SubmitResult::Refused("store_away".into());
             }
-            self.fallback_store.wait_for_recovery(PAUSE).await;
+            self.fallback_store.wait_for_recovery(RETRY_PAUSE).await;
         }
     }
 }
 
-/// The time of day.
+/// Milliseconds since the Unix epoch.
 pub(super) fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -5,7 +5,7 @@
 use standins::kv::{Away, Faults};
 
 use crate::links::Link;
-use crate::world::{Node, World, calls, pass, refusals, used};
+use crate::world::{Node, World, answered_calls, plain_replicas_used, refused_calls, sleep_ms};
 
 /// More nodes than may all watch the store themselves.
 const NODE_COUNT: u8 = 20;
@@ -14,9 +14,11 @@
 async fn start_nodes(world: &World) -> Vec<Node> {
     let mut nodes = Vec::new();
     for letter in b'a'..b'a' + NODE_COUNT {
-        nodes.push(world.linked_that_drains(&char::from(letter).to_string(), drain()).await);
+        nodes.push(
+            world.linked_node_with_drain_time(&char::from(letter).to_string(), drain()).await,
+        );
     }
-    pass(5_000).await;
+    sleep_ms(5_000).await;
     nodes
 }
 
@@ -26,7 +28,7 @@
 
 /// Returns how many watches each node has made.
 fn watch_calls(nodes: &[Node]) -> Vec<u64> {
-    nodes.iter().map(|node| calls(node, "Watch")).collect()
+    nodes.iter().map(|node| answered_calls(node, "Watch")).collect()
 }
 
 /// Returns the indexes of the nodes that watch the store for others: they make the most watches.
@@ -34,10 +36,10 @@
     let before = watch_calls(nodes);
     for turn in 0..40 {
         world.replicas.list("plain", "p2", turn % 2 == 0);
-        pass(250).await;
+        sleep_ms(250).await;
     }
     world.replicas.list("plain", "p2", false);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let after = watch_calls(nodes);
     (0..nodes.len()).filter(|i| after[*i] - before[*i] > 5).collect()
 }
@@ -56,11 +58,11 @@
     let world = World::new();
     let nodes = start_nodes(&world).await;
     world.replicas.list("plain", "p2", false);
-    pass(50).await;
+    sleep_ms(50).await;
     world.replicas.list("plain", "p1", true);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     for node in &nodes {
-        let used = used(&world, node, "t").await;
+        let used = plain_replicas_used(&world, node, "t").await;
         assert!(used.iter().all(|r| r == "p2"), "{}: {used:?}", node.app().settings.name);
     }
 }
@@ -90,12 +92,12 @@
             }
         }
         world.replicas.list("plain", "p1", true);
-        pass(2_800).await;
+        sleep_ms(2_800).await;
         for (i, node) in nodes.iter().enumerate() {
             if fate == "disconnected" && watchers.contains(&i) {
                 continue;
             }
-            let used = used(&world, node, "t").await;
+            let used = plain_replicas_used(&world, node, "t").await;
             assert!(used.iter().all(|r| r == "p2"), "{fate}: {used:?}");
         }
     }
@@ -109,9 +111,9 @@
     let nodes = start_nodes(&world).await;
     world.replicas.list("plain", "p1", true);
     world.kv.compact();
-    pass(2_500).await;
+    sleep_ms(2_500).await;
     for node in &nodes {
-        let used = used(&world, node, "t").await;
+        let used = plain_replicas_used(&world, node, "t").await;
         assert!(used.iter().all(|r| r == "p2"), "{used:?}");
     }
 }
@@ -122,12 +124,12 @@
 async fn missed_changes_are_fetched_from_the_watchers() {
     let world = World::new();
     let nodes = start_nodes(&world).await;
-    let ranges = |nodes: &[Node]| nodes.iter().map(|n| calls(n, "Range")).sum::<u64>();
+    let ranges = |nodes: &[Node]| nodes.iter().map(|n| answered_calls(n, "Range")).sum::<u64>();
     let before = ranges(&nodes);
     for version in 2..6 {
         world.configure(version);
         world.kv.compact();
-        pass(3_000).await;
+        sleep_ms(3_000).await;
     }
     for node in &nodes {
         assert_eq!(node.app().routes().unwrap().version, 5);
@@ -141,7 +143,7 @@
     let world = World::new();
     let nodes = start_nodes(&world).await;
     world.configure(7);
-    pass(500).await;
+    sleep_ms(500).await;
     for node in &nodes {
         assert_eq!(node.app().routes().unwrap().version, 7, "{}", node.app().settings.name);
     }
@@ -152,23 +154,23 @@
 #[tokio::test(start_paused = true)]
 async fn a_node_that_starts_in_an_outage_serves_from_the_snapshot_of_another() {
     let world = World::new();
-    let seed = world.linked("a").await;
-    pass(1_000).await;
+    let seed = world.linked_node("a").await;
+    sleep_ms(1_000).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
     seed.line.fail(away);
-    pass(4_000).await;
-    let started = world.begin_linked("b", &seed, away);
-    pass(1_000).await;
+    sleep_ms(4_000).await;
+    let started = world.start_linked("b", &seed, away);
+    sleep_ms(1_000).await;
     assert!(
         started.app().routes_may_be_stale(),
         "a route that is not known here may have been added"
     );
     assert!(!started.app().ready(), "no client is directed to a node that is not registered");
-    assert_eq!(used(&world, &started, "t").await.len(), 6);
+    assert_eq!(plain_replicas_used(&world, &started, "t").await.len(), 6);
     seed.line.fail(Faults::default());
     started.line.fail(Faults::default());
     world.configure(9);
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     assert!(!started.app().routes_may_be_stale());
     assert!(started.app().ready());
     assert_eq!(started.app().routes().unwrap().version, 9);
@@ -181,16 +183,16 @@
     let world = World::new();
     let nodes = start_nodes(&world).await;
     let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
-    let refused = |nodes: &[Node]| nodes.iter().map(refusals).sum::<u64>();
+    let refused = |nodes: &[Node]| nodes.iter().map(refused_calls).sum::<u64>();
     nodes.iter().for_each(|n| n.line.fail(away));
-    pass(2_000).await;
+    sleep_ms(2_000).await;
     let before = refused(&nodes);
-    pass(4_000).await;
+    sleep_ms(4_000).await;
     let probes = refused(&nodes) - before;
     assert!(probes <= 100, "{probes} calls in four seconds of an outage");
     nodes.iter().for_each(|n| n.line.fail(Faults::default()));
     world.configure(9);
-    pass(600).await;
+    sleep_ms(600).await;
     let late = nodes.iter().filter(|n| n.app().routes().unwrap().version != 9).count();
     assert_eq!(late, 0);
 }
