--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -1,4 +1,4 @@
-//! Requests to other nodes, over one connection to each.
+//! The client for requests to other nodes. It keeps one connection to each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,119 +19,127 @@
 use crate::decide::Transfer;
 use crate::metrics::Traffic;
 
-/// How long a connection may read_piece to open: a few ways between regions. A machine without power
-/// does not refuse, and an attempt that was begun before it is back stays open for a second.
-const CONNECT: Duration = Duration::from_millis(150);
-/// A connection that was not used for so long is closed: gossip goes to random
-/// nodes, and a connection to each of 380 would read_piece more memory than control may.
-const IDLE: Duration = Duration::from_secs(30);
+/// How long a connection may take to open: a few trips between regions. A machine without power
+/// does not refuse connections, and an attempt that began before the machine is back stays open
+/// for a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long an unused connection is kept open. Gossip goes to random nodes, and a connection to
+/// each of 380 nodes would take more memory than the control traffic is allowed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a peer did not reply.
+/// Why there is no reply of a peer.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// No connection: the request was not sent.
+    /// No connection was opened, so the request was not sent.
     #[error("can't connect to {to}: {reason}")]
     Connect {
-        /// The peer.
+        /// The address of the peer.
         to: SocketAddr,
-        /// What failed.
+        /// The cause.
         reason: String,
     },
-    /// The connection broke; the request may have been received.
-    #[error("the connection to {to} broke: {reason}")]
+    /// The connection failed. The request may have been received.
+    #[error("the connection to {to} failed: {reason}")]
     Interrupted {
-        /// The peer.
+        /// The address of the peer.
         to: SocketAddr,
-        /// What failed.
+        /// The cause.
         reason: String,
     },
-    /// No reply in time, or no more of it; the request may have been received.
-    #[error("{to} did not reply within {timeout:?}, {received} bytes had come")]
+    /// The reply did not begin in time, or stopped before its end. The request may have been
+    /// received.
+    #[error("{to} did not reply within {timeout:?}, {received} bytes were received")]
     Timeout {
-        /// The peer.
+        /// The address of the peer.
         to: SocketAddr,
-        /// How long its beginning was waited for.
+        /// The timeout for the start of the reply.
         timeout: Duration,
-        /// Bytes of the reply that had come.
+        /// The bytes of the reply that were received.
         received: u64,
     },
-    /// The peer speaks another version, or did not understand.
-    #[error("{to} answered {status}")]
+    /// The peer uses another protocol version, or could not read the request.
+    #[error("{to} responded with {status}")]
     Status {
-        /// The peer.
+        /// The address of the peer.
         to: SocketAddr,
-        /// Its status.
+        /// The status of the response.
         status: StatusCode,
     },
-    /// The message does not encode or decode.
+    /// The request does not encode, or the reply does not decode.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
 
-/// Where the messages of one purpose are counted.
-type Counts<M> = Arc<dyn Fn(&M) -> Traffic + Send + Sync>;
+/// Returns the counter for a request's purpose.
+type TrafficOf<M> = Arc<dyn Fn(&M) -> Traffic + Send + Sync>;
 
-/// The client. Cloning it shares the connections.
+/// The client for requests to peers. Clones share the connections.
 #[derive(Clone)]
 pub struct PeerClient<M = NodeRequest> {
-    open: Arc<Mutex<HashMap<SocketAddr, Open>>>,
-    /// Held while a connection to a node is begun, so that requests of one moment share it.
-    begun: Arc<Mutex<HashMap<SocketAddr, Begun>>>,
-    counts: Counts<M>,
+    connections: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
+    /// Locked while a connection to a node is opened, so that concurrent requests share it.
+    connect_locks: Arc<Mutex<HashMap<SocketAddr, ConnectLock>>>,
+    traffic: TrafficOf<M>,
 }
 
 impl<M> std::fmt::Debug for PeerClient<M> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("PeerClient").field("open", &self.open).finish_non_exhaustive()
+        f.debug_struct("PeerClient").field("open", &self.connections).finish_non_exhaustive()
     }
 }
 
-type Begun = Arc<tokio::sync::Mutex<()>>;
+/// Locked while a connection to one node is opened.
+type ConnectLock = Arc<tokio::sync::Mutex<()>>;
 
+/// An open connection, and when it was last used.
 #[derive(Debug)]
-struct Open {
+struct Connection {
     sender: SendRequest<Bytes>,
-    used: Instant,
+    last_used: Instant,
 }
 
 impl<M: PeerMessage> PeerClient<M> {
-    /// A client whose messages are counted.
-    pub fn new(counts: impl Fn(&M) -> Traffic + Send + Sync + 'static) -> Self {
-        Self { open: Arc::default(), begun: Arc::default(), counts: Arc::new(counts) }
+    /// Creates a client that counts the bytes of each exchange in `traffic` of its request.
+    pub fn new(traffic: impl Fn(&M) -> Traffic + Send + Sync + 'static) -> Self {
+        Self {
+            connections: Arc::default(),
+            connect_locks: Arc::default(),
+            traffic: Arc::new(traffic),
+        }
     }
 
-    /// Sends a request and waits so long for the reply to begin, and for the rest of it as long
-    /// as it comes.
+    /// Sends a request and reads the reply. The reply has to begin within the timeout, and the rest
+    /// is read for as long as it keeps arriving.
     pub async fn request(
         &self,
         to: SocketAddr,
         request: &M,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<M::Reply, PeerError> {
         let bytes = pack(request)?;
-        let traffic = (self.counts)(request);
+        let traffic = (self.traffic)(request);
         traffic.sent(bytes.len());
-        let exchanged = self.exchange(to, bytes, limit).await;
+        let exchanged = self.exchange(to, bytes, timeout).await;
         if let Err(PeerError::Interrupted { .. } | PeerError::Timeout { .. }) = &exchanged {
-            self.open.lock().remove(&to);
+            self.connections.lock().remove(&to);
         }
         let reply = exchanged?;
         traffic.received(reply.len());
         Ok(unpack(&reply)?)
     }
 
-    /// Waits for a reply that comes in pieces for as long as they come.
+    /// Sends the bytes of a request and reads those of the reply.
     async fn exchange(
         &self,
         to: SocketAddr,
         bytes: Vec<u8>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<BytesMut, PeerError> {
         let begun = Instant::now();
-        let mut transfer = Transfer::new(limit, bytes.len());
+        let mut transfer = Transfer::new(timeout, bytes.len());
         let late = |transfer: Transfer| PeerError::Timeout {
             to,
-            timeout: limit,
+            timeout,
             received: transfer.received_bytes(),
         };
         let head = tokio::time::timeout_at(begun + transfer.deadline(), self.send(to, bytes)).await;
@@ -151,64 +159,71 @@
         }
     }
 
+    /// Sends a request and waits for the head of the response.
     async fn send(&self, to: SocketAddr, bytes: Vec<u8>) -> Result<RecvStream, PeerError> {
-        let broken = |e: h2::Error| PeerError::Interrupted { to, reason: e.to_string() };
+        let interrupted = |e: h2::Error| PeerError::Interrupted { to, reason: e.to_string() };
         let sender = self.connection(to).await?;
-        let mut sender = sender.ready().await.map_err(broken)?;
+        let mut sender = sender.ready().await.map_err(interrupted)?;
         let head = http::Request::post(format!("http://{to}/peer"))
             .header(VERSION_HEADER, PROTOCOL_VERSION)
             .body(())
             .map_err(|e| PeerError::Interrupted { to, reason: e.to_string() })?;
-        let (response, mut stream) = sender.send_request(head, false).map_err(broken)?;
-        stream.send_data(bytes.into(), true).map_err(broken)?;
-        let response = response.await.map_err(broken)?;
+        let (response, mut stream) = sender.send_request(head, false).map_err(interrupted)?;
+        stream.send_data(bytes.into(), true).map_err(interrupted)?;
+        let response = response.await.map_err(interrupted)?;
         if response.status() != StatusCode::OK {
             return Err(PeerError::Status { to, status: response.status() });
         }
         Ok(response.into_body())
     }
 
+    /// Returns the connection to a node, and opens it if there is none.
     async fn connection(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerError> {
-        if let Some(sender) = self.opened(to) {
+        if let Some(sender) = self.open_connection(to) {
             return Ok(sender);
         }
-        let begun = {
-            let mut begun = self.begun.lock();
-            begun.retain(|_, begun| Arc::strong_count(begun) > 1);
-            begun.entry(to).or_default().clone()
+        let connect_lock = {
+            let mut locks = self.connect_locks.lock();
+            locks.retain(|_, lock| Arc::strong_count(lock) > 1);
+            locks.entry(to).or_default().clone()
         };
-        let _begun = begun.lock().await;
-        match self.opened(to) {
+        let _connecting = connect_lock.lock().await;
+        match self.open_connection(to) {
             Some(sender) => Ok(sender),
             None => self.connect(to).await,
         }
     }
 
-    fn opened(&self, to: SocketAddr) -> Option<SendRequest<Bytes>> {
-        let mut opened = self.open.lock();
-        let open = opened.get_mut(&to)?;
-        open.used = Instant::now();
-        Some(open.sender.clone())
+    /// Returns the open connection to a node, if there is one.
+    fn open_connection(&self, to: SocketAddr) -> Option<SendRequest<Bytes>> {
+        let mut connections = self.connections.lock();
+        let connection = connections.get_mut(&to)?;
+        connection.last_used = Instant::now();
+        Some(connection.sender.clone())
     }
 
+    /// Opens a connection to a node, and closes those that were unused for too long.
     async fn connect(&self, to: SocketAddr) -> Result<SendRequest<Bytes>, PeerError> {
         let fail = |reason: String| PeerError::Connect { to, reason };
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(to))
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(to))
             .await
-            .map_err(|_| fail(format!("not accepted within {CONNECT:?}")))?
+            .map_err(|_| {
+                fail(format!("the connection was not accepted within {CONNECT_TIMEOUT:?}"))
+            })?
             .map_err(|e| fail(e.to_string()))?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) =
             h2::client::handshake(stream).await.map_err(|e| fail(e.to_string()))?;
-        let open = self.open.clone();
+        let connections = self.connections.clone();
         {
-            let mut open = open.lock();
-            open.retain(|_, o| o.used.elapsed() < IDLE);
-            open.insert(to, Open { sender: sender.clone(), used: Instant::now() });
+            let mut connections = connections.lock();
+            connections.retain(|_, c| c.last_used.elapsed() < IDLE_TIMEOUT);
+            connections
+                .insert(to, Connection { sender: sender.clone(), last_used: Instant::now() });
         }
         tokio::spawn(async move {
             let ended = connection.await;
-            open.lock().remove(&to);
+            connections.lock().remove(&to);
             tracing::debug!(event = "peer_disconnected", %to, ended = ?ended);
         });
         Ok(sender)
--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -29,16 +29,16 @@
 fn a_message_that_says_to_be_huge_is_refused() {
     let mut bytes = pack(&page(vec![0; 100_000])).unwrap();
     bytes[1..5].copy_from_slice(&u32::MAX.to_le_bytes());
-    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Decompress(_))));
 }
 
 #[test]
 fn a_message_that_is_shorter_than_it_says_is_refused() {
     let mut bytes = pack(&page(vec![0; 100_000])).unwrap();
     bytes[1..5].copy_from_slice(&200_000_u32.to_le_bytes());
-    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Unpack(_))));
-    assert!(matches!(unpack::<RangeResult>(&[]), Err(CodecError::Unpack(_))));
-    assert!(matches!(unpack::<RangeResult>(&[9, 1, 2]), Err(CodecError::Unpack(_))));
+    assert!(matches!(unpack::<RangeResult>(&bytes), Err(CodecError::Decompress(_))));
+    assert!(matches!(unpack::<RangeResult>(&[]), Err(CodecError::Decompress(_))));
+    assert!(matches!(unpack::<RangeResult>(&[9, 1, 2]), Err(CodecError::Decompress(_))));
 }
 
 proptest! {
