--- a/src/decide/fallback.rs
+++ b/src/decide/fallback.rs
@@ -74,7 +74,7 @@
     /// When the next probe is due while no peer can help.
     next_probe: Option<Moment>,
     /// Time between two such probes.
-    interval: Option<Duration>,
+    probe_interval: Option<Duration>,
     /// Time from the start of an outage until its first such probe.
     phase: Duration,
 }
@@ -100,7 +100,7 @@
         if self.next_probe.is_some_and(|at| now < at) {
             return CallPath::NoCall;
         }
-        self.next_probe = Some(now + self.interval.unwrap_or(MIN_NODE_PROBE_INTERVAL));
+        self.next_probe = Some(now + self.probe_interval.unwrap_or(MIN_NODE_PROBE_INTERVAL));
         CallPath::DirectOnly
     }
 
@@ -108,7 +108,7 @@
     /// first one. All nodes lose the service at the same moment: without offsets of their own,
     /// 250 nodes made no probe for six seconds, and found the service back two seconds late.
     pub fn set_probe_interval(&mut self, interval: Duration, draw: u32) {
-        self.interval = Some(interval);
+        self.probe_interval = Some(interval);
         self.phase = interval.mul_f64(fraction(draw));
     }
 
@@ -132,7 +132,7 @@
     /// Handles a notice of another node that the service answers again: the next call is
     /// direct and shows whether it does so here, without a separate probe.
     pub fn on_recovery_notice(&mut self) {
-        *self = Self { interval: self.interval, phase: self.phase, ..Self::default() };
+        *self = Self { probe_interval: self.probe_interval, phase: self.phase, ..Self::default() };
     }
 
     /// Records that a direct call failed. Returns true if direct calls had worked before.
@@ -142,7 +142,7 @@
         });
         let new = self.outage.is_none();
         if new {
-            self.next_probe = self.interval.map(|_| now + self.phase);
+            self.next_probe = self.probe_interval.map(|_| now + self.phase);
         }
         self.outage = Some(DirectOutage { next_probe: now + interval, interval });
         new
--- a/src/decide/job/job.rs
+++ b/src/decide/job/job.rs
@@ -51,7 +51,7 @@
 
 impl JobSpec {
     /// Decodes a stored submission. An earlier format ends before the last one or two fields,
-    /// which are none then.
+    /// which are none then. Fails if the bytes are not a submission of any format.
     pub fn decode(mut bytes: Vec<u8>) -> Result<Self, bincode::error::DecodeError> {
         let config = bincode::config::standard();
         for _ in 0..ADDED_FIELDS {
--- a/src/decide/scale/autoscale.rs
+++ b/src/decide/scale/autoscale.rs
@@ -37,7 +37,7 @@
 }
 
 impl Autoscale {
-    /// Returns the limits unchanged if they can be used.
+    /// Returns the limits unchanged if they can be used, otherwise the first fault.
     pub fn checked(self) -> Result<Self, AutoscaleFault> {
         if self.max < self.min {
             return Err(AutoscaleFault::Limits(self.min, self.max));
--- a/tests/client_nodes.rs
+++ b/tests/client_nodes.rs
@@ -100,11 +100,11 @@
     /// the own region has one; it is as long as possible, and independent of the list's order.
     #[test]
     fn answers_are_valid(
-        places in proptest::collection::vec((0..3_u8, 0..3_u8), 0..20),
+        locations in proptest::collection::vec((0..3_u8, 0..3_u8), 0..20),
         client in "[a-z]{0,4}",
-        turn in 0..20_usize,
+        rotation in 0..20_usize,
     ) {
-        let nodes: Vec<Node> = places
+        let nodes: Vec<Node> = locations
             .iter()
             .enumerate()
             .map(|(i, (region, zone))| (format!("n{i}"), format!("r{region}"), format!("z{zone}")))
@@ -118,7 +118,7 @@
         let regions = answer.iter().map(|n| candidates.iter().find(|s| s.name == *n).unwrap().region);
         prop_assert!(near == 0 || regions.into_iter().all(|r| r == "r0"));
         if !candidates.is_empty() {
-            let by = turn % candidates.len();
+            let by = rotation % candidates.len();
             candidates.rotate_left(by);
         }
         prop_assert_eq!(nodes_for_client(&client, "r0", &candidates), answer);
