--- a/src/decide/client_nodes.rs
+++ b/src/decide/client_nodes.rs
@@ -11,7 +11,7 @@
 //! and regions can lose contact with each other. Latency between zones (1.5 ms) is
 //! small compared with the time of an answer, so zones are mixed and none is preferred.
 
-use super::score;
+use super::rendezvous_score;
 
 /// Maximum number of nodes in an answer. With 8 nodes out of 6 zones, an answer of one zone
 /// alone is rare, and such an answer gets one node of another zone; a client that can reach
@@ -38,7 +38,7 @@
     nodes: &[CandidateNode<'a>],
 ) -> Vec<&'a str> {
     let mut ranked: Vec<(bool, u64, CandidateNode<'a>)> =
-        nodes.iter().map(|n| (n.region == region, score(client, n.name), *n)).collect();
+        nodes.iter().map(|n| (n.region == region, rendezvous_score(client, n.name), *n)).collect();
     ranked.sort_unstable_by(|a, b| (b.0, b.1, b.2.name).cmp(&(a.0, a.1, a.2.name)));
     let near = ranked.iter().filter(|(near, ..)| *near).count();
     if near > 0 {
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{AttemptRequest, ListedReplica};
-use crate::decide::{Failures, OtherLoad, Pace};
+use crate::decide::{FailureTracker, LatencyEstimate, OtherLoad};
 use crate::{Moment, Name};
 
 /// How long a replica's report of its load counts: a text takes about as long, so after this
@@ -20,10 +20,10 @@
     /// Requests of other nodes there, by its last report.
     pub others: OtherLoad,
     /// Time per cost of the attempts there.
-    pub pace: Pace,
+    pub pace: LatencyEstimate,
     /// Time between the events of its streams.
-    pub event_interval: Pace,
-    pub failures: Failures,
+    pub event_interval: LatencyEstimate,
+    pub failures: FailureTracker,
     /// Until when it is excluded from the choice.
     pub excluded_until: Moment,
     /// Version of each model that it was last seen at.
@@ -44,9 +44,9 @@
             listed,
             running: 0,
             others: OtherLoad::default(),
-            pace: Pace::default(),
-            event_interval: Pace::default(),
-            failures: Failures::default(),
+            pace: LatencyEstimate::default(),
+            event_interval: LatencyEstimate::default(),
+            failures: FailureTracker::default(),
             excluded_until: Moment::ZERO,
             began: Moment::ZERO,
             load_report: LoadReporting::Unknown,
--- a/src/edge/peer/messages.rs
+++ b/src/edge/peer/messages.rs
@@ -10,7 +10,7 @@
 use crate::decide::Departure;
 use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
 use crate::decide::members::{Gossip, MemberRecord, NodeState};
-use crate::decide::quarantine::Notice;
+use crate::decide::quarantine::CrashNotice;
 use crate::metrics::Purpose;
 
 /// A request type of the peer protocol.
@@ -122,7 +122,7 @@
     Attempt(u64),
     /// Reports requests that were in flight at an upstream that crashed, or that have since been
     /// cleared.
-    Suspects(Vec<Notice>),
+    Suspects(Vec<CrashNotice>),
     /// Requests the suspect requests that the receiver knows.
     ListSuspects,
     /// Asks for the trial lock of an upstream, whose home the receiver is, to run a suspect request
@@ -173,7 +173,7 @@
     /// Whether the replying node has recorded the request.
     Recorded(bool),
     /// The suspect requests that the replying node knows.
-    Suspects(Vec<Notice>),
+    Suspects(Vec<CrashNotice>),
     /// The state of the attempt. None if the replying node does not know it.
     Attempt(Option<AttemptState>),
 }
--- a/src/edge/upstream/engine.rs
+++ b/src/edge/upstream/engine.rs
@@ -14,7 +14,7 @@
 use super::{
     AttemptFailure, Chunk, CompletionRequest, EngineOrder, EngineOrderReply, EngineStatus,
 };
-use crate::decide::Outcome;
+use crate::decide::AttemptOutcome;
 use crate::edge::http::{JsonClient, JsonClientError};
 use crate::metrics::Traffic;
 
@@ -172,22 +172,22 @@
 
 /// The failure of a stream that was interrupted after the request was sent.
 fn interrupted(reason: String) -> AttemptFailure {
-    AttemptFailure { outcome: Outcome::Unknown, reason }
+    AttemptFailure { outcome: AttemptOutcome::Unknown, reason }
 }
 
 /// The failure of a call, with what it says about the request.
 fn failure(e: JsonClientError) -> AttemptFailure {
     let outcome = match &e {
-        JsonClientError::Connect { .. } => Outcome::Unsent,
+        JsonClientError::Connect { .. } => AttemptOutcome::Unsent,
         JsonClientError::Status { status, .. }
             if *status == http::StatusCode::TOO_MANY_REQUESTS =>
         {
-            Outcome::Refused
+            AttemptOutcome::Refused
         }
         JsonClientError::Status { .. }
         | JsonClientError::Interrupted { .. }
         | JsonClientError::Timeout { .. }
-        | JsonClientError::Malformed { .. } => Outcome::Unknown,
+        | JsonClientError::Malformed { .. } => AttemptOutcome::Unknown,
     };
     AttemptFailure { outcome, reason: e.to_string() }
 }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -16,7 +16,7 @@
 use super::scale::run_autoscaling;
 use super::usage::report_usage;
 use crate::Name;
-use crate::decide::rank;
+use crate::decide::rendezvous_rank;
 use crate::decide::weight_loads::{self, ReplicaWeights, WeightLoad};
 use crate::edge::replica::{OrderOutcome, Target, WeightOrder};
 use crate::edge::store::{Txn, TxnOutcome};
@@ -93,7 +93,7 @@
             continue;
         }
         let since = *vacant_since.get_or_insert(now);
-        let ranked = rank(LEADER_KEY, serving.iter().map(|l| &**l));
+        let ranked = rendezvous_rank(LEADER_KEY, serving.iter().map(|l| &**l));
         let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
         let lease = app.lease.lock().id;
         if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * place as u32 {
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use super::meter::Usage;
-use crate::decide::rank;
+use crate::decide::rendezvous_rank;
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
 use crate::entry::keys::LEADER_KEY;
@@ -97,7 +97,7 @@
         let live = self.membership.lock();
         let Some(seen) = live.leader() else { return Vec::new() };
         let (candidates, leader) = (live.serving_incarnations(), &seen.value.incarnation);
-        let ranked = rank(LEADER_KEY, candidates.iter().map(|l| &**l));
+        let ranked = rendezvous_rank(LEADER_KEY, candidates.iter().map(|l| &**l));
         let successors = ranked.into_iter().filter(|l| **leader != **l);
         let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
         collectors.filter(|l| **l != *self.incarnation).filter_map(|l| live.peer_of(l)).collect()
