--- a/src/edge/duty/duty.rs
+++ b/src/edge/duty/duty.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Term {
     /// The name of the leader.
-    pub holder: Name,
+    pub leader: Name,
     /// The fencing token of the term. A later term has a higher one.
     pub fencing_token: u64,
 }
--- a/src/edge/peer/messages.rs
+++ b/src/edge/peer/messages.rs
@@ -79,17 +79,17 @@
 }
 
 impl From<&MemberRecord<NodeLocation>> for NodeInfo {
-    fn from(news: &MemberRecord<NodeLocation>) -> Self {
-        let NodeLocation { region, zone, callers, peers } = &news.contact;
+    fn from(record: &MemberRecord<NodeLocation>) -> Self {
+        let NodeLocation { region, zone, callers, peers } = &record.contact;
         Self {
-            name: news.name.clone(),
+            name: record.name.clone(),
             region: region.clone(),
             zone: zone.clone(),
             callers: *callers,
             peers: *peers,
-            incarnation: news.incarnation,
-            state: news.state,
-            bundle: news.bundle,
+            incarnation: record.incarnation,
+            state: record.state,
+            bundle: record.bundle,
         }
     }
 }
@@ -131,14 +131,14 @@
         /// The name of the upstream.
         upstream: Name,
         /// A random number that identifies the trial.
-        holder: u64,
+        trial_id: u64,
     },
     /// Releases the trial lock.
     TrialOver {
         /// The name of the upstream.
         upstream: Name,
         /// The number that identifies the trial.
-        holder: u64,
+        trial_id: u64,
     },
 }
 
@@ -169,7 +169,7 @@
     /// The request was received.
     Acknowledged,
     /// The decision on a claim.
-    Verdict(ClaimDecision),
+    Decision(ClaimDecision),
     /// Whether the replying node has recorded the request.
     Recorded(bool),
     /// The suspect requests that the replying node knows.
--- a/src/edge/peer/server.rs
+++ b/src/edge/peer/server.rs
@@ -137,7 +137,7 @@
         respond_with(&mut respond, StatusCode::UPGRADE_REQUIRED, Vec::new());
         return;
     }
-    let Some(bytes) = collect(request.into_body()).await else {
+    let Some(bytes) = read_message(request.into_body()).await else {
         respond.send_reset(Reason::ENHANCE_YOUR_CALM);
         return;
     };
@@ -177,7 +177,7 @@
 }
 
 /// Reads a whole message. Returns `None` if it is too large or cut off.
-async fn collect(mut body: RecvStream) -> Option<BytesMut> {
+async fn read_message(mut body: RecvStream) -> Option<BytesMut> {
     let mut bytes = BytesMut::new();
     while let Some(read) = read_piece(&mut body, &mut bytes).await {
         read.ok()?;
--- a/src/edge/platform/client.rs
+++ b/src/edge/platform/client.rs
@@ -59,8 +59,8 @@
         purpose: PlatformUse,
     ) -> Result<Option<VersionedValue>, JsonClientError> {
         let request = RangeRequest { key: key.into(), range_end: Vec::new() };
-        let (kept, _) = self.range(request, purpose).await?;
-        Ok(kept.into_iter().next())
+        let (found, _) = self.range(request, purpose).await?;
+        Ok(found.into_iter().next())
     }
 
     /// Reads all keys with a prefix, and the store revision of the read.
@@ -168,12 +168,12 @@
     /// tags.
     pub async fn vms(&self) -> Result<Vec<Vm>, JsonClientError> {
         self.metrics.platform_call(PlatformUse::Vms);
-        let listed = self.vm_list.lock().clone();
-        let tag = listed.as_ref().map(|l| &l.tag);
+        let last = self.vm_list.lock().clone();
+        let tag = last.as_ref().map(|l| &l.tag);
         let changed = self.client.get_if_changed(self.address, "/vms", tag, self.timeout).await?;
         let Some((tag, vms)) = changed else {
             let reason = "304 Not Modified without an entity tag in the request".to_owned();
-            return listed
+            return last
                 .map(|l| l.vms)
                 .ok_or(JsonClientError::Malformed { to: self.address, reason });
         };
--- a/src/edge/replica/types.rs
+++ b/src/edge/replica/types.rs
@@ -117,7 +117,7 @@
     /// weights are loaded.
     pub keep_runs: bool,
     /// The name of the leader that sends the order.
-    pub holder: Name,
+    pub leader: Name,
     /// The fencing token of the leader's term.
     pub fencing_token: u64,
     /// The number of orders that the replica must have accepted so far for this one to be valid.
--- a/src/edge/upstream/engine.rs
+++ b/src/edge/upstream/engine.rs
@@ -25,11 +25,13 @@
 /// before its last event, the last item is an error.
 pub type ChunkStream = Pin<Box<dyn Stream<Item = Result<Chunk, AttemptFailure>> + Send>>;
 
+/// An event of an engine's stream.
 #[derive(Debug, Deserialize)]
 struct Event {
     choices: Vec<Choice>,
     #[serde(default)]
     weight_version: Option<u64>,
+    /// The number of tokens in the event, if the engine reports it.
     #[serde(default)]
     tokens: Option<u32>,
     /// The index of the first token in the whole output, if the engine reports it.
@@ -37,6 +39,7 @@
     offset: Option<u32>,
 }
 
+/// The output in an event.
 #[derive(Debug, Deserialize)]
 struct Choice {
     text: String,
@@ -83,7 +86,7 @@
         let request = CompletionRequest { stream: true, ..request.clone() };
         let body = match self.completions.post_streaming(to, "/v1/completions", &request).await {
             Ok(body) => body,
-            Err(e) => return Err(failure(e)),
+            Err(e) => return Err(attempt_failure(e)),
         };
         let events = Box::pin(BodyDataStream::new(body).eventsource());
         let next = request.prior.map_or(0, |prior| prior.tokens);
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Checks an event against the index of the next token. Duplicates are dropped, a gap is a failure.
+    /// Checks an event against the index of the next token. Duplicates are dropped, and a
+    /// gap is a failure.
     fn accept(&mut self, event: Event) -> Result<EventContent, AttemptFailure> {
         let Some(choice) = event.choices.into_iter().next() else {
             return Ok(EventContent::Nothing);
@@ -176,7 +180,7 @@
 }
 
 /// The failure of a call, with what it says about the request.
-fn failure(e: JsonClientError) -> AttemptFailure {
+fn attempt_failure(e: JsonClientError) -> AttemptFailure {
     let outcome = match &e {
         JsonClientError::Connect { .. } => AttemptOutcome::Unsent,
         JsonClientError::Status { status, .. }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -206,7 +206,7 @@
         model: wanted.model.clone(),
         version: wanted.version,
         keep_runs: !one_version,
-        holder: app.settings.name.clone(),
+        leader: app.settings.name.clone(),
         fencing_token: fence,
         accepted_orders: stance.accepted_orders,
     };
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -173,7 +173,7 @@
     /// Sends an order to the platform.
     async fn order(&self, order: &ScaleOrder) -> DutyOutcome {
         let term =
-            Term { holder: self.app.settings.name.clone(), fencing_token: self.fencing_token };
+            Term { leader: self.app.settings.name.clone(), fencing_token: self.fencing_token };
         *self.app.last_duty.lock() = Some(self.app.now());
         let end = self.app.duties.order_scale(term, order.clone(), ORDER_TIMEOUT).await;
         self.app.tally.scale(end);
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -150,7 +150,7 @@
                 continue;
             }
             let term =
-                Term { holder: self.app.settings.name.clone(), fencing_token: self.fencing_token };
+                Term { leader: self.app.settings.name.clone(), fencing_token: self.fencing_token };
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
             let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
--- a/src/node/claims/ask.rs
+++ b/src/node/claims/ask.rs
@@ -130,7 +130,7 @@
             .address(home)
             .ok_or_else(|| format!("{home} is home and not known here"))?;
         match app.peers.request(to, &NodeRequest::Claim(ask), LIMIT).await {
-            Ok(NodeReply::Verdict(verdict)) => Ok(verdict),
+            Ok(NodeReply::Decision(verdict)) => Ok(verdict),
             Ok(_) => Err(format!("{home} did not understand")),
             Err(e) => Err(e.to_string()),
         }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -75,7 +75,7 @@
                 app.upstreams.left(app, departures);
                 NodeReply::Acknowledged
             }
-            NodeRequest::Claim(ask) => NodeReply::Verdict(claims::verdict(app, ask).await),
+            NodeRequest::Claim(ask) => NodeReply::Decision(claims::verdict(app, ask).await),
             NodeRequest::CallEnded { key, nonce, outcome: end } => {
                 NodeReply::Recorded(claims::ended(app, key, nonce, end))
             }
@@ -85,10 +85,10 @@
                 NodeReply::Acknowledged
             }
             NodeRequest::ListSuspects => NodeReply::Suspects(app.suspects.all(app)),
-            NodeRequest::Trial { upstream, holder } => {
+            NodeRequest::Trial { upstream, trial_id: holder } => {
                 NodeReply::Recorded(app.suspects.take(app, &upstream, holder))
             }
-            NodeRequest::TrialOver { upstream, holder } => {
+            NodeRequest::TrialOver { upstream, trial_id: holder } => {
                 app.suspects.end(&upstream, holder);
                 NodeReply::Acknowledged
             }
--- a/src/node/suspects.rs
+++ b/src/node/suspects.rs
@@ -260,7 +260,7 @@
         let taken = match &home {
             Home::Here(suspects) => suspects.take(app, upstream, holder),
             Home::There(peers, to) => {
-                let request = NodeRequest::Trial { upstream: upstream.clone(), holder };
+                let request = NodeRequest::Trial { upstream: upstream.clone(), trial_id: holder };
                 match peers.request(*to, &request, LIMIT).await {
                     Ok(NodeReply::Recorded(taken)) => taken,
                     Ok(_) | Err(_) => true,
@@ -277,8 +277,10 @@
         match &self.home {
             Home::Here(suspects) => suspects.end(&self.upstream, self.holder),
             Home::There(peers, to) => {
-                let request =
-                    NodeRequest::TrialOver { upstream: self.upstream.clone(), holder: self.holder };
+                let request = NodeRequest::TrialOver {
+                    upstream: self.upstream.clone(),
+                    trial_id: self.holder,
+                };
                 let (peers, to) = (peers.clone(), *to);
                 tokio::spawn(async move { peers.request(to, &request, LIMIT).await });
             }
--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -159,7 +159,7 @@
         let end = end.unwrap_or(OrderOutcome::Refused);
         self.state.lock().ordered.push(Ordered {
             replica: to.clone(),
-            holder: order.holder.clone(),
+            holder: order.leader.clone(),
             fence: order.fencing_token,
             model: order.model.clone(),
             version: order.version,
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -54,7 +54,7 @@
         nodes.push(world.linked_node(name).await);
     }
     wait_until(|| !world.duties.reported().is_empty()).await;
-    let holder = world.duties.reported()[0].term.holder.clone();
+    let holder = world.duties.reported()[0].term.leader.clone();
     let leader = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
     (nodes, leader)
 }
@@ -130,7 +130,7 @@
         let taken = world.duties.reported();
         let fences: Vec<u64> = taken.iter().map(|r| r.term.fencing_token).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
-        let change = taken.windows(2).find(|r| r[0].term.holder != r[1].term.holder).unwrap();
+        let change = taken.windows(2).find(|r| r[0].term.leader != r[1].term.leader).unwrap();
         assert!(change[1].at - change[0].at >= Duration::from_secs(3), "cut {cut}");
     }
 }
