--- a/src/bin/mulberryctl.rs
+++ b/src/bin/mulberryctl.rs
@@ -255,7 +255,8 @@
 }
 
 fn upstream_line(upstream: &UpstreamState) -> String {
-    let UpstreamState { name, service, zone, address, open, wanted } = upstream;
+    let UpstreamState { name, service, zone, address, accepting: open, target_version: wanted } =
+        upstream;
     let open = if *open { "open" } else { "closed" };
     let wanted = wanted.map(|v| format!(" wanted version {v}")).unwrap_or_default();
     format!("{name} {service} {zone} {address} {open}{wanted}")
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -85,13 +85,15 @@
         nodes.iter().filter(|n| n.bundle < number).map(|n| n.name.to_string()).collect();
     let at_node = nodes.len() - behind.len();
     let wanted: Vec<&UpstreamState> =
-        upstreams.iter().filter(|u| u.open && u.wanted.is_some()).collect();
+        upstreams.iter().filter(|u| u.accepting && u.target_version.is_some()).collect();
     // Until this node has the bundle, its wanted versions are those of the one before.
     let known = stated >= number;
     let loads = wanted.iter().map(|u| engines.status(u.address, REPORT));
     let loads = join_all(loads).await;
     let whole = |(u, load): (&&UpstreamState, _)| match load {
-        Ok::<crate::edge::upstream::EngineStatus, _>(load) if known && load.version == u.wanted => {
+        Ok::<crate::edge::upstream::EngineStatus, _>(load)
+            if known && load.version == u.target_version =>
+        {
             None
         }
         Ok(_) | Err::<_, crate::edge::http::JsonClientError>(_) => Some(u.name.to_string()),
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -7,7 +7,7 @@
 use crate::bundle::Envelope;
 use crate::edge::platform::{PlatformClient, SwapOutcome, VersionedValue};
 use crate::metrics::{Metrics, PlatformUse};
-use crate::node::{CURRENT, HISTORY, PROPOSED};
+use crate::node::{BUNDLE_HISTORY_PREFIX, CURRENT_BUNDLE_KEY, PROPOSED_BUNDLE_PREFIX};
 
 /// How long one call to the platform may take.
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -28,29 +28,30 @@
 
     /// The bundle in force and the revision that wrote it, 0 for none.
     pub async fn current(&self) -> Result<(Option<Envelope>, u64), Failure> {
-        self.read(CURRENT).await
+        self.read(CURRENT_BUNDLE_KEY).await
     }
 
     /// A proposed bundle and the revision that wrote it, 0 for none.
     pub async fn proposed(&self, number: u64) -> Result<(Option<Envelope>, u64), Failure> {
-        self.read(&key(PROPOSED, number)).await
+        self.read(&key(PROPOSED_BUNDLE_PREFIX, number)).await
     }
 
     /// The bundles that were in force, oldest first.
     pub async fn history(&self) -> Result<Vec<Envelope>, Failure> {
-        let (kept, _) = self.platform.list(HISTORY, PlatformUse::Bundle).await?;
+        let (kept, _) = self.platform.list(BUNDLE_HISTORY_PREFIX, PlatformUse::Bundle).await?;
         kept.iter().map(parse).collect()
     }
 
     /// Writes a proposal if the last write was `expected`.
     pub async fn propose(&self, envelope: &Envelope, expected: u64) -> Result<(), Failure> {
-        self.write(&key(PROPOSED, envelope.number), envelope, expected, Vec::new()).await
+        self.write(&key(PROPOSED_BUNDLE_PREFIX, envelope.number), envelope, expected, Vec::new())
+            .await
     }
 
     /// Puts a bundle into force if the last write was `expected`.
     pub async fn apply(&self, envelope: &Envelope, expected: u64) -> Result<(), Failure> {
-        let also = vec![(key(HISTORY, envelope.number), encode(envelope)?)];
-        self.write(CURRENT, envelope, expected, also).await
+        let also = vec![(key(BUNDLE_HISTORY_PREFIX, envelope.number), encode(envelope)?)];
+        self.write(CURRENT_BUNDLE_KEY, envelope, expected, also).await
     }
 
     async fn read(&self, key: &str) -> Result<(Option<Envelope>, u64), Failure> {
--- a/src/client/trainer.rs
+++ b/src/client/trainer.rs
@@ -15,7 +15,7 @@
 use crate::Name;
 use crate::decide::{Group, Ranges, StepSpec, min_fresh_version};
 use crate::edge::http::{JsonClient, JsonClientError};
-use crate::node::{Pull, Pulled, Submit};
+use crate::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 
 /// Groups in one pull.
 const MOST: usize = 64;
@@ -140,7 +140,7 @@
             match self.pull(node).await {
                 Ok(pulled) => {
                     self.failed = 0;
-                    if pulled.leaving && !pulled.complete {
+                    if pulled.draining && !pulled.complete {
                         self.leave(node);
                     }
                     let complete = pulled.complete;
@@ -168,10 +168,10 @@
         }
         let Some(at) = self.trainer.book.get().await else { return Ok(None) };
         let path = self.trainer.path(self.number);
-        let submit = Submit {
+        let submit = SubmitStepRequest {
             spec: StepSpec { version: self.version(), ..self.spec.clone() },
-            have: self.have(),
-            parts: self.parts.clone(),
+            delivered: self.have(),
+            partial_groups: self.parts.clone(),
         };
         let fetch = &self.trainer.fetch;
         let sent = fetch.call::<_, serde_json::Value>(at, Method::PUT, &path, &submit, LIMIT);
@@ -191,22 +191,22 @@
         }
     }
 
-    async fn pull(&self, node: SocketAddr) -> Result<Pulled, JsonClientError> {
+    async fn pull(&self, node: SocketAddr) -> Result<PullGroupsResponse, JsonClientError> {
         let path = format!("{}/pull", self.trainer.path(self.number));
-        let pull = Pull {
+        let pull = PullGroupsRequest {
             version: self.version(),
-            have: self.have(),
-            most: MOST,
+            delivered: self.have(),
+            max_groups: MOST,
             wait_ms: WAIT.as_millis() as u64,
         };
         self.trainer.fetch.call(node, Method::POST, &path, &pull, LIMIT).await
     }
 
     /// Takes what is whole, new and, at this moment, fresh.
-    fn take(&mut self, pulled: Pulled) -> Vec<Group> {
-        let floor = min_fresh_version(self.version(), pulled.bound);
-        if pulled.leaving {
-            self.parts = pulled.parts;
+    fn take(&mut self, pulled: PullGroupsResponse) -> Vec<Group> {
+        let floor = min_fresh_version(self.version(), pulled.staleness_bound);
+        if pulled.draining {
+            self.parts = pulled.partial_groups;
         }
         let mut fresh = Vec::new();
         for group in pulled.groups {
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -1,4 +1,5 @@
-//! What operators and metrics ask over HTTP. Queries only: nothing here changes the node.
+//! The HTTP interface for operators and for the collection of metrics. It only reads: no request
+//! changes the node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,66 +19,68 @@
 use crate::error::{Kind, Refusal};
 use crate::metrics::Entry;
 
-/// The bundle in force at a node.
+/// The active bundle of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleState {
-    /// Its number.
+    /// The number of the bundle.
     pub number: u64,
-    /// SHA-256 of its text, in hex.
+    /// The SHA-256 digest of the bundle's text, in hex.
     pub digest: String,
 }
 
-/// A service at a node.
+/// An upstream as a node knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamState {
-    /// The VM.
+    /// The name of the VM.
     pub name: Name,
-    /// The service on it.
+    /// The service that runs on the VM.
     pub service: Name,
-    /// Its availability zone.
+    /// The availability zone of the VM.
     pub zone: Name,
-    /// Where it listens.
+    /// The address that the service listens on.
     pub address: SocketAddr,
-    /// Whether it gets new work.
-    pub open: bool,
-    /// For an engine, the weight version that the bundle states.
-    #[serde(default)]
-    pub wanted: Option<u64>,
+    /// Whether the upstream gets new requests.
+    #[serde(rename = "open")]
+    pub accepting: bool,
+    /// For an engine, the weight version that the bundle asks for.
+    #[serde(default, rename = "wanted")]
+    pub target_version: Option<u64>,
 }
 
-/// How often a kind was refused.
+/// The number of refusals of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RefusalCount {
-    /// The kind.
+    /// The kind of refusal.
     pub kind: Kind,
-    /// How often.
+    /// How often it occurred.
     pub count: u64,
 }
 
-/// The handler of the admin listener.
+/// Handles the requests of the admin listener.
 #[derive(Debug)]
-pub(super) struct Admin {
+pub(super) struct AdminHandler {
     pub(super) app: Arc<App>,
-    pub(super) callers: TaskTracker,
+    /// The open connections of the client listener.
+    pub(super) connections: TaskTracker,
 }
 
-impl Handler for Admin {
+impl Handler for AdminHandler {
     async fn handle(self: Arc<Self>, request: Request<Incoming>, _: SocketAddr) -> Response<Body> {
         let app = &self.app;
         if request.method() != Method::GET {
             return problem_response(&Refusal::new(Kind::WrongMethod, "use GET"));
         }
         match request.uri().path() {
-            "/healthz" => text(StatusCode::OK, "ok\n".to_owned()),
-            "/readyz" => ready(app),
+            "/healthz" => text_response(StatusCode::OK, "ok\n".to_owned()),
+            "/readyz" => readiness(app),
             "/metrics" => {
-                // One of them is the listener itself.
-                let open = self.callers.len().saturating_sub(1);
+                // The tracker also counts the task of the listener itself.
+                let open = self.connections.len().saturating_sub(1);
                 app.metrics.held(Entry::Connection, open);
-                metrics(app)
+                metrics_response(app)
             }
             "/v1/state/bundle" => match app.bundles.current() {
-                None => problem_response(&Refusal::new(Kind::NoBundle, "none is in force")),
+                None => problem_response(&Refusal::new(Kind::NoBundle, "no bundle is active yet")),
                 Some(adopted) => json_response(
                     StatusCode::OK,
                     &BundleState {
@@ -95,7 +98,7 @@
     }
 }
 
-fn metrics(app: &App) -> Response<Body> {
+fn metrics_response(app: &App) -> Response<Body> {
     let held = |kind, count| app.metrics.held(kind, count);
     held(Entry::Member, app.members.held());
     held(Entry::Upstream, app.upstreams.list().len());
@@ -109,18 +112,18 @@
     let (waiting, running) = depths.fold((0, 0), |sum, d| (sum.0 + d.0, sum.1 + d.1));
     held(Entry::Waiting, waiting);
     held(Entry::Running, running);
-    let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    let mut response = text(StatusCode::OK, app.metrics.text());
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+    let mut response = text_response(StatusCode::OK, app.metrics.text());
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-fn ready(app: &App) -> Response<Body> {
+fn readiness(app: &App) -> Response<Body> {
     let phase = app.phase();
     match phase {
-        Phase::Serving => text(StatusCode::OK, "serving\n".to_owned()),
+        Phase::Serving => text_response(StatusCode::OK, "serving\n".to_owned()),
         Phase::Starting | Phase::Draining | Phase::Closing | Phase::Stopped => {
-            text(StatusCode::SERVICE_UNAVAILABLE, format!("{phase:?}\n").to_lowercase())
+            text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{phase:?}\n").to_lowercase())
         }
     }
 }
@@ -135,19 +138,19 @@
 fn upstreams(app: &App) -> Vec<UpstreamState> {
     let list = app.upstreams.list();
     let current = app.bundles.current();
-    let wanted = |service: &Name| {
+    let target_version = |service: &Name| {
         let spec = current.as_ref()?.bundle.services.get(service)?;
         spec.engine.as_ref().map(|e| e.version)
     };
-    let one = |vm: &crate::edge::platform::Vm| UpstreamState {
+    let state_of = |vm: &crate::edge::platform::Vm| UpstreamState {
         name: vm.name.clone(),
         service: vm.service.clone(),
         zone: vm.zone.clone(),
         address: vm.address,
-        open: vm.state == crate::edge::platform::VmState::Live,
-        wanted: wanted(&vm.service),
+        accepting: vm.state == crate::edge::platform::VmState::Live,
+        target_version: target_version(&vm.service),
     };
-    list.iter().map(one).collect()
+    list.iter().map(state_of).collect()
 }
 
 fn refusals(app: &App) -> Vec<RefusalCount> {
@@ -155,7 +158,7 @@
     counts.map(|(kind, count)| RefusalCount { kind, count }).collect()
 }
 
-fn text(status: StatusCode, text: String) -> Response<Body> {
+fn text_response(status: StatusCode, text: String) -> Response<Body> {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     response
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -91,7 +91,7 @@
         lifecycle.1 = after;
         if before != after {
             tracing::info!(event = "phase", from = ?before, to = ?after);
-            self.members.set_state(after.shown());
+            self.members.set_state(after.node_state());
         }
         after
     }
--- a/src/node/bundles.rs
+++ b/src/node/bundles.rs
@@ -16,11 +16,11 @@
 use crate::metrics::PlatformUse;
 
 /// The key of the bundle in force.
-pub const CURRENT: &str = "bundle/current";
+pub const CURRENT_BUNDLE_KEY: &str = "bundle/current";
 /// The prefix of proposed bundles; the number follows.
-pub const PROPOSED: &str = "bundle/proposed/";
+pub const PROPOSED_BUNDLE_PREFIX: &str = "bundle/proposed/";
 /// The prefix of bundles that were in force; the number follows.
-pub const HISTORY: &str = "bundle/history/";
+pub const BUNDLE_HISTORY_PREFIX: &str = "bundle/history/";
 
 /// Shortest pause before the platform is asked again.
 const PAUSE: Duration = Duration::from_millis(250);
@@ -126,12 +126,13 @@
 /// Reads the bundle; then, if this node is one of those that watch, watches it
 /// until the watch ends or others watch in its place.
 async fn round(app: &App) -> Result<(), JsonClientError> {
-    let (kept, revision) = app.platform.list(CURRENT, PlatformUse::Bundle).await?;
+    let (kept, revision) = app.platform.list(CURRENT_BUNDLE_KEY, PlatformUse::Bundle).await?;
     kept.iter().for_each(|k| take(app, k));
     if !watches(app) {
         return Ok(());
     }
-    let mut watch = app.platform.watch(CURRENT, revision + 1, PlatformUse::Bundle).await?;
+    let mut watch =
+        app.platform.watch(CURRENT_BUNDLE_KEY, revision + 1, PlatformUse::Bundle).await?;
     loop {
         let change = tokio::select! {
             change = watch.next() => change,
@@ -154,7 +155,7 @@
 /// Whether this node is one of those that watch the bundle. By its own view: a
 /// node that is cut off from the others watches for itself.
 fn watches(app: &App) -> bool {
-    app.members.ranks(CURRENT, WATCHERS, app.clock.now())
+    app.members.ranks(CURRENT_BUNDLE_KEY, WATCHERS, app.clock.now())
 }
 
 fn take(app: &App, kept: &VersionedValue) {
--- a/src/node/lifecycle.rs
+++ b/src/node/lifecycle.rs
@@ -23,8 +23,8 @@
 }
 
 impl Phase {
-    /// What peers and callers are told.
-    pub fn shown(self) -> NodeState {
+    /// Returns the state that the node reports to peers and callers.
+    pub fn node_state(self) -> NodeState {
         match self {
             Self::Starting => NodeState::Starting,
             Self::Serving => NodeState::Serving,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -24,9 +24,9 @@
 
 pub use addresses::Addresses;
 pub use admin::{BundleState, RefusalCount, UpstreamState};
-pub use bundles::{CURRENT, HISTORY, PROPOSED};
+pub use bundles::{BUNDLE_HISTORY_PREFIX, CURRENT_BUNDLE_KEY, PROPOSED_BUNDLE_PREFIX};
 pub use clock::Clock;
 pub use lifecycle::Phase;
 pub use node::{Node, StartError};
 pub use orders::EngineState;
-pub use train::{Pull, Pulled, Submit};
+pub use train::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::admin::Admin;
+use super::admin::AdminHandler;
 use super::app::App;
 use super::callers::Callers;
 use super::identity::Identity;
@@ -71,7 +71,7 @@
         callers.spawn(handler, limits, &connections, accept.clone());
         // Operators and peers are answered until the end, also while the node drains.
         let rest = TaskTracker::new();
-        let handler = Arc::new(Admin { app: app.clone(), callers: connections.clone() });
+        let handler = Arc::new(AdminHandler { app: app.clone(), connections: connections.clone() });
         admin.spawn(handler, Connections::default(), &rest, app.cancel.clone());
         peer.spawn(Arc::new(Peers { app: app.clone() }), &rest, app.cancel.clone());
         let all = &app.metrics;
@@ -86,43 +86,43 @@
         Ok(Self { app, admin: admin_address, accept, connections })
     }
 
-    /// Where callers connect.
-    pub fn callers(&self) -> SocketAddr {
+    /// Returns the address of the listener for callers and trainers.
+    pub fn client_address(&self) -> SocketAddr {
         self.app.info().callers
     }
 
-    /// Where operators connect.
-    pub fn admin(&self) -> SocketAddr {
+    /// Returns the address of the admin listener.
+    pub fn admin_address(&self) -> SocketAddr {
         self.admin
     }
 
-    /// Where peers connect.
-    pub fn peers(&self) -> SocketAddr {
+    /// Returns the address of the listener for peers.
+    pub fn peer_address(&self) -> SocketAddr {
         self.app.info().peers
     }
 
-    /// The phase of the node.
+    /// Returns the lifecycle phase of the node.
     pub fn phase(&self) -> Phase {
         self.app.phase()
     }
 
-    /// Number of the bundle in force, 0 for none.
-    pub fn bundle(&self) -> u64 {
+    /// Returns the number of the active bundle, 0 for none.
+    pub fn bundle_number(&self) -> u64 {
         self.app.bundles.number()
     }
 
-    /// How many other nodes were heard lately.
-    pub fn others(&self) -> usize {
+    /// Returns the number of other nodes that are known to be alive.
+    pub fn live_peer_count(&self) -> usize {
         self.app.members.alive(self.app.clock.now()).len()
     }
 
-    /// How many requests are refused because they crash upstreams.
-    pub fn quarantined(&self) -> usize {
+    /// Returns the number of fingerprints that are quarantined because they crash upstreams.
+    pub fn quarantined_count(&self) -> usize {
         self.app.suspects.counts().1
     }
 
-    /// How many upstream VMs routing knows of.
-    pub fn upstreams(&self) -> usize {
+    /// Returns the number of upstream VMs that the dispatchers use.
+    pub fn routed_upstream_count(&self) -> usize {
         self.app.upstreams.routed()
     }
 
--- a/src/node/orders/state.rs
+++ b/src/node/orders/state.rs
@@ -1,4 +1,4 @@
-//! The rollout as operators see it.
+//! The rollout state of the engines for operators.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,29 +7,32 @@
 use crate::decide::{EngineObservation, Rollout, RolloutStage};
 use crate::node::app::App;
 
-/// An engine on its way to the wanted version, as this node sees it.
+/// The rollout state of an engine, as this node knows it.
 ///
-/// A node looks at the engines that it owns and, while those wait, at the others
-/// of their chains: what it says of further engines is `unknown`. Ask the owner.
+/// A node polls the engines that it owns and, while those wait, the other engines of their swap
+/// chains. It reports any other engine as `unknown`; the owner of that engine knows its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineState {
-    /// The VM.
+    /// The name of the VM.
     pub name: Name,
-    /// Its service.
+    /// The service that the engine belongs to.
     pub service: Name,
-    /// The node that gives it orders.
+    /// The node that sends weight orders to the engine.
     pub owner: Name,
-    /// The version that the bundle wants.
-    pub wanted: u64,
-    /// The version that it reported last; none if its weights are not whole.
-    pub reported: Option<u64>,
-    /// Where it is on its way.
+    /// The weight version that the bundle asks for.
+    #[serde(rename = "wanted")]
+    pub target_version: u64,
+    /// The weight version of the last report. None if the engine's weights are incomplete.
+    #[serde(rename = "reported")]
+    pub reported_version: Option<u64>,
+    /// The stage of the engine in the rollout.
     pub stage: RolloutStage,
-    /// Age of the last look, in milliseconds.
-    pub looked_ms: Option<u64>,
+    /// The time since the last observation of the engine, in milliseconds.
+    #[serde(rename = "looked_ms")]
+    pub observation_age_ms: Option<u64>,
 }
 
-/// Every engine of the bundle in force.
+/// Returns the state of every engine of the active bundle.
 pub(in crate::node) fn states(app: &App) -> Vec<EngineState> {
     let Some(adopted) = app.bundles.current() else { return Vec::new() };
     let now = app.clock.now();
@@ -37,8 +40,8 @@
     let mut states = Vec::new();
     for fleet in fleets(app, &adopted.bundle).iter() {
         let rollout = rollouts.get(&fleet.service);
-        // The stage is judged against what the rollout was last told, not against a bundle
-        // that came into force a moment ago.
+        // The stage refers to the target that the rollout was last given. A bundle that has just
+        // become active may not have reached the rollout yet.
         let wanted = rollout.map_or(wanted(&adopted.bundle, &fleet.engine), Rollout::target);
         for (name, owner) in &fleet.owners {
             let last = rollout.and_then(|r| r.last_observation(name));
@@ -50,10 +53,10 @@
                 name: name.clone(),
                 service: fleet.service.clone(),
                 owner: owner.clone(),
-                wanted: wanted.version,
-                reported,
+                target_version: wanted.version,
+                reported_version: reported,
                 stage: rollout.map_or(RolloutStage::Unknown, |r| r.stage(name)),
-                looked_ms: last.map(|(_, at)| now.saturating_sub(at).as_millis() as u64),
+                observation_age_ms: last.map(|(_, at)| now.saturating_sub(at).as_millis() as u64),
             });
         }
     }
--- a/src/node/train/held.rs
+++ b/src/node/train/held.rs
@@ -11,7 +11,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::fill;
-use super::message::Submit;
+use super::message::SubmitStepRequest;
 use crate::Name;
 use crate::bundle::TrainerSpec;
 use crate::decide::{Ranges, SlowEngineDetector, Step};
@@ -107,13 +107,13 @@
     app: &Arc<App>,
     trainer: Name,
     number: u64,
-    submit: Submit,
+    submit: SubmitStepRequest,
 ) -> Result<(), Refusal> {
     let adopted = app.bundle()?;
     let rules = adopted.bundle.trainers.get(&trainer).ok_or_else(|| {
         Refusal::new(Kind::UnknownTrainer, format!("no trainer {trainer} in the bundle"))
     })?;
-    let Submit { spec, have, parts } = submit;
+    let SubmitStepRequest { spec, delivered, partial_groups } = submit;
     let key = (trainer.clone(), number);
     let version = app.steps.version(&trainer, spec.version);
     let mut shard = app.steps.shard(&key).lock();
@@ -123,7 +123,7 @@
             return Err(Refusal::new(Kind::KeyReused, "the step was submitted with other groups"));
         }
         held.touch();
-        held.acknowledge(version, &have);
+        held.acknowledge(version, &delivered);
         fill::start(app, &held);
         return Ok(());
     }
@@ -131,8 +131,8 @@
         return Err(Refusal::new(Kind::Draining, "this node takes no new steps"));
     }
     let mut step = Step::new(spec, rules.staleness);
-    step.acknowledge(version, &have);
-    step.adopt(parts);
+    step.acknowledge(version, &delivered);
+    step.adopt(partial_groups);
     let held = Arc::new(Held {
         trainer,
         number,
--- a/src/node/train/message.rs
+++ b/src/node/train/message.rs
@@ -1,49 +1,54 @@
-//! What trainers and nodes say to each other.
+//! The requests of trainers about a step, and the responses.
 
 use serde::{Deserialize, Serialize};
 
 use crate::decide::{Group, Ranges, StepSpec};
 
-/// A trainer's step, with what it has of it when it goes on at another node.
+/// Submits a step to a node, with the groups that the trainer already has when the step continues
+/// at another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Submit {
-    /// The step.
+pub struct SubmitStepRequest {
+    /// The groups to sample.
     #[serde(flatten)]
     pub spec: StepSpec,
-    /// The groups that the trainer has: they are not made again.
-    #[serde(default)]
-    pub have: Ranges,
-    /// Finished samples that a leaving node gave along.
-    #[serde(default)]
-    pub parts: Vec<Group>,
+    /// The groups that the trainer has received. They are not sampled again.
+    #[serde(default, rename = "have")]
+    pub delivered: Ranges,
+    /// The finished samples of incomplete groups that a draining node returned.
+    #[serde(default, rename = "parts")]
+    pub partial_groups: Vec<Group>,
 }
 
-/// A trainer's pull: where it is and what it has.
+/// Asks for complete groups of a step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pull {
-    /// The version that the trainer is at.
+pub struct PullGroupsRequest {
+    /// The current weight version of the trainer.
     pub version: u64,
-    /// The groups of this step that it has: the acknowledgement.
-    pub have: Ranges,
-    /// The most groups to hand over.
-    pub most: usize,
-    /// How long to wait for the first, in milliseconds.
+    /// The groups of this step that the trainer has received, as an acknowledgement.
+    #[serde(rename = "have")]
+    pub delivered: Ranges,
+    /// The maximum number of groups to return.
+    #[serde(rename = "most")]
+    pub max_groups: usize,
+    /// How long to wait for the first group, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// What a pull brings.
+/// The groups that a node returns for a pull.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pulled {
-    /// Whole groups that the trainer does not have.
+pub struct PullGroupsResponse {
+    /// The complete groups that the trainer has not received yet.
     pub groups: Vec<Group>,
-    /// Whether the trainer has every group.
+    /// Whether the trainer has received every group of the step.
     pub complete: bool,
-    /// The staleness bound in versions, for the check on arrival.
-    pub bound: u64,
-    /// The node lets the step go: it goes on at another, with `parts`.
-    #[serde(default)]
-    pub leaving: bool,
-    /// Finished samples of groups that are not whole, when the node leaves.
-    #[serde(default)]
-    pub parts: Vec<Group>,
+    /// The staleness bound in versions. The trainer checks the groups against it on arrival.
+    #[serde(rename = "bound")]
+    pub staleness_bound: u64,
+    /// The node has released the step because it drains. The trainer submits the step to another
+    /// node, together with `partial_groups`.
+    #[serde(default, rename = "leaving")]
+    pub draining: bool,
+    /// The finished samples of incomplete groups. Filled only when the node drains.
+    #[serde(default, rename = "parts")]
+    pub partial_groups: Vec<Group>,
 }
--- a/src/node/train/mod.rs
+++ b/src/node/train/mod.rs
@@ -6,5 +6,5 @@
 mod pull;
 
 pub(super) use held::{Steps, submit};
-pub use message::{Pull, Pulled, Submit};
+pub use message::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 pub(super) use pull::pull;
--- a/src/node/train/pull.rs
+++ b/src/node/train/pull.rs
@@ -8,7 +8,7 @@
 
 use super::fill;
 use super::held::{Held, leaving};
-use super::message::{Pull, Pulled};
+use super::message::{PullGroupsRequest, PullGroupsResponse};
 use crate::Name;
 use crate::error::{Kind, Refusal};
 use crate::node::app::App;
@@ -23,8 +23,8 @@
     app: &Arc<App>,
     trainer: Name,
     number: u64,
-    pull: Pull,
-) -> Result<Pulled, Refusal> {
+    pull: PullGroupsRequest,
+) -> Result<PullGroupsResponse, Refusal> {
     let key = (trainer, number);
     let unknown = || Refusal::new(Kind::UnknownStep, format!("step {number} is not held here"));
     let held = app.steps.get(&key).ok_or_else(unknown)?;
@@ -36,11 +36,11 @@
         filled.as_mut().enable();
         held.touch();
         let pulled = look(app, &held, &pull);
-        if pulled.complete || pulled.leaving {
+        if pulled.complete || pulled.draining {
             app.steps.release(&held);
         }
         let over = Instant::now() >= until;
-        if pulled.complete || pulled.leaving || over || !pulled.groups.is_empty() {
+        if pulled.complete || pulled.draining || over || !pulled.groups.is_empty() {
             let samples: usize = pulled.groups.iter().map(|g| g.samples.len()).sum();
             app.metrics.samples.inc_by(samples as u64);
             return Ok(pulled);
@@ -54,19 +54,19 @@
 }
 
 /// Judges what is there against the trainer's present version, at this moment.
-fn look(app: &Arc<App>, held: &Arc<Held>, pull: &Pull) -> Pulled {
+fn look(app: &Arc<App>, held: &Arc<Held>, pull: &PullGroupsRequest) -> PullGroupsResponse {
     let version = app.steps.version(&held.trainer, pull.version);
-    held.acknowledge(version, &pull.have);
+    held.acknowledge(version, &pull.delivered);
     let leaving = leaving(app);
     let step = held.step.lock();
     // What is whole goes along at once when the node leaves: there is no next pull.
-    let most = if leaving { usize::MAX } else { pull.most.max(1) };
-    let pulled = Pulled {
+    let most = if leaving { usize::MAX } else { pull.max_groups.max(1) };
+    let pulled = PullGroupsResponse {
         groups: step.ready_groups(most),
         complete: step.all_delivered(),
-        bound: step.bound(),
-        leaving,
-        parts: if leaving { step.partial_groups() } else { Vec::new() },
+        staleness_bound: step.bound(),
+        draining: leaving,
+        partial_groups: if leaving { step.partial_groups() } else { Vec::new() },
     };
     drop(step);
     if !leaving {
--- a/standins/src/bin/bundle-bench.rs
+++ b/standins/src/bin/bundle-bench.rs
@@ -48,7 +48,7 @@
         for number in 2..2 + args.changes {
             fleet.apply(number, &bundle(number, 1)).await?;
             let accepted = Instant::now();
-            while fleet.nodes.iter().any(|n| n.bundle() < number) {
+            while fleet.nodes.iter().any(|n| n.bundle_number() < number) {
                 tokio::time::sleep(POLL).await;
             }
             times.push(accepted.elapsed());
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -153,7 +153,7 @@
                 address: self.platform.address(),
                 timeout: Duration::from_secs(1),
             },
-            peers: Peers { seeds: self.nodes.iter().map(Node::peers).collect() },
+            peers: Peers { seeds: self.nodes.iter().map(Node::peer_address).collect() },
             drain: Drain {
                 ttl: Duration::from_millis(300),
                 margin: Duration::from_millis(200),
@@ -188,14 +188,14 @@
 
     /// Where callers may ask.
     pub fn callers(&self) -> Vec<SocketAddr> {
-        self.nodes.iter().map(Node::callers).collect()
+        self.nodes.iter().map(Node::client_address).collect()
     }
 
     /// What a node counts, as it tells it.
     pub async fn metrics(&self, node: &Node) -> String {
-        let request = http::Request::get(format!("http://{}/metrics", node.admin()));
+        let request = http::Request::get(format!("http://{}/metrics", node.admin_address()));
         let Ok(request) = request.body(empty_body()) else { return String::new() };
-        let answered = JsonClient::default().send(node.admin(), request).await;
+        let answered = JsonClient::default().send(node.admin_address(), request).await;
         let Ok(response) = answered else { return String::new() };
         let text = read_body(response.into_body(), 1 << 20).await.unwrap_or_default();
         String::from_utf8_lossy(&text).into_owned()
@@ -213,9 +213,9 @@
     pub async fn settled(&self, bundle: u64) {
         let ready = |n: &Node| {
             n.phase() == Phase::Serving
-                && n.bundle() >= bundle
-                && n.others() + 1 >= self.nodes.len()
-                && n.upstreams() >= self.vms().len()
+                && n.bundle_number() >= bundle
+                && n.live_peer_count() + 1 >= self.nodes.len()
+                && n.routed_upstream_count() >= self.vms().len()
         };
         while !self.nodes.iter().all(ready) {
             tokio::time::sleep(POLL).await;
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -10,7 +10,7 @@
 use mulberrycourse::client::Trainer;
 use mulberrycourse::decide::{Group, GroupSpec, Sample, Span, StepSpec};
 use mulberrycourse::edge::http::read_body;
-use mulberrycourse::node::{Pull, Pulled};
+use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse};
 use serde_json::json;
 use standins::fleet::ANY;
 use standins::server::{Answer, Cut, Server, Service, json as answer};
@@ -34,15 +34,15 @@
         if !path.ends_with("/pull") {
             return answer(StatusCode::OK, &json!({}));
         }
-        let pull: Pull = serde_json::from_slice(&body).map_err(|_| Cut)?;
+        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| Cut)?;
         let index = self.pulled.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
-        let pulled = Pulled {
+        let pulled = PullGroupsResponse {
             groups: vec![group],
-            complete: pull.have.below(2).count() == 2,
-            bound: 1,
-            leaving: false,
-            parts: Vec::new(),
+            complete: pull.delivered.below(2).count() == 2,
+            staleness_bound: 1,
+            draining: false,
+            partial_groups: Vec::new(),
         };
         answer(StatusCode::OK, &pulled)
     }
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -11,7 +11,7 @@
 use mulberrycourse::edge::platform::PlatformClient;
 use mulberrycourse::error::{Kind, Problem};
 use mulberrycourse::metrics::{Metrics, PlatformUse};
-use mulberrycourse::node::{CURRENT, Node};
+use mulberrycourse::node::{CURRENT_BUNDLE_KEY, Node};
 use mulberrycourse::settings::Connections;
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
@@ -47,7 +47,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_are_told_apart() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     let json = "content-type: application/json\r\n";
     let call = "POST /v1/services/stock/items/1";
     let cases = [
@@ -91,7 +91,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_and_oversized() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     let answer = raw(at, b"no http at all\r\n\r\n").await;
     assert!(answer.starts_with("HTTP/1.1 400"), "{answer}");
     let head = "POST /v1/services/stock/ HTTP/1.1\r\nhost: x\r\nconnection: close\r\n";
@@ -109,7 +109,7 @@
     settings.connections.head = Duration::from_millis(100);
     let node = Node::spawn(settings).await.unwrap();
     for part in ["", "G", "GET /v1/addresses HTTP/1.1\r\nhost: "] {
-        let answer = tokio::time::timeout(WAIT, raw(node.callers(), part.as_bytes())).await;
+        let answer = tokio::time::timeout(WAIT, raw(node.client_address(), part.as_bytes())).await;
         assert!(!answer.unwrap().contains("200 OK"));
     }
 }
@@ -125,7 +125,7 @@
     let ask = "GET /v1/addresses HTTP/1.1\r\nhost: x\r\n";
     let mut held = Vec::new();
     for _ in 0..2 {
-        let mut stream = TcpStream::connect(node.callers()).await.unwrap();
+        let mut stream = TcpStream::connect(node.client_address()).await.unwrap();
         stream.write_all(format!("{ask}\r\n").as_bytes()).await.unwrap();
         let mut first = [0; 12];
         stream.read_exact(&mut first).await.unwrap();
@@ -133,12 +133,12 @@
         held.push(stream);
     }
     let last = format!("{ask}connection: close\r\n\r\n");
-    let answer = raw(node.callers(), last.as_bytes()).await;
+    let answer = raw(node.client_address(), last.as_bytes()).await;
     let refused = problem(&answer);
     assert_eq!(refused.kind, "urn:mulberrycourse:too_many_connections");
     assert!(refused.retry_after_ms.is_some() && answer.contains("retry-after: 1"));
     held.pop();
-    while !raw(node.callers(), last.as_bytes()).await.starts_with("HTTP/1.1 200") {
+    while !raw(node.client_address(), last.as_bytes()).await.starts_with("HTTP/1.1 200") {
         tokio::time::sleep(POLL).await;
     }
 }
@@ -148,7 +148,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn foreign_peers() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].peers();
+    let at = fleet.nodes[0].peer_address();
     for (version, body, status) in [
         (Some("0"), &b""[..], 426),
         (None, b"", 426),
@@ -199,13 +199,13 @@
     let platform =
         PlatformClient::new(fleet.platform.address(), WAIT, Arc::new(Metrics::default()));
     for garbage in ["", "{", "[1,2]", "\u{0}\u{1}", "{\"number\":20}"] {
-        let put = platform.put(CURRENT, garbage.into(), None, PlatformUse::Bundle);
+        let put = platform.put(CURRENT_BUNDLE_KEY, garbage.into(), None, PlatformUse::Bundle);
         put.await.unwrap();
     }
-    assert!(fleet.nodes.iter().all(|n| n.bundle() == 5));
+    assert!(fleet.nodes.iter().all(|n| n.bundle_number() == 5));
     write_over(&platform, &good(6)).await;
-    while !fleet.nodes.iter().all(|n| n.bundle() == 6) {
-        assert!(fleet.nodes.iter().all(|n| [5, 6].contains(&n.bundle())));
+    while !fleet.nodes.iter().all(|n| n.bundle_number() == 6) {
+        assert!(fleet.nodes.iter().all(|n| [5, 6].contains(&n.bundle_number())));
         tokio::time::sleep(POLL).await;
     }
     answers(&fleet).await;
@@ -218,14 +218,14 @@
 
 async fn write_over(platform: &PlatformClient, envelope: &Envelope) {
     let value = serde_json::to_vec(envelope).unwrap();
-    platform.put(CURRENT, value, None, PlatformUse::Bundle).await.unwrap();
+    platform.put(CURRENT_BUNDLE_KEY, value, None, PlatformUse::Bundle).await.unwrap();
 }
 
 /// A connection to the peer port that never says anything is closed by the node.
 #[tokio::test(flavor = "multi_thread")]
 async fn silent_peers_are_cut() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let silent = raw(fleet.nodes[0].peers(), b"");
+    let silent = raw(fleet.nodes[0].peer_address(), b"");
     let answer = tokio::time::timeout(WAIT, silent).await.expect("it is still open");
     assert_eq!(answer.matches("HTTP").count(), 0);
 }
@@ -235,7 +235,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn oversized_without_a_length() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let stream = TcpStream::connect(fleet.nodes[0].callers()).await.unwrap();
+    let stream = TcpStream::connect(fleet.nodes[0].client_address()).await.unwrap();
     let (mut input, mut output) = stream.into_split();
     let sent = tokio::spawn(async move {
         let head =
--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -22,7 +22,7 @@
 async fn rises(node: &Node, from: u64, to: u64) {
     let mut last = 0;
     while last < to || node.phase() == Phase::Starting {
-        let number = node.bundle();
+        let number = node.bundle_number();
         assert!(number == 0 || number >= from, "bundle {number} came into force");
         assert!(number >= last, "from {last} to {number}");
         last = number;
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -24,7 +24,7 @@
 async fn fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::spawn(nodes, 0, EngineSettings::default()).await.unwrap();
     for node in &fleet.nodes {
-        while serving(node.callers()).await < nodes {
+        while serving(node.client_address()).await < nodes {
             tokio::time::sleep(POLL).await;
         }
     }
@@ -52,7 +52,7 @@
 }
 
 async fn ask(fleet: &Fleet, node: usize, key: &str, body: &str) -> Answered {
-    send(fleet.nodes[node].callers(), "/sync/count", Some(key), body).await.unwrap()
+    send(fleet.nodes[node].client_address(), "/sync/count", Some(key), body).await.unwrap()
 }
 
 /// Asks until nothing is under way, as a caller does who is told to come back.
@@ -159,7 +159,7 @@
         assert_eq!(answer.status, StatusCode::OK);
     }
     drop(fleet.nodes.remove(2));
-    while fleet.nodes.iter().any(|n| n.others() > 1) {
+    while fleet.nodes.iter().any(|n| n.live_peer_count() > 1) {
         tokio::time::sleep(POLL).await;
     }
     for round in 0..4 {
@@ -197,10 +197,10 @@
 async fn key_is_free_after_not_run() {
     let fleet = fleet(3).await;
     fleet.platform.set_vms(Vec::new());
-    while fleet.nodes.iter().any(|n| n.upstreams() > 0) {
+    while fleet.nodes.iter().any(|n| n.routed_upstream_count() > 0) {
         tokio::time::sleep(POLL).await;
     }
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].client_address();
     let refused = send_within(node, "/sync/count", Some("key"), "count", Some(200)).await.unwrap();
     assert_eq!(refused.problem.map(|p| p.run), Some(Run::NotRun));
     fleet.platform.set_vms(fleet.vms());
@@ -214,7 +214,7 @@
 async fn caller_goes_away_and_comes_back() {
     let fleet = fleet(2).await;
     slow(&fleet, 200);
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].client_address();
     let call = tokio::spawn(async move { send(node, "/sync/count", Some("key"), "count").await });
     while runs(&fleet, "count") == 0 {
         tokio::time::sleep(POLL).await;
@@ -246,7 +246,7 @@
         // Every key has its home here: the only node there is.
         gate.set(hold);
         let keys: Vec<String> = (0..8).map(|k| format!("key-{k}")).collect();
-        let node = fleet.nodes[0].callers();
+        let node = fleet.nodes[0].client_address();
         let asked = keys.iter().map(|key| {
             let key = key.clone();
             tokio::spawn(async move { send(node, "/sync/count", Some(&key), &key).await })
@@ -255,10 +255,10 @@
         gate.caught().await;
         let successor = fleet.start_node(1).await.unwrap();
         fleet.nodes.push(successor);
-        let old = fleet.nodes[0].callers();
+        let old = fleet.nodes[0].client_address();
         let stopping = fleet.nodes[0].stop();
         let rest = async {
-            while fleet.nodes[1].bundle() == 0 || fleet.nodes[1].others() == 0 {
+            while fleet.nodes[1].bundle_number() == 0 || fleet.nodes[1].live_peer_count() == 0 {
                 tokio::time::sleep(POLL).await;
             }
             for key in &keys {
@@ -291,7 +291,7 @@
 async fn graceful_stop_records_what_ran() {
     let fleet = fleet(2).await;
     slow(&fleet, 900);
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].client_address();
     let keys: Vec<String> = (0..8).map(|k| format!("key-{k}")).collect();
     let mut calls = JoinSet::new();
     for key in &keys {
@@ -303,7 +303,7 @@
     }
     calls.shutdown().await;
     assert!(fleet.nodes[0].stop().await);
-    while fleet.nodes[1].others() > 0 {
+    while fleet.nodes[1].live_peer_count() > 0 {
         tokio::time::sleep(POLL).await;
     }
     for key in &keys {
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -20,8 +20,8 @@
 async fn open(node: &Node, name: &str) -> bool {
     let path = "/v1/state/upstreams";
     let all: Vec<UpstreamState> =
-        JsonClient::default().get(node.admin(), path, REQUEST_TIMEOUT).await.unwrap();
-    all.iter().any(|u| &*u.name == name && u.open)
+        JsonClient::default().get(node.admin_address(), path, REQUEST_TIMEOUT).await.unwrap();
+    all.iter().any(|u| &*u.name == name && u.accepting)
 }
 
 async fn until(fleet: &Fleet, name: &str, wanted: bool) {
@@ -53,7 +53,7 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for node in &fleet.nodes {
-        let shop = Caller::new("shop".into(), vec![node.callers()]);
+        let shop = Caller::new("shop".into(), vec![node.client_address()]);
         for item in 0..4 {
             shop.call("stock", &format!("/items/{item}"), "", None, REQUEST_TIMEOUT).await.unwrap();
         }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -69,7 +69,7 @@
     caller.call("nowhere", "/", "", None, Duration::from_secs(5)).await.unwrap_err();
     let mut refusals = 0.0;
     for node in &fleet.nodes {
-        let (status, bytes) = text(node.admin(), "/metrics").await;
+        let (status, bytes) = text(node.admin_address(), "/metrics").await;
         assert_eq!(status, 200);
         let text = String::from_utf8(bytes.to_vec()).unwrap();
         for purpose in ["Bundle", "Vms", "Node"] {
@@ -97,7 +97,7 @@
     let mut settings = fleet.settings(0);
     settings.drain.ttl = Duration::from_secs(600);
     let node = Node::spawn(settings).await.unwrap();
-    let admin = node.admin();
+    let admin = node.admin_address();
     assert_eq!(text(admin, "/healthz").await, (StatusCode::OK, "ok\n".into()));
     let serving = (StatusCode::OK, Bytes::from("serving\n"));
     while text(admin, "/readyz").await != serving {
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -29,7 +29,7 @@
         state: VmState::Live,
     };
     fleet.platform.set_vms(vec![vm("sync"), vm("stock")]);
-    while fleet.nodes[0].upstreams() != 2 {
+    while fleet.nodes[0].routed_upstream_count() != 2 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     (fleet, cutter)
@@ -57,7 +57,7 @@
 async fn one_cut(point: Point, key: Option<&str>) {
     let body = "x".repeat(BODY);
     let (fleet, cutter) = cut_at(point, false).await;
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].client_address();
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
     let (told, ran) = (told(&answer), cutter.ran());
     assert!(ran <= 1, "{point:?} {key:?}: ran {ran} times");
@@ -81,7 +81,7 @@
 async fn earlier_attempt_counts() {
     for point in [Point::Ran, Point::AnswerHead, Point::AnswerBody] {
         let (fleet, cutter) = cut_at(point, true).await;
-        let node = fleet.nodes[0].callers();
+        let node = fleet.nodes[0].client_address();
         let answer = send_within(node, "/stock/items", None, "x", Some(2_000)).await.unwrap();
         assert_eq!((told(&answer), cutter.ran()), (Run::Unknown, 1), "{point:?}: {answer:?}");
     }
@@ -97,7 +97,7 @@
     let faults = Faults { poison: "palm".to_owned(), ..Faults::default() };
     fleet.engines[0].set_faults(faults);
     let body = r#"{"model":"patter","prompt":"palm","max_tokens":8}"#;
-    let answer = complete(fleet.nodes[0].callers(), body, 2_000).await.unwrap();
+    let answer = complete(fleet.nodes[0].client_address(), body, 2_000).await.unwrap();
     assert_eq!(fleet.engines[0].started(), 1);
     assert_eq!(told(&answer), Run::Unknown, "{answer:?}");
 }
@@ -108,7 +108,7 @@
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let slow = standins::plain::Faults { slow_ms: 600_000, ..Default::default() };
     fleet.sync.iter().chain(&fleet.stock).for_each(|p| p.set_faults(slow.clone()));
-    let node = fleet.nodes[0].callers();
+    let node = fleet.nodes[0].client_address();
     let one = |path| send_within(node, path, None, "x", Some(4_000));
     let (sync, stock) = tokio::join!(one("/sync/count"), one("/stock/items"));
     for (answer, replicas) in [(sync, &fleet.sync), (stock, &fleet.stock)] {
@@ -124,7 +124,7 @@
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let busy = standins::plain::Faults { status: 503, ..Default::default() };
     fleet.sync.iter().for_each(|p| p.set_faults(busy.clone()));
-    let answer = send(fleet.nodes[0].callers(), "/sync/count", None, "x").await.unwrap();
+    let answer = send(fleet.nodes[0].client_address(), "/sync/count", None, "x").await.unwrap();
     assert_eq!((answer.status.as_u16(), answer.problem), (503, None));
     let runs: usize = fleet.sync.iter().map(|p| p.ledger().len()).sum();
     assert_eq!(runs, 1);
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -105,7 +105,7 @@
     // Applied again, it is in force already.
     stdout(&desk.apply("2"));
 
-    let node = fleet.nodes[0].admin().to_string();
+    let node = fleet.nodes[0].admin_address().to_string();
     let done = ctl(&["rollout", "--node", &node, "--number", "2", "--output", "json"]);
     let rollout: Rollout = serde_json::from_str(&stdout(&done)).unwrap();
     assert_eq!((rollout.nodes, rollout.engines, rollout.all_engines), (2, 2, 2));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -29,7 +29,7 @@
     for (index, node) in fleet.nodes.iter().enumerate() {
         let path = "/v1/state/rollout";
         let told: Vec<EngineState> =
-            JsonClient::default().get(node.admin(), path, GUARD).await.unwrap();
+            JsonClient::default().get(node.admin_address(), path, GUARD).await.unwrap();
         states.extend(told.into_iter().filter(|s| *s.owner == format!("node-{index}")));
     }
     states.sort_by(|a, b| a.name.cmp(&b.name));
@@ -85,7 +85,7 @@
 async fn fenced_engine_refuses_an_old_order() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     fleet.apply(2, &bundle(2, 2)).await.unwrap();
-    all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported == Some(2)).await;
+    all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported_version == Some(2)).await;
     assert!(!old_order(&fleet, 0).await.taken);
     assert_eq!(fleet.engines[0].version(), Some(2));
     assert_eq!(orders(&fleet, "Correction").await, 0);
@@ -99,7 +99,7 @@
     let fleet = Fleet::spawn(2, 2, settings).await.unwrap();
     let text = bundle(2, 2).replace("kind = engine", "kind = engine\nfenced = false");
     fleet.apply(2, &text).await.unwrap();
-    all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported == Some(2)).await;
+    all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported_version == Some(2)).await;
     assert!(old_order(&fleet, 0).await.taken);
     until(|| fleet.engines[0].version() == Some(7)).await;
     until(|| fleet.engines[0].version() == Some(2)).await;
@@ -112,8 +112,8 @@
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     fleet.engines[1].set_faults(Faults { fail_swaps: 3, ..Faults::default() });
     fleet.apply(2, &bundle(2, 2)).await.unwrap();
-    let states = all(&fleet, |s| s.stage == RolloutStage::Settled && s.wanted == 2).await;
-    assert!(states.iter().all(|s| s.reported == Some(2)));
+    let states = all(&fleet, |s| s.stage == RolloutStage::Settled && s.target_version == 2).await;
+    assert!(states.iter().all(|s| s.reported_version == Some(2)));
     // One order for the engine that does well, and four for the other: a report that lags may
     // still show it as behind, then the order that repairs it counts as one of the rollout.
     let (rollout, repair) = (orders(&fleet, "Rollout").await, orders(&fleet, "Repair").await);
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -84,7 +84,7 @@
     let shop = Caller::new("shop".into(), vec![first]);
     shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
     let dead = fleet.nodes.pop().unwrap();
-    let address = dead.callers();
+    let address = dead.client_address();
     drop(dead);
     gone(address).await;
     for _ in 0..4 {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -51,7 +51,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     for node in [0, 1, 2, 0] {
-        let answer = complete(fleet.nodes[node].callers(), POISON, 20_000).await.unwrap();
+        let answer = complete(fleet.nodes[node].client_address(), POISON, 20_000).await.unwrap();
         assert_eq!(kind(&answer), "quarantined", "{answer:?}");
     }
     for (request, answer) in requests.iter().zip(innocent) {
@@ -67,8 +67,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_knows_before_the_caller_does() {
     let fleet = fleet(3, 5).await;
-    let answer = complete(fleet.nodes[0].callers(), POISON, 20_000).await.unwrap();
-    let known: Vec<usize> = fleet.nodes.iter().map(|n| n.quarantined()).collect();
+    let answer = complete(fleet.nodes[0].client_address(), POISON, 20_000).await.unwrap();
+    let known: Vec<usize> = fleet.nodes.iter().map(|n| n.quarantined_count()).collect();
     assert_eq!(kind(&answer), "quarantined", "{answer:?}");
     assert_eq!(known, [1, 1, 1]);
 }
@@ -82,12 +82,12 @@
     fleet.engines.iter().for_each(|e| e.set_faults(cut.clone()));
     let body = r#"{"model":"patter","prompt":"the pass","max_tokens":64}"#;
     for node in [0, 1, 0, 1] {
-        let answer = complete(fleet.nodes[node].callers(), body, 5_000).await.unwrap();
+        let answer = complete(fleet.nodes[node].client_address(), body, 5_000).await.unwrap();
         assert_ne!(kind(&answer), "quarantined", "{answer:?}");
     }
     fleet.engines.iter().for_each(|e| e.set_faults(Faults::default()));
     for node in [0, 1] {
-        let answer = complete(fleet.nodes[node].callers(), body, 5_000).await.unwrap();
+        let answer = complete(fleet.nodes[node].client_address(), body, 5_000).await.unwrap();
         assert_eq!(kind(&answer), "answered", "{answer:?}");
     }
     assert_eq!(crashes(&fleet), 0);
@@ -97,15 +97,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_that_starts_later_knows() {
     let mut fleet = fleet(2, 4).await;
-    let answer = complete(fleet.nodes[0].callers(), POISON, 20_000).await.unwrap();
+    let answer = complete(fleet.nodes[0].client_address(), POISON, 20_000).await.unwrap();
     assert_eq!(kind(&answer), "quarantined");
     let node = fleet.start_node(2).await.unwrap();
     fleet.nodes.push(node);
     fleet.settled(1).await;
-    while fleet.nodes[2].quarantined() == 0 {
+    while fleet.nodes[2].quarantined_count() == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    let answer = complete(fleet.nodes[2].callers(), POISON, 20_000).await.unwrap();
+    let answer = complete(fleet.nodes[2].client_address(), POISON, 20_000).await.unwrap();
     assert_eq!(kind(&answer), "quarantined");
     assert_eq!(crashes(&fleet), 2);
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -64,7 +64,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_stream_is_finished_by_a_stopping_node() {
     let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     let request = completion("long con", 3, 300);
     let response = opened(at, &request, None).await;
     assert_eq!(response.status(), StatusCode::OK);
@@ -103,7 +103,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn misfitting_resume_is_refused() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     let request = completion("pass", 1, 40);
     let text = token(&request.prompt, request.seed, 0);
     let request = CompletionRequest { prior: Some(PriorOutput { text, tokens: 1 }), ..request };
@@ -142,7 +142,7 @@
     cut(3);
     let request = completion("cull", 5, 40);
     let mut log = format!("> {}\n", serde_json::to_string(&request).unwrap());
-    let response = opened(fleet.nodes[0].callers(), &request, None).await;
+    let response = opened(fleet.nodes[0].client_address(), &request, None).await;
     let mut body = http_body_util::BodyDataStream::new(response.into_body());
     let mut got = String::new();
     while got.matches("\n\n").count() < 4 {
@@ -162,7 +162,7 @@
         "> last-event-id: {last}\n> {}\n",
         serde_json::to_string(&rest).unwrap()
     ));
-    let response = opened(fleet.nodes[1].callers(), &rest, Some(&last)).await;
+    let response = opened(fleet.nodes[1].client_address(), &rest, Some(&last)).await;
     let bytes = read_body(response.into_body(), 1 << 20).await.unwrap();
     log.push_str(std::str::from_utf8(&bytes).unwrap());
     assert!(log.ends_with("data: [DONE]\n\n"), "{log}");
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -9,7 +9,7 @@
 use mulberrycourse::client::{AddressBook, StepReport, Trainer};
 use mulberrycourse::decide::{Group, GroupSpec, Ranges, StepSpec};
 use mulberrycourse::edge::http::{JsonClient, JsonClientError};
-use mulberrycourse::node::{Pull, Pulled, Submit};
+use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::{Fleet, bundle};
 use standins::trainer::{flat, truth};
@@ -75,13 +75,14 @@
 }
 
 async fn submit(at: SocketAddr, step: u64, spec: &StepSpec, have: Ranges) {
-    let submit = Submit { spec: spec.clone(), have, parts: Vec::new() };
+    let submit =
+        SubmitStepRequest { spec: spec.clone(), delivered: have, partial_groups: Vec::new() };
     let _: serde_json::Value = send(at, Method::PUT, &step.to_string(), &submit).await.unwrap();
 }
 
-async fn pull(at: SocketAddr, step: u64, version: u64, have: &[u32]) -> Pulled {
+async fn pull(at: SocketAddr, step: u64, version: u64, have: &[u32]) -> PullGroupsResponse {
     let have = have.iter().copied().collect();
-    let pull = Pull { version, have, most: 64, wait_ms: 10_000 };
+    let pull = PullGroupsRequest { version, delivered: have, max_groups: 64, wait_ms: 10_000 };
     send(at, Method::POST, &format!("{step}/pull"), &pull).await.unwrap()
 }
 
@@ -102,9 +103,9 @@
 async fn nodes_agree_on_the_home() {
     let mut fleet = Fleet::spawn(3, 2, EngineSettings::default()).await.unwrap();
     let first = home(&fleet).await;
-    let node = fleet.nodes.iter().find(|n| n.callers() == first).unwrap();
+    let node = fleet.nodes.iter().find(|n| n.client_address() == first).unwrap();
     assert!(node.stop().await);
-    fleet.nodes.retain(|n| n.callers() != first);
+    fleet.nodes.retain(|n| n.client_address() != first);
     assert_ne!(home(&fleet).await, first);
 }
 
@@ -136,7 +137,7 @@
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     let first = pulling.next().await.unwrap();
     assert!(!first.is_empty());
-    fleet.nodes.retain(|n| n.callers() != at);
+    fleet.nodes.retain(|n| n.client_address() != at);
     let before = begun(&fleet);
     while !pulling.next().await.unwrap().is_empty() {}
     whole(pulling.report(), &spec);
@@ -150,7 +151,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn two_nodes_finish_the_step() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let [one, other] = [fleet.nodes[0].callers(), fleet.nodes[1].callers()];
+    let [one, other] = [fleet.nodes[0].client_address(), fleet.nodes[1].client_address()];
     let spec = spec(3, 2, 16);
     submit(one, 1, &spec, Ranges::default()).await;
     submit(other, 1, &spec, Ranges::default()).await;
@@ -197,7 +198,7 @@
     let trainer = Trainer::new("coach".into(), fleet.callers());
     // One long sample in each group: most of a group is finished long before it is whole.
     let spec = spec(4, 6, 120);
-    let node = fleet.nodes.iter().find(|n| n.callers() == at).unwrap();
+    let node = fleet.nodes.iter().find(|n| n.client_address() == at).unwrap();
     let drain = async {
         let finished = || fleet.engines.iter().any(|e| e.ledger().values().any(|l| l.len() > 60));
         while !finished() {
@@ -216,12 +217,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn parts_go_along() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     let spec = spec(2, 3, 16);
     submit(at, 1, &spec, Ranges::default()).await;
     let mut parts = unacknowledged(at, 1, 2).await;
     parts.iter_mut().for_each(|group| drop(group.samples.remove(1)));
-    let submitted = Submit { spec: spec.clone(), have: Ranges::default(), parts: parts.clone() };
+    let submitted = SubmitStepRequest {
+        spec: spec.clone(),
+        delivered: Ranges::default(),
+        partial_groups: parts.clone(),
+    };
     let _: serde_json::Value = send(at, Method::PUT, "2", &submitted).await.unwrap();
     let made = unacknowledged(at, 2, 2).await;
     for (group, part) in made.iter().zip(&parts) {
@@ -238,11 +243,16 @@
     let text = bundle(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
     fleet.apply(2, &text).await.unwrap();
     fleet.settled(2).await;
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 100_000), Ranges::default()).await;
     let held = async || {
-        let pull = Pull { version: 1, have: Ranges::default(), most: 1, wait_ms: 0 };
-        send::<Pulled>(at, Method::POST, "1/pull", &pull).await.is_ok()
+        let pull = PullGroupsRequest {
+            version: 1,
+            delivered: Ranges::default(),
+            max_groups: 1,
+            wait_ms: 0,
+        };
+        send::<PullGroupsResponse>(at, Method::POST, "1/pull", &pull).await.is_ok()
     };
     assert!(held().await);
     let dropped = async {
@@ -262,7 +272,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_between_deliveries() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 2, 16), Ranges::default()).await;
     let first = unacknowledged(at, 1, 1).await;
     assert!(first[0].samples.iter().all(|s| s.oldest() == Some(1)));
@@ -282,13 +292,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_pull_is_judged_by_the_newest_version() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 16), Ranges::default()).await;
     unacknowledged(at, 1, 1).await;
     let newer = StepSpec { version: 9, ..spec(1, 1, 16) };
     submit(at, 2, &newer, Ranges::default()).await;
-    let pull = Pull { version: 1, have: Ranges::default(), most: 1, wait_ms: 0 };
-    let late: Pulled = send(at, Method::POST, "1/pull", &pull).await.unwrap();
+    let pull =
+        PullGroupsRequest { version: 1, delivered: Ranges::default(), max_groups: 1, wait_ms: 0 };
+    let late: PullGroupsResponse = send(at, Method::POST, "1/pull", &pull).await.unwrap();
     assert!(late.groups.is_empty(), "{late:?}");
 }
 
@@ -318,19 +329,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_on_arrival_is_not_started() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
-    let at = fleet.nodes[0].callers();
+    let at = fleet.nodes[0].client_address();
     // A sample shows the node which version the engine serves.
     submit(at, 1, &spec(1, 1, 4), Ranges::default()).await;
     unacknowledged(at, 1, 1).await;
     let before = fleet.engines[0].started();
     submit(at, 2, &StepSpec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
-    let pull = Pull { version: 5, have: Ranges::default(), most: 1, wait_ms: 1_000 };
-    let pulled: Pulled = send(at, Method::POST, "2/pull", &pull).await.unwrap();
+    let pull = PullGroupsRequest {
+        version: 5,
+        delivered: Ranges::default(),
+        max_groups: 1,
+        wait_ms: 1_000,
+    };
+    let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
     assert!(pulled.groups.is_empty());
     assert_eq!(fleet.engines[0].started(), before);
     fleet.apply(2, &bundle(2, 5)).await.unwrap();
     let made = loop {
-        let pulled: Pulled = send(at, Method::POST, "2/pull", &pull).await.unwrap();
+        let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
         if !pulled.groups.is_empty() {
             break pulled.groups;
         }
