--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -24,7 +24,7 @@
 /// How much longer each next node in rank waits before it tries to become the leader.
 const RANK_DELAY: Duration = Duration::from_millis(400);
 /// How often a node that is not the leader checks for a vacancy, and how often a leader with
-/// orders under way plans anew.
+/// orders under way plans again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of one order to a replica, or of one status request.
 const REPLICA_CALL_TIMEOUT: Duration = Duration::from_millis(800);
@@ -94,9 +94,9 @@
         }
         let since = *vacant_since.get_or_insert(now);
         let ranked = rank(LEADER_KEY, serving.iter().map(|l| &**l));
-        let Some(place) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
+        let Some(position) = ranked.iter().position(|l| **l == *app.incarnation) else { continue };
         let lease = app.lease.lock().id;
-        if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * place as u32 {
+        if lease == 0 || !app.has_lease() || now < since + RANK_DELAY * position as u32 {
             continue;
         }
         let Ok(value) = serde_json::to_vec(&LeaderRecord { incarnation: app.incarnation.clone() })
@@ -122,11 +122,11 @@
         if !app.holds_term(fence) {
             return;
         }
-        for wanted in plan_loads(app, &busy) {
-            let Some(target) = target(app, &wanted.id) else { continue };
-            busy.insert(wanted.id.clone(), wanted.model.clone());
-            let (app, id) = (app.clone(), wanted.id.clone());
-            running.spawn(async move { (id, execute_load(&app, target, wanted, fence).await) });
+        for load in plan_loads(app, &busy) {
+            let Some(target) = target(app, &load.id) else { continue };
+            busy.insert(load.id.clone(), load.model.clone());
+            let (app, id) = (app.clone(), load.id.clone());
+            running.spawn(async move { (id, execute_load(&app, target, load, fence).await) });
         }
         tokio::select! {
             _ = view_changes.changed() => {}
@@ -152,24 +152,24 @@
     let named = app.versions.lock().clone();
     let demand = app.demand.lock().by_model(app.now());
     let models: BTreeSet<&Name> = named.keys().chain(demand.keys()).collect();
-    let mut standings: Vec<ReplicaWeights> = Vec::new();
+    let mut replicas: Vec<ReplicaWeights> = Vec::new();
     let fleet = app.slots.fleet.lock();
     for model in models {
         for (target, version) in fleet.serving(model) {
-            let found = standings.iter().position(|s| s.id == target.id);
+            let found = replicas.iter().position(|s| s.id == target.id);
             let index = found.unwrap_or_else(|| {
                 let loading = busy.get(&target.id).cloned();
-                standings.push(ReplicaWeights {
+                replicas.push(ReplicaWeights {
                     id: target.id,
                     versions: Default::default(),
                     loading,
                 });
-                standings.len() - 1
+                replicas.len() - 1
             });
-            standings[index].versions.insert(model.clone(), version);
+            replicas[index].versions.insert(model.clone(), version);
         }
     }
-    weight_loads::next_loads(&named, &demand, &standings)
+    weight_loads::next_loads(&named, &demand, &replicas)
 }
 
 fn target(app: &App, id: &str) -> Option<Target> {
@@ -178,54 +178,49 @@
 
 /// Orders one weight load and waits for its end. Gives no order if the replica already has the
 /// version, is busy, or the term may be over.
-async fn execute_load(
-    app: &Arc<App>,
-    target: Target,
-    wanted: WeightLoad,
-    fence: u64,
-) -> LoadOutcome {
-    let Ok(stance) = app.replicas.status(&target, REPLICA_CALL_TIMEOUT).await else {
+async fn execute_load(app: &Arc<App>, target: Target, load: WeightLoad, fence: u64) -> LoadOutcome {
+    let Ok(status) = app.replicas.status(&target, REPLICA_CALL_TIMEOUT).await else {
         return LoadOutcome::Failed;
     };
-    if stance.is_other_incarnation(&target) {
+    if status.is_other_incarnation(&target) {
         // The replica has restarted; its next entry in the store will show that.
         return LoadOutcome::Failed;
     }
-    let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
+    let has = status.versions.iter().find(|(m, _)| *m == load.model).map(|(_, v)| *v);
     if let Some(has) = has
-        && has >= wanted.version
+        && has >= load.version
     {
-        app.slots.fleet.lock().raise_version(&target, &wanted.model, has);
+        app.slots.fleet.lock().raise_version(&target, &load.model, has);
         return LoadOutcome::Done;
     }
-    if stance.busy || !app.holds_term(fence) {
+    if status.busy || !app.holds_term(fence) {
         return LoadOutcome::Failed;
     }
     let one_version = app.routes().is_some_and(|r| r.any_single_version());
     let order = WeightOrder {
-        model: wanted.model.clone(),
-        version: wanted.version,
+        model: load.model.clone(),
+        version: load.version,
         keep_runs: !one_version,
         holder: app.settings.name.clone(),
         fencing_token: fence,
-        accepted_orders: stance.accepted_orders,
+        accepted_orders: status.accepted_orders,
     };
     *app.last_duty.lock() = Some(app.now());
     let end = app.replicas.order(&target, order, REPLICA_CALL_TIMEOUT).await;
     tracing::info!(
         event = "order_given",
         replica = %target.id,
-        model = %wanted.model,
-        version = wanted.version,
+        model = %load.model,
+        version = load.version,
         fence,
-        sequence = stance.accepted_orders,
+        sequence = status.accepted_orders,
         outcome = ?end
     );
     app.tally.order(end);
     match end {
-        OrderOutcome::Accepted | OrderOutcome::Unknown => await_load(app, &target, &wanted).await,
+        OrderOutcome::Accepted | OrderOutcome::Unknown => await_load(app, &target, &load).await,
         OrderOutcome::Holds => {
-            app.slots.fleet.lock().raise_version(&target, &wanted.model, wanted.version);
+            app.slots.fleet.lock().raise_version(&target, &load.model, load.version);
             LoadOutcome::Done
         }
         OrderOutcome::Busy | OrderOutcome::Refused => LoadOutcome::Failed,
@@ -234,22 +229,22 @@
 }
 
 /// Polls a replica until it has loaded the ordered version.
-async fn await_load(app: &App, target: &Target, wanted: &WeightLoad) -> LoadOutcome {
+async fn await_load(app: &App, target: &Target, load: &WeightLoad) -> LoadOutcome {
     tokio::time::sleep(MIN_LOAD_TIME).await;
     for _ in 0..MAX_LOAD_POLLS {
-        let Ok(stance) = app.replicas.status(target, REPLICA_CALL_TIMEOUT).await else {
+        let Ok(status) = app.replicas.status(target, REPLICA_CALL_TIMEOUT).await else {
             return LoadOutcome::Failed;
         };
-        if stance.is_other_incarnation(target) {
+        if status.is_other_incarnation(target) {
             return LoadOutcome::Failed;
         }
-        let has = stance.versions.iter().find(|(m, _)| *m == wanted.model).map(|(_, v)| *v);
-        if has.is_some_and(|has| has >= wanted.version) {
-            app.slots.fleet.lock().raise_version(target, &wanted.model, wanted.version);
+        let has = status.versions.iter().find(|(m, _)| *m == load.model).map(|(_, v)| *v);
+        if has.is_some_and(|has| has >= load.version) {
+            app.slots.fleet.lock().raise_version(target, &load.model, load.version);
             app.slots.assign_free(app.now());
             return LoadOutcome::Done;
         }
-        if !stance.busy {
+        if !status.busy {
             return LoadOutcome::Failed;
         }
         tokio::time::sleep(LOAD_POLL_INTERVAL).await;
--- a/src/entry/membership.rs
+++ b/src/entry/membership.rs
@@ -96,8 +96,8 @@
     /// Names and client addresses of nodes that serve clients: the live ones, and those whose
     /// records vanished together in an outage of the store.
     pub(super) fn client_addresses(&self, now: Moment) -> Vec<(Name, SocketAddr)> {
-        let held = self.retained(now);
-        let nodes = self.nodes.iter().chain(held.into_iter().map(|(n, (v, _))| (n, v)));
+        let retained = self.retained(now);
+        let nodes = self.nodes.iter().chain(retained.into_iter().map(|(n, (v, _))| (n, v)));
         nodes.filter_map(|(name, value)| Some((name.clone(), value.callers?))).collect()
     }
 
@@ -115,8 +115,8 @@
     /// Peer addresses by node name, including nodes whose records vanished together, so that
     /// the choice of nodes that watch the store for others does not change in an outage.
     pub(super) fn stable_peers(&self, now: Moment) -> BTreeMap<Name, SocketAddr> {
-        let held = self.retained(now).into_iter().map(|(n, (v, _))| (n, v));
-        let nodes = held.chain(self.nodes.iter());
+        let retained = self.retained(now).into_iter().map(|(n, (v, _))| (n, v));
+        let nodes = retained.chain(self.nodes.iter());
         nodes.filter_map(|(name, value)| Some((name.clone(), value.peers?))).collect()
     }
 
@@ -134,8 +134,9 @@
     /// The incarnations that are registered, or whose records vanished together within
     /// [`OUTAGE_RETENTION`].
     pub(super) fn live_incarnations(&self, now: Moment) -> Vec<Name> {
-        let held = self.retained(now).into_iter().map(|(_, (value, _))| value.incarnation.clone());
-        self.nodes.values().map(|v| v.incarnation.clone()).chain(held).collect()
+        let retained =
+            self.retained(now).into_iter().map(|(_, (value, _))| value.incarnation.clone());
+        self.nodes.values().map(|v| v.incarnation.clone()).chain(retained).collect()
     }
 
     /// Whether an incarnation has its record in the store.
--- a/src/entry/owned_jobs.rs
+++ b/src/entry/owned_jobs.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UnsavedTexts {
     /// What was added to each text.
-    pub growths: Vec<(Name, TextDelta)>,
+    pub deltas: Vec<(Name, TextDelta)>,
     /// How much of each text the store has once that is written.
     pub saved: Vec<(Name, SavedProgress)>,
 }
@@ -61,13 +61,13 @@
         let mut size = 0;
         let mut unsaved = UnsavedTexts::default();
         for (item, (text, saved)) in &*texts {
-            let Some((growth, after)) = text.delta_since(*saved) else { continue };
-            if size + growth.bytes() > max_bytes {
+            let Some((delta, progress)) = text.delta_since(*saved) else { continue };
+            if size + delta.bytes() > max_bytes {
                 continue;
             }
-            size += growth.bytes();
-            unsaved.growths.push((item.clone(), growth));
-            unsaved.saved.push((item.clone(), after));
+            size += delta.bytes();
+            unsaved.deltas.push((item.clone(), delta));
+            unsaved.saved.push((item.clone(), progress));
         }
         unsaved
     }
--- a/src/entry/read.rs
+++ b/src/entry/read.rs
@@ -21,10 +21,10 @@
 const MAX_PAGE_BYTES: usize = 500_000;
 /// Longest single watch for results.
 const MAX_WATCH: Duration = Duration::from_millis(1_000);
-/// Longest time since its last update after which a cached job is continued by a watch. The
-/// store keeps its history for 20 s or less, and a watch that starts before that gets nothing
-/// instead of an error.
-const MAX_WATCH_GAP: Duration = Duration::from_secs(3);
+/// Longest time since its last update for which the view of a cached job is continued by a
+/// watch. The store keeps its history for 20 s or less, and a watch from a revision before that
+/// gets nothing instead of an error.
+const MAX_CACHE_AGE: Duration = Duration::from_secs(3);
 /// Shortest watch: returns what the store has already.
 const MIN_WATCH: Duration = Duration::from_millis(1);
 
@@ -91,7 +91,7 @@
         ends: Moment,
     ) -> Option<ReadResult> {
         let total = owned.job.lock().spec.items.len();
-        let mut listed = owned.result_count.subscribe();
+        let mut result_count = owned.result_count.subscribe();
         loop {
             let results = results_page(owned.job.lock().written_results(), after);
             // Other nodes may already see the results of a write whose answer was lost.
@@ -105,11 +105,13 @@
             let left = ends.saturating_sub(self.now());
             tokio::select! {
                 () = owned.stop.cancelled() => return None,
-                _ = tokio::time::timeout(left, listed.changed()) => {}
+                _ = tokio::time::timeout(left, result_count.changed()) => {}
             }
         }
     }
 
+    /// Reads a job of another owner from this node's cached view of it, which is brought up to
+    /// date from the store.
     async fn read_remote(
         &self,
         job: &str,
@@ -185,10 +187,11 @@
         let state = remote.state.lock();
         let since_update = self.now().saturating_sub(state.last_update);
         let unbroken = state.watch_gaps == self.watch_gaps.load(Ordering::Relaxed)
-            && since_update < MAX_WATCH_GAP;
+            && since_update < MAX_CACHE_AGE;
         state.complete || state.revision.is_some() && unbroken
     }
 
+    /// Reads all results of a cached job from the store.
     async fn reload_remote(&self, job: &str, remote: &RemoteJob) -> Result<(), StoreError> {
         let watch_gaps = self.watch_gaps.load(Ordering::Relaxed);
         let ended = remote.state.lock().ended;
@@ -245,6 +248,7 @@
         find_body(&spec, item)
     }
 
+    /// The submission of a job of another owner, cached after the first read.
     async fn spec_of(&self, job: &str) -> Result<Option<Arc<JobSpec>>, StoreError> {
         let remote = self.remote_jobs.get(job);
         if let Some(spec) = remote.spec.lock().clone() {
@@ -280,23 +284,24 @@
     }
 }
 
+/// The request body of a sample in a submission.
 fn find_body(spec: &JobSpec, item: &str) -> Option<Bytes> {
     spec.items.iter().find(|i| *i.id == *item).map(|item| item.body.clone())
 }
 
 /// The results from a position on that fit into one answer, but at least one if there is any.
-pub(super) fn results_page(listed: &[Arc<ItemResult>], after: usize) -> Vec<Arc<ItemResult>> {
+pub(super) fn results_page(written: &[Arc<ItemResult>], after: usize) -> Vec<Arc<ItemResult>> {
     let mut size = 0;
-    let mut results = Vec::new();
-    for listing in listed.iter().skip(after) {
-        size += match &listing.state {
+    let mut page = Vec::new();
+    for result in written.iter().skip(after) {
+        size += match &result.state {
             ItemState::Completed { output, .. } => output.len(),
             ItemState::Dead => 0,
         };
-        if size > MAX_PAGE_BYTES && !results.is_empty() {
+        if size > MAX_PAGE_BYTES && !page.is_empty() {
             break;
         }
-        results.push(listing.clone());
+        page.push(result.clone());
     }
-    results
+    page
 }
--- a/src/entry/registration.rs
+++ b/src/entry/registration.rs
@@ -94,7 +94,7 @@
         }
         self.wait_out_last_order().await;
         if let Err(e) = self.store.revoke(lease.id).await {
-            tracing::warn!(event = "lease_not_ended", lease = lease.id, error = %e);
+            tracing::warn!(event = "lease_not_revoked", lease = lease.id, error = %e);
         }
     }
 }
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -124,10 +124,10 @@
         if last {
             txn = txn.put(key.clone(), serde_json::to_vec(&value).unwrap_or_default());
         }
-        let UnsavedTexts { growths, saved } = owned.unsaved_texts(app.settings.value_bytes / 2);
-        if !growths.is_empty() && !last {
+        let UnsavedTexts { deltas, saved } = owned.unsaved_texts(app.settings.value_bytes / 2);
+        if !deltas.is_empty() && !last {
             let index = *owned.text_writes.lock();
-            let encoded = bincode::serde::encode_to_vec(&growths, bincode::config::standard());
+            let encoded = bincode::serde::encode_to_vec(&deltas, bincode::config::standard());
             txn = txn.put(texts_key(id, index), encoded.unwrap_or_default());
         }
         if txn.puts.is_empty() {
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -17,7 +17,8 @@
 use crate::edge::store::{StoreError, Txn, TxnOutcome};
 use crate::metrics::JobStep;
 
-/// Most parts of a submission: they and the job's record are written in one transaction.
+/// Maximum number of parts of a submission. They and the job's record are written in one
+/// transaction.
 const MAX_SPEC_PARTS: usize = 24;
 /// Bytes of a value that are left unused, so that it stays below the store's limit.
 pub(super) const VALUE_RESERVE_BYTES: usize = 4_096;
@@ -42,8 +43,8 @@
 impl App {
     /// Accepts a job, at this node or at one that it forwards the job to.
     pub async fn submit(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
-        let kept = self.owned_jobs.get(&spec.id).is_some();
-        let passed = if kept || self.draining() {
+        let owned = self.owned_jobs.get(&spec.id).is_some();
+        let passed = if owned || self.draining() {
             ForwardOutcome::Not
         } else {
             self.forward_job(&spec).await
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -54,13 +54,14 @@
             }
         }
         let now = app.now();
-        let place = {
-            let mut live = app.membership.lock();
+        let position = {
+            let mut membership = app.membership.lock();
             let store_time = app.store_time();
-            live.forget_departed(store_time);
+            membership.forget_departed(store_time);
             app.evict_expired(now);
-            let alive: BTreeSet<Name> = live.live_incarnations(store_time).into_iter().collect();
-            let serving = live.serving_incarnations();
+            let alive: BTreeSet<Name> =
+                membership.live_incarnations(store_time).into_iter().collect();
+            let serving = membership.serving_incarnations();
             if alive != known {
                 known = alive;
                 due = None;
@@ -69,11 +70,11 @@
                 .iter()
                 .position(|l| **l == *app.incarnation)
         };
-        let Some(place) = place.filter(|place| *place < MAX_SCANNERS) else {
+        let Some(position) = position.filter(|position| *position < MAX_SCANNERS) else {
             due = None;
             continue;
         };
-        let at = *due.get_or_insert(now + RANK_DELAY * place as u32);
+        let at = *due.get_or_insert(now + RANK_DELAY * position as u32);
         if now < at {
             continue;
         }
@@ -120,10 +121,10 @@
             continue;
         }
         let (alive, back) = {
-            let live = app.membership.lock();
+            let membership = app.membership.lock();
             (
-                live.live_incarnations(app.store_time()).contains(&seen.value.incarnation),
-                live.is_registered(&seen.value.incarnation),
+                membership.live_incarnations(app.store_time()).contains(&seen.value.incarnation),
+                membership.is_registered(&seen.value.incarnation),
             )
         };
         if !alive {
@@ -158,10 +159,10 @@
 }
 
 /// Runs a job of this node from what the store has of it. False if that can't be read.
-pub(super) async fn resume_job(app: &Arc<App>, job: &Name, key: Stored<JobRecord>) -> bool {
+pub(super) async fn resume_job(app: &Arc<App>, job: &Name, record: Stored<JobRecord>) -> bool {
     match load_job(app, job).await {
         Ok((spec, restored)) => {
-            app.run_job(spec, restored, key);
+            app.run_job(spec, restored, record);
             true
         }
         Err(e) => {
@@ -184,26 +185,26 @@
 /// for the next save.
 fn decode_texts(
     page: &RangeResult,
-    listed: &[Arc<ItemResult>],
+    results: &[Arc<ItemResult>],
 ) -> (ByName<(SampleText, SavedProgress)>, usize) {
     let mut texts: ByName<(SampleText, SavedProgress)> = ByName::new();
     for item in &page.items {
         let config = bincode::config::standard();
         let decoded =
             bincode::serde::decode_from_slice::<Vec<(Name, TextDelta)>, _>(&item.value, config);
-        let growths = match decoded {
-            Ok((growths, _)) => growths,
+        let deltas = match decoded {
+            Ok((deltas, _)) => deltas,
             Err(e) => {
                 tracing::error!(event = "texts_not_decoded", key = %item.key, error = %e);
                 continue;
             }
         };
-        for (name, growth) in &growths {
-            texts.entry(name.clone()).or_default().0.apply_delta(growth);
+        for (name, delta) in &deltas {
+            texts.entry(name.clone()).or_default().0.apply_delta(delta);
         }
     }
-    for listing in listed {
-        texts.remove(&listing.id);
+    for result in results {
+        texts.remove(&result.id);
     }
     for (text, saved) in texts.values_mut() {
         *saved = text.progress();
@@ -242,8 +243,8 @@
     fn evict_expired(&self, now: Moment) {
         self.remote_jobs.drop_idle(now, self.settings.job_retention * 2);
         for (job, owned) in self.owned_jobs.all() {
-            let over = owned.job.lock().all_written();
-            if over && past_retention(self, &owned.record.lock().value) {
+            let finished = owned.job.lock().all_written();
+            if finished && past_retention(self, &owned.record.lock().value) {
                 self.owned_jobs.remove(&job);
             }
         }
--- a/tests/entry_settings.rs
+++ b/tests/entry_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of an entry process: every mistake is told with its place.
+//! The settings of an entry process: every mistake is reported with its place.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn mistakes_are_told_with_their_place() {
+fn mistakes_are_reported_with_their_place() {
     let cases = [
         (GOOD.replace("name = n\n", ""), "name"),
         (GOOD.replace("10.0.0.1:80", "here"), "callers"),
