--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -12,7 +12,7 @@
 
 use super::app::App;
 use super::lifecycle::Phase;
-use super::orders::states;
+use super::orders::engine_states;
 use crate::Name;
 use crate::edge::http::{Body, Handler, full_body, json_response, problem_response};
 use crate::edge::peer::NodeInfo;
@@ -91,7 +91,7 @@
             },
             "/v1/state/nodes" => json_response(StatusCode::OK, &nodes(app)),
             "/v1/state/upstreams" => json_response(StatusCode::OK, &upstreams(app)),
-            "/v1/state/rollout" => json_response(StatusCode::OK, &states(app)),
+            "/v1/state/rollout" => json_response(StatusCode::OK, &engine_states(app)),
             "/v1/state/refusals" => json_response(StatusCode::OK, &refusals(app)),
             path => problem_response(&Refusal::new(Kind::UnknownPath, path)),
         }
@@ -99,19 +99,19 @@
 }
 
 fn metrics_response(app: &App) -> Response<Body> {
-    let held = |kind, count| app.metrics.held(kind, count);
-    held(Entry::Member, app.members.held());
-    held(Entry::Upstream, app.upstreams.list().len());
-    held(Entry::Step, app.steps.held());
-    let (suspects, quarantined) = app.suspects.counts();
-    held(Entry::Suspect, suspects);
-    held(Entry::Quarantined, quarantined);
-    held(Entry::Claim, app.claims.held());
-    held(Entry::Attempt, app.claims.attempts());
-    let depths = app.dispatchers().into_iter().map(|(_, d)| d.held());
-    let (waiting, running) = depths.fold((0, 0), |sum, d| (sum.0 + d.0, sum.1 + d.1));
-    held(Entry::Waiting, waiting);
-    held(Entry::Running, running);
+    let set_entries = |kind, count| app.metrics.held(kind, count);
+    set_entries(Entry::Member, app.members.count());
+    set_entries(Entry::Upstream, app.upstreams.list().len());
+    set_entries(Entry::Step, app.steps.count());
+    let (suspects, quarantined) = app.quarantine.counts();
+    set_entries(Entry::Suspect, suspects);
+    set_entries(Entry::Quarantined, quarantined);
+    set_entries(Entry::Claim, app.claims.key_count());
+    set_entries(Entry::Attempt, app.claims.attempt_count());
+    let counts = app.dispatchers().into_iter().map(|(_, d)| d.counts());
+    let (waiting, running) = counts.fold((0, 0), |sum, d| (sum.0 + d.0, sum.1 + d.1));
+    set_entries(Entry::Waiting, waiting);
+    set_entries(Entry::Running, running);
     let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     let mut response = text_response(StatusCode::OK, app.metrics.text());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
@@ -129,7 +129,7 @@
 }
 
 fn nodes(app: &App) -> Vec<NodeInfo> {
-    let mut nodes = vec![app.info()];
+    let mut nodes = vec![app.own_info()];
     nodes.extend(app.members.alive(app.clock.now()));
     nodes.sort_by(|a, b| a.name.cmp(&b.name));
     nodes
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share, passed by reference.
+//! The state that the parts of a node share.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 use super::bundles::Bundles;
 use super::claims::Claims;
 use super::dispatcher::Dispatcher;
-use super::lifecycle::{Event, Lifecycle, Phase};
+use super::lifecycle::{Lifecycle, LifecycleEvent, Phase};
 use super::members::Members;
-use super::orders::Orders;
-use super::suspects::Suspects;
-use super::train::Steps;
+use super::orders::Rollouts;
+use super::quarantine::NodeQuarantine;
+use super::steps::ActiveSteps;
 use super::upstreams::Upstreams;
 use super::{Clock, identity};
 use crate::Name;
@@ -26,7 +26,7 @@
 use crate::metrics::{Metrics, Purpose};
 use crate::settings::Settings;
 
-/// The context of a node.
+/// The shared state of a node.
 #[derive(Debug)]
 pub(super) struct App {
     pub(super) settings: Settings,
@@ -39,15 +39,16 @@
     pub(super) bundles: Bundles,
     pub(super) members: Members,
     pub(super) upstreams: Upstreams,
-    pub(super) steps: Steps,
-    pub(super) orders: Orders,
+    pub(super) steps: ActiveSteps,
+    pub(super) rollouts: Rollouts,
     pub(super) claims: Claims,
-    pub(super) suspects: Arc<Suspects>,
-    /// The versions that engines were last seen to serve.
-    pub(super) served: Mutex<EngineVersions>,
-    /// Cancelled when the node has stopped: ends every background task.
+    pub(super) quarantine: Arc<NodeQuarantine>,
+    /// The weight versions that the engines last reported.
+    pub(super) engine_versions: Mutex<EngineVersions>,
+    /// Cancelled when the node has stopped. This ends all background tasks.
     pub(super) cancel: CancellationToken,
     dispatchers: RwLock<HashMap<Name, Arc<Dispatcher>>>,
+    /// The lifecycle and its current phase.
     lifecycle: Mutex<(Lifecycle, Phase)>,
 }
 
@@ -59,17 +60,17 @@
         Self {
             clock: Clock::default(),
             platform,
-            peers: counted(metrics.clone()),
+            peers: counting_peer_client(metrics.clone()),
             engines: EngineClient::with_traffic(metrics.traffic(Purpose::Order)),
             plain: PlainClient,
             bundles: Bundles::new(settings.operators.clone()),
             members: Members::new(&settings.node, &identity),
             upstreams: Upstreams::default(),
-            steps: Steps::default(),
-            orders: Orders::default(),
+            steps: ActiveSteps::default(),
+            rollouts: Rollouts::default(),
             claims: Claims::new(&settings.node.name),
-            suspects: Arc::new(Suspects::new(&settings.node.name)),
-            served: Mutex::default(),
+            quarantine: Arc::new(NodeQuarantine::new(&settings.node.name)),
+            engine_versions: Mutex::default(),
             cancel: CancellationToken::new(),
             dispatchers: RwLock::default(),
             lifecycle: Mutex::new((Lifecycle::new(), Phase::Starting)),
@@ -78,13 +79,13 @@
         }
     }
 
-    /// The phase of the node.
+    /// Returns the lifecycle phase of the node.
     pub(super) fn phase(&self) -> Phase {
         self.lifecycle.lock().1
     }
 
-    /// Moves the lifecycle on.
-    pub(super) fn advance(&self, event: Event) -> Phase {
+    /// Passes an event to the lifecycle and returns the phase after it.
+    pub(super) fn handle_event(&self, event: LifecycleEvent) -> Phase {
         let mut lifecycle = self.lifecycle.lock();
         let before = lifecycle.1;
         let after = lifecycle.0.handle(event);
@@ -96,49 +97,49 @@
         after
     }
 
-    /// Whether another node is known to serve: only then is work let go.
+    /// Whether another node is known to serve. Only then may this node release work to others.
     pub(super) fn others_serve(&self) -> bool {
         !self.members.serving(self.clock.now()).is_empty()
     }
 
-    /// What this node says of itself now.
-    pub(super) fn info(&self) -> NodeInfo {
-        self.members.own()
+    /// Returns what this node reports about itself.
+    pub(super) fn own_info(&self) -> NodeInfo {
+        self.members.own_info()
     }
 
-    /// The home of a key among the nodes that serve, as this node sees them.
-    pub(super) fn home(&self, key: &str) -> Option<Name> {
-        let own = self.info();
+    /// Returns the owner of a key among the nodes that serve, as far as this node knows them.
+    pub(super) fn key_owner(&self, key: &str) -> Option<Name> {
+        let own = self.own_info();
         let mut serving = self.members.serving(self.clock.now());
         if own.state == NodeState::Serving {
             serving.push(own);
         }
         let ranked = rendezvous_rank(key, serving.iter().map(|n| &*n.name));
-        ranked.first().map(|home| Name::from(*home))
+        ranked.first().map(|owner| Name::from(*owner))
     }
 
-    /// The bundle in force, or the refusal to a caller who came before it.
+    /// Returns the active bundle. Refuses the request if there is none yet.
     pub(super) fn bundle(&self) -> Result<Adopted, Refusal> {
         let wait = self.settings.platform.timeout;
-        self.bundles
-            .current()
-            .ok_or_else(|| Refusal::new(Kind::NoBundle, "this node starts").after(wait))
+        self.bundles.current().ok_or_else(|| {
+            Refusal::new(Kind::NoBundle, "this node has no active bundle yet").after(wait)
+        })
     }
 
-    /// The dispatcher of a service of the bundle in force.
+    /// Returns the dispatcher of a service in the active bundle.
     pub(super) fn dispatcher(&self, service: &str) -> Result<Arc<Dispatcher>, Refusal> {
         self.dispatchers.read().get(service).cloned().ok_or_else(|| {
             Refusal::new(Kind::UnknownService, format!("no service {service} in the bundle"))
         })
     }
 
-    /// All dispatchers.
+    /// Returns all dispatchers with the names of their services.
     pub(super) fn dispatchers(&self) -> Vec<(Name, Arc<Dispatcher>)> {
         self.dispatchers.read().iter().map(|(n, d)| (n.clone(), d.clone())).collect()
     }
 
-    /// Brings the dispatchers in line with a bundle that comes into force.
-    pub(super) fn apply(&self, adopted: &Adopted) {
+    /// Updates the dispatchers to a bundle that becomes active.
+    pub(super) fn apply_bundle(&self, adopted: &Adopted) {
         self.metrics.bundle.set(adopted.bundle.number as i64);
         self.members.set_bundle(adopted.bundle.number);
         let mut dispatchers = self.dispatchers.write();
@@ -149,12 +150,13 @@
                 Arc::new(Dispatcher::new(limits, zone, self.clock, self.metrics.clone()))
             });
             dispatcher.set_limits(limits);
-            dispatcher.set_shares(adopted.bundle.shares());
+            dispatcher.set_weights(adopted.bundle.shares());
         }
         dispatchers.retain(|name, _| adopted.bundle.services.contains_key(name));
     }
 }
 
-fn counted(metrics: Arc<Metrics>) -> PeerClient {
+/// Creates a peer client that counts the bytes of each request by its purpose.
+fn counting_peer_client(metrics: Arc<Metrics>) -> PeerClient {
     PeerClient::new(move |request: &NodeRequest| metrics.traffic(request.purpose()))
 }
--- a/src/node/bundles.rs
+++ b/src/node/bundles.rs
@@ -1,4 +1,4 @@
-//! The bundle in force at this node, and where new ones come from.
+//! The active bundle of this node, and the watch on the platform for new ones.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 use tokio::sync::watch;
 
 use super::app::App;
-use super::lifecycle::Event;
+use super::lifecycle::LifecycleEvent;
 use crate::bundle::{Adopted, Adoption, Ahead, Envelope, Operators, Rejected};
 use crate::edge::http::JsonClientError;
 use crate::edge::platform::VersionedValue;
 use crate::metrics::PlatformUse;
 
-/// The key of the bundle in force.
+/// The platform key of the active bundle.
 pub const CURRENT_BUNDLE_KEY: &str = "bundle/current";
-/// The prefix of proposed bundles; the number follows.
+/// The key prefix of proposed bundles. The number of the bundle follows.
 pub const PROPOSED_BUNDLE_PREFIX: &str = "bundle/proposed/";
-/// The prefix of bundles that were in force; the number follows.
+/// The key prefix of all bundles that have been active. The number of the bundle follows.
 pub const BUNDLE_HISTORY_PREFIX: &str = "bundle/history/";
 
-/// Shortest pause before the platform is asked again.
-const PAUSE: Duration = Duration::from_millis(250);
-/// Longest pause.
-const LONGEST: Duration = Duration::from_secs(5);
-/// Nodes that watch the bundle. Eight are lost together only with the platform; a
-/// watch by each of 380 nodes would come back as 760 calls at once after an outage.
-const WATCHERS: usize = 8;
-/// Time between two looks of a node that does not watch: 13 calls a second at 380 nodes.
-const LOOK: Duration = Duration::from_secs(30);
-/// Time between two looks at whose part it is to watch.
-const REVIEW: Duration = Duration::from_millis(500);
-
-/// The bundle in force, if there is one yet.
+/// The delay after a watch has ended, and after the first failure.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The maximum delay after repeated failures.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// The number of nodes that watch the bundle. All eight lose their watch at once only if the
+/// platform fails. If each of 380 nodes watched, they would return with 760 calls at once after an
+/// outage.
+const WATCHER_COUNT: usize = 8;
+/// The time between two reads by a node that does not watch: 13 calls a second for 380 nodes.
+const NON_WATCHER_READ_INTERVAL: Duration = Duration::from_secs(30);
+/// How often a node checks whether it is one of the watchers.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The active bundle, if there is one yet.
 #[derive(Debug)]
 pub(super) struct Bundles {
     adoption: Mutex<Adoption>,
@@ -47,22 +48,23 @@
         Self { adoption: Mutex::default(), current: watch::Sender::new(None), operators }
     }
 
-    /// The bundle in force.
+    /// Returns the active bundle.
     pub(super) fn current(&self) -> Option<Adopted> {
         self.current.borrow().clone()
     }
 
-    /// Its number, 0 for none.
+    /// Returns the number of the active bundle, 0 for none.
     pub(super) fn number(&self) -> u64 {
         self.current.borrow().as_ref().map_or(0, |a| a.bundle.number)
     }
 
-    /// Tells of each bundle that comes into force.
+    /// Returns a receiver that is notified of each bundle that becomes active.
     pub(super) fn subscribe(&self) -> watch::Receiver<Option<Adopted>> {
         self.current.subscribe()
     }
 
-    /// Checks an offered bundle and adopts it if it is later than the one in force.
+    /// Adopts a bundle if it is newer than the active one. Fails if its signatures or its text are
+    /// not valid.
     pub(super) fn offer(&self, app: &App, envelope: Envelope) -> Result<Ahead, Rejected> {
         let ahead = self.adoption.lock().compare(&envelope);
         if ahead != Ahead::Later {
@@ -71,64 +73,67 @@
         let bundle = Arc::new(envelope.verify(&self.operators)?);
         let adopted = Adopted { bundle, envelope: Arc::new(envelope) };
         let mut adoption = self.adoption.lock();
-        let taken = adoption.offer(adopted);
-        self.enforce(app, taken);
+        let activated = adoption.offer(adopted);
+        self.activate(app, activated);
         Ok(ahead)
     }
 
-    /// The other nodes were asked: the latest bundle that is known comes into force.
-    pub(super) fn asked(&self, app: &App) {
+    /// Records that the other nodes were asked for their bundle. The newest bundle that this node
+    /// knows becomes active.
+    pub(super) fn peers_asked(&self, app: &App) {
         let mut adoption = self.adoption.lock();
-        let taken = adoption.asked();
-        self.enforce(app, taken);
+        let activated = adoption.asked();
+        self.activate(app, activated);
     }
 
-    /// Called under the lock of the adoption, so that bundles come into force in order.
-    fn enforce(&self, app: &App, taken: Option<Adopted>) {
-        let Some(adopted) = taken else { return };
+    /// Makes a bundle active. The caller holds the lock of the adoption, so that bundles become
+    /// active in order.
+    fn activate(&self, app: &App, activated: Option<Adopted>) {
+        let Some(adopted) = activated else { return };
         tracing::info!(event = "bundle_adopted", number = adopted.bundle.number);
-        // The dispatchers first: those who follow the bundle give them their upstreams.
-        app.apply(&adopted);
+        // The dispatchers must exist before the subscribers are notified, which pass the upstreams
+        // to them.
+        app.apply_bundle(&adopted);
         self.current.send_replace(Some(adopted));
-        app.advance(Event::Ready);
+        app.handle_event(LifecycleEvent::BundleActive);
     }
 }
 
-/// Follows the platform's bundle until the node stops: a few nodes watch it, the
-/// others hear of changes from them and look themselves now and then.
-pub(super) async fn follow(app: Arc<App>) {
-    let mut pause = PAUSE;
+/// Keeps up with the platform's bundle until the node stops. A few nodes watch it. The others
+/// receive changes from those by gossip, and read the bundle at long intervals.
+pub(super) async fn follow_platform(app: Arc<App>) {
+    let mut retry_delay = MIN_RETRY_DELAY;
     loop {
-        let ended = tokio::select! {
+        let result = tokio::select! {
             () = app.cancel.cancelled() => return,
-            ended = round(&app) => ended,
+            result = read_and_watch(&app) => result,
         };
-        let wait = match ended {
+        let delay = match result {
             Ok(()) => {
-                pause = PAUSE;
-                if watches(&app) { PAUSE } else { LOOK }
+                retry_delay = MIN_RETRY_DELAY;
+                if is_watcher(&app) { MIN_RETRY_DELAY } else { NON_WATCHER_READ_INTERVAL }
             }
             Err(e) => {
                 tracing::warn!(event = "bundle_watch_failed", error = %e);
-                pause = (pause * 2).min(LONGEST);
-                pause
+                retry_delay = (retry_delay * 2).min(MAX_RETRY_DELAY);
+                retry_delay
             }
         };
         let jitter = rand::rng().random_range(0.5..1.5);
         tokio::select! {
             () = app.cancel.cancelled() => return,
-            () = tokio::time::sleep(wait.mul_f64(jitter)) => {}
-            () = duty(&app, true), if wait == LOOK => {}
+            () = tokio::time::sleep(delay.mul_f64(jitter)) => {}
+            () = wait_for_watcher_role(&app, true), if delay == NON_WATCHER_READ_INTERVAL => {}
         }
     }
 }
 
-/// Reads the bundle; then, if this node is one of those that watch, watches it
-/// until the watch ends or others watch in its place.
-async fn round(app: &App) -> Result<(), JsonClientError> {
-    let (kept, revision) = app.platform.list(CURRENT_BUNDLE_KEY, PlatformUse::Bundle).await?;
-    kept.iter().for_each(|k| take(app, k));
-    if !watches(app) {
+/// Reads the bundle. If this node is one of the watchers, it then watches the bundle until the
+/// watch ends or this node is no longer a watcher.
+async fn read_and_watch(app: &App) -> Result<(), JsonClientError> {
+    let (values, revision) = app.platform.list(CURRENT_BUNDLE_KEY, PlatformUse::Bundle).await?;
+    values.iter().for_each(|value| offer_stored(app, value));
+    if !is_watcher(app) {
         return Ok(());
     }
     let mut watch =
@@ -136,38 +141,39 @@
     loop {
         let change = tokio::select! {
             change = watch.next() => change,
-            () = duty(app, false) => return Ok(()),
+            () = wait_for_watcher_role(app, false) => return Ok(()),
         };
         match change {
             None => return Ok(()),
-            Some(change) => change?.iter().for_each(|kept| take(app, kept)),
+            Some(change) => change?.iter().for_each(|value| offer_stored(app, value)),
         }
     }
 }
 
-/// Waits until it is, or is no longer, this node's part to watch.
-async fn duty(app: &App, wanted: bool) {
-    while watches(app) != wanted {
-        tokio::time::sleep(REVIEW).await;
+/// Waits until this node is a watcher, or until it is none.
+async fn wait_for_watcher_role(app: &App, watcher: bool) {
+    while is_watcher(app) != watcher {
+        tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
     }
 }
 
-/// Whether this node is one of those that watch the bundle. By its own view: a
-/// node that is cut off from the others watches for itself.
-fn watches(app: &App) -> bool {
-    app.members.ranks(CURRENT_BUNDLE_KEY, WATCHERS, app.clock.now())
+/// Whether this node is one of the nodes that watch the bundle, judged by the nodes that it knows.
+/// A node that is disconnected from the others therefore watches by itself.
+fn is_watcher(app: &App) -> bool {
+    app.members.ranks_within(CURRENT_BUNDLE_KEY, WATCHER_COUNT, app.clock.now())
 }
 
-fn take(app: &App, kept: &VersionedValue) {
-    let envelope: Envelope = match serde_json::from_slice(&kept.value) {
+/// Offers a bundle that the platform returned.
+fn offer_stored(app: &App, value: &VersionedValue) {
+    let envelope: Envelope = match serde_json::from_slice(&value.value) {
         Ok(envelope) => envelope,
         Err(e) => {
-            tracing::error!(event = "bundle_unreadable", revision = kept.revision, error = %e);
+            tracing::error!(event = "bundle_unreadable", revision = value.revision, error = %e);
             return;
         }
     };
     match app.bundles.offer(app, envelope) {
-        Ok(Ahead::Earlier) => tracing::warn!(event = "bundle_older", revision = kept.revision),
+        Ok(Ahead::Earlier) => tracing::warn!(event = "bundle_older", revision = value.revision),
         Ok(Ahead::Later | Ahead::Same) => {}
         Err(e) => tracing::error!(event = "bundle_rejected", error = %e),
     }
--- a/src/node/claims/store.rs
+++ b/src/node/claims/journal_store.rs
@@ -1,4 +1,4 @@
-//! Heads and segments at the platform.
+//! Stores the heads and segments of the claim journals at the platform.
 
 use std::ops::Range;
 
@@ -11,19 +11,20 @@
     format!("claims/{partition:02x}/head")
 }
 
-/// The place of a segment in the ring; 16 neighbours share all but the last digit.
-fn place(partition: u16, number: u64) -> String {
+/// Returns the key of a segment. The segments of a partition are stored in a ring of
+/// [`SEGMENT_SLOTS`] keys. The keys of 16 neighbours differ only in the last digit.
+fn segment_key(partition: u16, number: u64) -> String {
     format!("claims/{partition:02x}/segment/{:03x}", number % SEGMENT_SLOTS)
 }
 
-/// Reads the head, with its revision.
-pub(super) async fn head(
+/// Reads the head of a partition, with its revision.
+pub(super) async fn read_head(
     platform: &PlatformClient,
     partition: u16,
 ) -> Result<Option<(PartitionHead, u64)>, ()> {
     match platform.get(&head_key(partition), PlatformUse::Claim).await {
         Ok(None) => Ok(None),
-        Ok(Some(kept)) => parsed(&kept).map(|head| Some((head, kept.revision))),
+        Ok(Some(value)) => parse_head(&value).map(|head| Some((head, value.revision))),
         Err(e) => {
             tracing::warn!(event = "claim_head_unread", partition, error = %e);
             Err(())
@@ -31,44 +32,48 @@
     }
 }
 
-/// Reads segments; those that are not there are missing in the result.
-pub(super) async fn segments(
+/// Reads the segments in a range of numbers, in order. Segments that do not exist or can't be
+/// decoded are missing in the result.
+pub(super) async fn read_segments(
     platform: &PlatformClient,
     partition: u16,
     range: Range<u64>,
 ) -> Result<Vec<Segment>, ()> {
-    let mut prefix = place(partition, range.start);
+    // Without the last digit, the key is a prefix of the keys of 16 neighbouring segments.
+    let mut prefix = segment_key(partition, range.start);
     prefix.pop();
     let listed = platform.list(&prefix, PlatformUse::Claim).await;
-    let (kept, _) = listed.map_err(|e| {
+    let (values, _) = listed.map_err(|e| {
         tracing::warn!(event = "claim_segments_unread", partition, error = %e);
     })?;
-    let segments = kept.iter().filter_map(|k| decode::<Segment>(&k.value).ok());
+    let segments = values.iter().filter_map(|v| decode::<Segment>(&v.value).ok());
     let mut wanted: Vec<Segment> = segments.filter(|s| range.contains(&s.number)).collect();
     wanted.sort_by_key(|s| s.number);
     Ok(wanted)
 }
 
-/// Replaces the head, and writes a full segment with it.
-pub(super) async fn swap(
+/// Replaces the head if its revision is `expected`, and writes a full segment with it.
+pub(super) async fn swap_head(
     platform: &PlatformClient,
     partition: u16,
     expected: u64,
     head: &PartitionHead,
-    full: Option<Segment>,
+    full_segment: Option<Segment>,
 ) -> SwapResult {
-    let also: Result<Vec<_>, _> =
-        full.iter().map(|s| encode(s).map(|bytes| (place(partition, s.number), bytes))).collect();
+    let also: Result<Vec<_>, _> = full_segment
+        .iter()
+        .map(|s| encode(s).map(|bytes| (segment_key(partition, s.number), bytes)))
+        .collect();
     let (Ok(value), Ok(also)) = (encode(head), also) else {
-        tracing::error!(event = "claim_unencodable", partition);
+        tracing::error!(event = "claim_not_encoded", partition);
         return SwapResult::Unsent;
     };
     let key = head_key(partition);
     match platform.compare_and_swap(&key, expected, value, also, PlatformUse::Claim).await {
         SwapOutcome::Done(revision) => SwapResult::Done(revision),
         SwapOutcome::Conflict(None) => SwapResult::Conflict(None),
-        SwapOutcome::Conflict(Some(kept)) => {
-            let found = parsed(&kept).ok().map(|head| (head, kept.revision));
+        SwapOutcome::Conflict(Some(value)) => {
+            let found = parse_head(&value).ok().map(|head| (head, value.revision));
             SwapResult::Conflict(found)
         }
         SwapOutcome::Unknown(reason) => {
@@ -82,15 +87,15 @@
     }
 }
 
-fn parsed(kept: &VersionedValue) -> Result<PartitionHead, ()> {
-    match decode::<PartitionHead>(&kept.value) {
+fn parse_head(value: &VersionedValue) -> Result<PartitionHead, ()> {
+    match decode::<PartitionHead>(&value.value) {
         Ok(head) if head.format == FORMAT_VERSION => Ok(head),
         Ok(head) => {
-            tracing::error!(event = "claim_format", key = kept.key, format = head.format);
+            tracing::error!(event = "claim_format", key = value.key, format = head.format);
             Err(())
         }
         Err(e) => {
-            tracing::error!(event = "claim_head_garbled", key = kept.key, error = %e);
+            tracing::error!(event = "claim_head_garbled", key = value.key, error = %e);
             Err(())
         }
     }
--- a/src/node/claims/mod.rs
+++ b/src/node/claims/mod.rs
@@ -1,12 +1,13 @@
-//! The shell around claims: partitions as home, and asks as runner.
+//! Claims of calls that run at most once under their idempotency key: this node records the claims
+//! of the partitions that it owns, and requests claims for the calls that it runs.
 
-mod ask;
+mod claim_guard;
 mod claims;
-mod run;
-mod serve;
-mod shard;
-mod store;
+mod journal_store;
+mod partition;
+mod run_once;
+mod server;
 
-pub(super) use claims::{Claims, drive, flush};
-pub(super) use run::{OnceCall, REPLAYED, once};
-pub(super) use serve::{attempt, ended, verdict};
+pub(super) use claims::{Claims, flush, spawn_partitions};
+pub(super) use run_once::{ClaimedCall, REPLAYED_HEADER, run_once};
+pub(super) use server::{attempt_state, decide_claim, record_outcome};
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,10 +1,10 @@
-//! The runtime's clock, as moments since the process started.
+//! The clock of the runtime. It measures time as the duration since the process started.
 
 use tokio::time::Instant;
 
 use crate::Moment;
 
-/// The clock. Copies tell the same time.
+/// A monotonic clock. Copies share the same start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -17,12 +17,12 @@
 }
 
 impl Clock {
-    /// The present moment.
+    /// Returns the current time.
     pub fn now(&self) -> Moment {
         self.start.elapsed()
     }
 
-    /// The runtime's instant of a moment.
+    /// Converts a time of this clock to an instant of the runtime.
     pub fn instant(&self, moment: Moment) -> Instant {
         self.start + moment
     }
--- a/src/node/dispatcher.rs
+++ b/src/node/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The shell around [`Dispatch`]: tasks wait here for their turn at an upstream.
+//! Connects [`Dispatch`] with the tasks of the requests, which wait here for an upstream.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,16 +18,18 @@
 use crate::metrics::{Metrics, RetryReason};
 use crate::{Moment, Name};
 
+/// Receives the name of the chosen upstream, or the refusal.
 type Waiter = oneshot::Sender<Result<Name, Refusal>>;
 
 #[derive(Debug)]
 struct Inner {
     dispatch: Dispatch,
     waiters: SecondaryMap<Ticket, Waiter>,
+    /// The addresses of the upstreams that accept requests.
     addresses: HashMap<Name, SocketAddr>,
 }
 
-/// One service's dispatch, behind its own lock.
+/// Assigns the requests of one service to upstreams. Each service has its own lock.
 #[derive(Debug)]
 pub(super) struct Dispatcher {
     inner: Mutex<Inner>,
@@ -35,22 +37,23 @@
     metrics: Arc<Metrics>,
 }
 
-/// A request's turn at an upstream. Dropping it withdraws the request.
+/// The permission to send a request to an upstream. Dropping it cancels the request, unless the
+/// attempt was reported as ended.
 #[derive(Debug)]
-pub(super) struct Turn {
+pub(super) struct SendPermit {
     dispatcher: Arc<Dispatcher>,
     ticket: Ticket,
-    started: Moment,
-    ended: bool,
+    attempt_start: Moment,
+    reported: bool,
     history: AttemptHistory,
-    /// The upstream's name.
+    /// The name of the upstream.
     pub(super) upstream: Name,
-    /// The upstream's address.
+    /// The address of the upstream.
     pub(super) address: SocketAddr,
 }
 
 impl Dispatcher {
-    /// A dispatcher without upstreams.
+    /// Creates a dispatcher without upstreams.
     pub(super) fn new(
         limits: ServiceLimits,
         zone: Name,
@@ -65,87 +68,96 @@
         Self { inner: Mutex::new(inner), clock, metrics }
     }
 
-    /// Waits for a turn, or for the refusal.
-    pub(super) async fn acquire(self: &Arc<Self>, call: Call) -> Result<Turn, Refusal> {
+    /// Submits a request and waits until it may be sent to an upstream, or is refused.
+    pub(super) async fn acquire(self: &Arc<Self>, call: Call) -> Result<SendPermit, Refusal> {
         let (sender, receiver) = oneshot::channel();
         let ticket = {
             let mut inner = self.inner.lock();
             let ticket = inner.dispatch.submit(call, self.clock.now());
             inner.waiters.insert(ticket, sender);
-            inner.deliver();
+            inner.deliver_actions();
             ticket
         };
-        self.turn(ticket, receiver).await
+        self.wait_for_permit(ticket, receiver).await
     }
 
-    /// The set of upstreams changed.
+    /// Replaces the set of upstreams.
     pub(super) fn set_upstreams(&self, upstreams: &[(UpstreamView, SocketAddr)]) {
         let mut inner = self.inner.lock();
-        let open = upstreams.iter().filter(|(view, _)| view.accepting);
-        inner.addresses = open.map(|(v, a)| (v.name.clone(), *a)).collect();
+        let accepting = upstreams.iter().filter(|(view, _)| view.accepting);
+        inner.addresses = accepting.map(|(v, a)| (v.name.clone(), *a)).collect();
         let views: Vec<UpstreamView> = upstreams.iter().map(|(view, _)| view.clone()).collect();
         inner.dispatch.set_upstreams(&views, self.clock.now());
-        inner.deliver();
+        inner.deliver_actions();
     }
 
-    /// The bundle changed the limits.
+    /// Changes the limits of the service.
     pub(super) fn set_limits(&self, limits: ServiceLimits) {
         let mut inner = self.inner.lock();
         inner.dispatch.set_limits(limits, self.clock.now());
-        inner.deliver();
+        inner.deliver_actions();
     }
 
-    /// The bundle changed the weights of callers and trainers.
-    pub(super) fn set_shares(&self, shares: CallerWeights) {
-        self.inner.lock().dispatch.set_weights(shares);
+    /// Changes the weights of callers and trainers.
+    pub(super) fn set_weights(&self, weights: CallerWeights) {
+        self.inner.lock().dispatch.set_weights(weights);
     }
 
-    /// An upstream said how many requests it has, all nodes together.
-    pub(super) fn load_report(&self, upstream: &str, total: u32) {
+    /// Records the number of requests that an upstream reports, which come from all nodes.
+    pub(super) fn report_load(&self, upstream: &str, total: u32) {
         let report = LoadReport { total, requested_at: self.clock.now() };
         self.inner.lock().dispatch.load_report(upstream, report);
     }
 
-    /// Time passed.
+    /// Does what is due at the current time.
     pub(super) fn tick(&self) {
         let mut inner = self.inner.lock();
         inner.dispatch.tick(self.clock.now());
-        inner.deliver();
+        inner.deliver_actions();
     }
 
-    /// Requests that wait, and attempts in flight.
-    pub(super) fn held(&self) -> (usize, usize) {
+    /// Returns the number of waiting requests and the number of attempts in flight.
+    pub(super) fn counts(&self) -> (usize, usize) {
         let inner = self.inner.lock();
         (inner.dispatch.waiting(), inner.dispatch.running())
     }
 
-    /// Waits for a turn. The last look before dispatch is here: an upstream that left
-    /// since it was chosen gets nothing, and the request waits for another.
-    async fn turn(
+    /// Waits for a permit. The final check before a request is sent is here: if the upstream has
+    /// left since it was chosen, nothing is sent and the request waits for another one.
+    async fn wait_for_permit(
         self: &Arc<Self>,
         ticket: Ticket,
         mut receiver: oneshot::Receiver<Result<Name, Refusal>>,
-    ) -> Result<Turn, Refusal> {
+    ) -> Result<SendPermit, Refusal> {
         loop {
-            let mut waiting = Waiting { dispatcher: self, ticket, over: false };
-            let told = receiver.await;
-            waiting.over = true;
-            let gone = || Refusal::new(Kind::Internal, "the request was lost in the queue");
-            let upstream = told.map_err(|_| gone())??;
+            let mut guard = CancelOnDrop { dispatcher: self, ticket, disarmed: false };
+            let received = receiver.await;
+            guard.disarmed = true;
+            let lost =
+                || Refusal::new(Kind::Internal, "the dispatcher dropped the request unanswered");
+            let upstream = received.map_err(|_| lost())??;
             let address = self.inner.lock().addresses.get(&upstream).copied();
             if let Some(address) = address {
                 let dispatcher = self.clone();
-                let started = self.clock.now();
+                let attempt_start = self.clock.now();
                 let history = AttemptHistory::new();
-                let ended = false;
-                return Ok(Turn { dispatcher, ticket, started, ended, history, upstream, address });
+                let reported = false;
+                return Ok(SendPermit {
+                    dispatcher,
+                    ticket,
+                    attempt_start,
+                    reported,
+                    history,
+                    upstream,
+                    address,
+                });
             }
-            receiver = self.returned(ticket);
+            receiver = self.requeue(ticket);
         }
     }
 
-    /// The upstream left as the turn came: nothing was sent.
-    fn returned(&self, ticket: Ticket) -> oneshot::Receiver<Result<Name, Refusal>> {
+    /// Queues a request again whose upstream left before anything was sent.
+    fn requeue(&self, ticket: Ticket) -> oneshot::Receiver<Result<Name, Refusal>> {
         let (sender, receiver) = oneshot::channel();
         let report = AttemptReport {
             outcome: AttemptOutcome::Unsent,
@@ -155,71 +167,75 @@
         let mut inner = self.inner.lock();
         inner.waiters.insert(ticket, sender);
         inner.dispatch.attempt_ended(ticket, report, self.clock.now());
-        inner.deliver();
+        inner.deliver_actions();
         receiver
     }
 
-    fn withdraw(&self, ticket: Ticket) {
+    fn cancel(&self, ticket: Ticket) {
         let mut inner = self.inner.lock();
         inner.waiters.remove(ticket);
         inner.dispatch.cancel(ticket, self.clock.now());
-        inner.deliver();
+        inner.deliver_actions();
     }
 }
 
 impl Inner {
-    /// Hands each action to the task that waits for it.
-    fn deliver(&mut self) {
+    /// Passes each action to the task that waits for it.
+    fn deliver_actions(&mut self) {
         for action in self.dispatch.take_actions() {
-            let (ticket, told) = match action {
+            let (ticket, result) = match action {
                 DispatchAction::Send { ticket, upstream } => (ticket, Ok(upstream)),
                 DispatchAction::Refuse { ticket, refusal } => (ticket, Err(refusal)),
             };
             if let Some(waiter) = self.waiters.remove(ticket) {
-                let _ = waiter.send(told);
+                let _ = waiter.send(result);
             }
         }
     }
 }
 
-/// Withdraws a request whose task goes away while it waits.
-struct Waiting<'a> {
+/// Cancels a request if its task is dropped while it waits.
+struct CancelOnDrop<'a> {
     dispatcher: &'a Dispatcher,
     ticket: Ticket,
-    over: bool,
+    disarmed: bool,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if !self.over {
-            self.dispatcher.withdraw(self.ticket);
+        if !self.disarmed {
+            self.dispatcher.cancel(self.ticket);
         }
     }
 }
 
-impl Turn {
-    /// The attempt is sent now: what it waited before is not the upstream's time.
-    pub(super) fn begin(&mut self) {
-        self.started = self.dispatcher.clock.now();
+impl SendPermit {
+    /// Marks the attempt as sent now. The time that it waited before does not count for the
+    /// upstream.
+    pub(super) fn mark_sent(&mut self) {
+        self.attempt_start = self.dispatcher.clock.now();
     }
 
-    /// A refusal as it may be told after the attempts so far.
-    pub(super) fn judge(&self, refusal: Refusal) -> Refusal {
+    /// Adjusts a refusal to what the attempts so far say about whether the request ran.
+    pub(super) fn adjust_refusal(&self, refusal: Refusal) -> Refusal {
         self.history.adjust(refusal)
     }
 
-    /// The whole answer came. `done` is what it came to at this upstream, if that is known.
-    pub(super) fn done(mut self, done: Option<u32>) {
-        self.report(AttemptOutcome::Answered, done, None);
+    /// Reports that the complete answer was received. `actual_cost` is its cost at this upstream,
+    /// if known.
+    pub(super) fn finish(mut self, actual_cost: Option<u32>) {
+        self.report(AttemptOutcome::Answered, actual_cost, None);
     }
 
-    /// The attempt brought a part of the answer that the next goes on from.
-    pub(super) fn progressed(&self) {
+    /// Reports that the attempt produced a part of the answer, from which the next attempt
+    /// continues.
+    pub(super) fn report_progress(&self) {
         self.dispatcher.inner.lock().dispatch.progressed(self.ticket);
     }
 
-    /// The attempt failed: waits for another turn, or for the refusal.
-    pub(super) async fn again(mut self, outcome: AttemptOutcome) -> Result<Turn, Refusal> {
+    /// Reports that the attempt failed, and waits until the request may be sent again or is
+    /// refused.
+    pub(super) async fn retry(mut self, outcome: AttemptOutcome) -> Result<SendPermit, Refusal> {
         let reason = match outcome {
             AttemptOutcome::Unsent => RetryReason::Unsent,
             AttemptOutcome::Refused => RetryReason::Refused,
@@ -229,31 +245,36 @@
         self.report(outcome, None, Some(sender));
         let mut history = self.history;
         history.record(outcome);
-        let turn = self.dispatcher.turn(self.ticket, receiver).await;
-        let mut turn = turn.map_err(|refusal| history.adjust(refusal))?;
-        turn.history = history;
+        let permit = self.dispatcher.wait_for_permit(self.ticket, receiver).await;
+        let mut permit = permit.map_err(|refusal| history.adjust(refusal))?;
+        permit.history = history;
         self.dispatcher.metrics.retried(reason);
-        Ok(turn)
+        Ok(permit)
     }
 
-    fn report(&mut self, outcome: AttemptOutcome, done: Option<u32>, waiter: Option<Waiter>) {
-        self.ended = true;
+    fn report(
+        &mut self,
+        outcome: AttemptOutcome,
+        actual_cost: Option<u32>,
+        waiter: Option<Waiter>,
+    ) {
+        self.reported = true;
         let now = self.dispatcher.clock.now();
-        let report =
-            AttemptReport { outcome, took: now.saturating_sub(self.started), actual_cost: done };
+        let took = now.saturating_sub(self.attempt_start);
+        let report = AttemptReport { outcome, took, actual_cost };
         let mut inner = self.dispatcher.inner.lock();
         if let Some(waiter) = waiter {
             inner.waiters.insert(self.ticket, waiter);
         }
         inner.dispatch.attempt_ended(self.ticket, report, now);
-        inner.deliver();
+        inner.deliver_actions();
     }
 }
 
-impl Drop for Turn {
+impl Drop for SendPermit {
     fn drop(&mut self) {
-        if !self.ended {
-            self.dispatcher.withdraw(self.ticket);
+        if !self.reported {
+            self.dispatcher.cancel(self.ticket);
         }
     }
 }
--- a/src/node/lifecycle.rs
+++ b/src/node/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of a node, as a state machine.
+//! The lifecycle of a node as a state machine.
 
 use serde::{Deserialize, Serialize};
 use statig::blocking::{IntoStateMachineExt, StateMachine};
@@ -6,19 +6,20 @@
 
 use crate::edge::peer::NodeState;
 
-/// Where the node is in its life.
+/// The lifecycle phase of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It has no bundle yet, or is not bound.
+    /// The node has no active bundle yet, or its listeners are not bound.
     Starting,
-    /// It serves.
+    /// The node serves requests.
     Serving,
-    /// It is out of the address answers and still serves those who kept one.
+    /// The node is no longer listed in address responses. It still serves the clients that have
+    /// cached its address.
     Draining,
-    /// It accepts nothing and finishes what is in flight.
+    /// The node accepts no new connections and finishes the requests in flight.
     Closing,
-    /// Nothing is in flight.
+    /// No requests are in flight.
     Stopped,
 }
 
@@ -34,19 +35,20 @@
     }
 }
 
-/// What moves a node on.
+/// An event that may change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Event {
-    /// A bundle is in force.
-    Ready,
-    /// A stop was asked for.
-    Stop,
-    /// Callers no longer keep the address.
-    Forgotten,
-    /// Nothing is in flight.
-    Idle,
+pub(super) enum LifecycleEvent {
+    /// A bundle has become active.
+    BundleActive,
+    /// A stop was requested.
+    StopRequested,
+    /// The cached addresses of this node have expired at the clients.
+    AddressesExpired,
+    /// No requests are in flight any more, or the time to finish them is over.
+    RequestsFinished,
 }
 
+/// The context of the state machine, which mirrors its state as a phase.
 #[derive(Debug)]
 pub(super) struct Machine {
     phase: Phase,
@@ -55,43 +57,52 @@
 #[state_machine(initial = "State::starting()", state(derive(Debug)))]
 impl Machine {
     #[state(entry_action = "enter_starting")]
-    fn starting(event: &Event) -> Outcome<State> {
+    fn starting(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            Event::Ready => Transition(State::serving()),
-            Event::Stop => Transition(State::closing()),
-            Event::Forgotten | Event::Idle => Handled,
+            LifecycleEvent::BundleActive => Transition(State::serving()),
+            LifecycleEvent::StopRequested => Transition(State::closing()),
+            LifecycleEvent::AddressesExpired | LifecycleEvent::RequestsFinished => Handled,
         }
     }
 
     #[state(entry_action = "enter_serving")]
-    fn serving(event: &Event) -> Outcome<State> {
+    fn serving(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            Event::Stop => Transition(State::draining()),
-            Event::Ready | Event::Forgotten | Event::Idle => Handled,
+            LifecycleEvent::StopRequested => Transition(State::draining()),
+            LifecycleEvent::BundleActive
+            | LifecycleEvent::AddressesExpired
+            | LifecycleEvent::RequestsFinished => Handled,
         }
     }
 
     #[state(entry_action = "enter_draining")]
-    fn draining(event: &Event) -> Outcome<State> {
+    fn draining(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            Event::Forgotten => Transition(State::closing()),
-            // A second stop changes nothing: the first is under way.
-            Event::Ready | Event::Stop | Event::Idle => Handled,
+            LifecycleEvent::AddressesExpired => Transition(State::closing()),
+            // A second stop request changes nothing, because the node is already stopping.
+            LifecycleEvent::BundleActive
+            | LifecycleEvent::StopRequested
+            | LifecycleEvent::RequestsFinished => Handled,
         }
     }
 
     #[state(entry_action = "enter_closing")]
-    fn closing(event: &Event) -> Outcome<State> {
+    fn closing(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            Event::Idle => Transition(State::stopped()),
-            Event::Ready | Event::Stop | Event::Forgotten => Handled,
+            LifecycleEvent::RequestsFinished => Transition(State::stopped()),
+            LifecycleEvent::BundleActive
+            | LifecycleEvent::StopRequested
+            | LifecycleEvent::AddressesExpired => Handled,
         }
     }
 
     #[state(entry_action = "enter_stopped")]
-    fn stopped(event: &Event) -> Outcome<State> {
+    fn stopped(event: &LifecycleEvent) -> Outcome<State> {
         match event {
-            Event::Ready | Event::Stop | Event::Forgotten | Event::Idle => Handled,
+            LifecycleEvent::BundleActive
+            | LifecycleEvent::StopRequested
+            | LifecycleEvent::AddressesExpired
+            | LifecycleEvent::RequestsFinished => Handled,
         }
     }
 
@@ -133,13 +144,13 @@
 }
 
 impl Lifecycle {
-    /// A node that starts.
+    /// Creates a lifecycle in the phase `Starting`.
     pub(super) fn new() -> Self {
         Self { machine: Machine { phase: Phase::Starting }.state_machine() }
     }
 
-    /// Moves on; returns the phase after.
-    pub(super) fn handle(&mut self, event: Event) -> Phase {
+    /// Handles an event and returns the phase after it.
+    pub(super) fn handle(&mut self, event: LifecycleEvent) -> Phase {
         self.machine.handle(&event);
         self.machine.inner().phase
     }
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -1,4 +1,4 @@
-//! The other nodes, as this one sees them: the table of the decisions behind a lock.
+//! The other nodes as this one knows them: the member table behind a lock.
 
 use std::net::SocketAddr;
 
@@ -12,26 +12,27 @@
 use crate::settings::NodeSettings;
 use crate::{Moment, Name};
 
-type Table = crate::decide::members::MemberTable<NodeLocation>;
+type MemberTable = crate::decide::members::MemberTable<NodeLocation>;
 
-/// A node to talk to.
+/// A node to exchange gossip with.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Target {
-    /// Its name; `None` for a seed of the settings.
+pub(super) struct GossipTarget {
+    /// The name of the node. `None` for a seed from the settings.
     pub(super) name: Option<Name>,
-    /// Where it listens for peers.
+    /// The address that the node listens on for peers.
     pub(super) address: SocketAddr,
 }
 
-/// The other nodes by name.
+/// The member table of this node.
 #[derive(Debug)]
 pub(super) struct Members {
-    table: Mutex<Table>,
-    urgent: Notify,
+    table: Mutex<MemberTable>,
+    /// Notified when a change has to be sent to peers at once.
+    urgent_change: Notify,
 }
 
 impl Members {
-    /// A table that knows only its own node.
+    /// Creates a table that contains only this node.
     pub(super) fn new(node: &NodeSettings, identity: &Identity) -> Self {
         let own = MemberRecord {
             name: node.name.clone(),
@@ -43,133 +44,136 @@
             contact: NodeLocation {
                 region: node.region.clone(),
                 zone: node.zone.clone(),
-                callers: identity.callers,
-                peers: identity.peers,
+                callers: identity.client_address,
+                peers: identity.peer_address,
             },
         };
-        Self { table: Mutex::new(Table::new(own, rand::random())), urgent: Notify::new() }
+        Self {
+            table: Mutex::new(MemberTable::new(own, rand::random())),
+            urgent_change: Notify::new(),
+        }
     }
 
-    /// What this node says of itself.
-    pub(super) fn own(&self) -> NodeInfo {
+    /// Returns what this node reports about itself.
+    pub(super) fn own_info(&self) -> NodeInfo {
         self.table.lock().own().into()
     }
 
-    /// This node moves on in its life; peers are told at once.
+    /// Advances the state of this node. The change is sent to peers at once.
     pub(super) fn set_state(&self, state: NodeState) {
         if self.table.lock().set_state(state) {
-            self.urgent.notify_one();
+            self.urgent_change.notify_one();
         }
     }
 
-    /// A bundle came into force here; peers are told at once.
+    /// Records the number of this node's active bundle. The change is sent to peers at once.
     pub(super) fn set_bundle(&self, number: u64) {
         self.table.lock().set_bundle(number);
-        self.urgent.notify_one();
+        self.urgent_change.notify_one();
     }
 
-    /// Waits until there is something that peers should know at once.
-    pub(super) async fn urgent(&self) {
-        self.urgent.notified().await;
+    /// Waits until there is a change to send to peers at once.
+    pub(super) async fn wait_for_urgent_change(&self) {
+        self.urgent_change.notified().await;
     }
 
-    /// A round begins.
-    pub(super) fn beat(&self, now: Moment) {
+    /// Begins a gossip round.
+    pub(super) fn begin_round(&self, now: Moment) {
         self.table.lock().begin_round(now);
     }
 
-    /// Nodes to talk to in this round.
-    pub(super) fn targets(&self, count: usize, now: Moment) -> Vec<Target> {
+    /// Returns the nodes to send a message to in this round.
+    pub(super) fn gossip_targets(&self, count: usize, now: Moment) -> Vec<GossipTarget> {
         let mut table = self.table.lock();
         let names = table.gossip_targets(count, now).into_iter();
         let target = |name: Name| {
             let address = table.get(&name)?.contact.peers;
-            Some(Target { name: Some(name), address })
+            Some(GossipTarget { name: Some(name), address })
         };
         names.filter_map(target).collect()
     }
 
-    /// The message of a round, with what the other side wants to know.
-    pub(super) fn message(&self, wanted: &[u32]) -> Gossip<NodeLocation> {
+    /// Returns the message of a round, with the records that the receiver asked for.
+    pub(super) fn next_message(&self, wanted: &[u32]) -> Gossip<NodeLocation> {
         self.table.lock().next_message(wanted)
     }
 
-    /// Takes in a message.
+    /// Merges a received message.
     pub(super) fn receive(&self, gossip: Gossip<NodeLocation>, now: Moment) -> GossipEffect {
-        let heard = self.table.lock().receive(gossip, now);
-        if heard.changed {
-            self.urgent.notify_one();
+        let effect = self.table.lock().receive(gossip, now);
+        if effect.changed {
+            self.urgent_change.notify_one();
         }
-        heard
+        effect
     }
 
-    /// Another node, or the platform, told of some nodes.
-    pub(super) fn told(
+    /// Merges records that another node or the platform has listed.
+    pub(super) fn load_records(
         &self,
-        news: impl IntoIterator<Item = MemberRecord<NodeLocation>>,
+        records: impl IntoIterator<Item = MemberRecord<NodeLocation>>,
         now: Moment,
     ) {
         let mut table = self.table.lock();
-        for news in news {
-            table.load_record(news, now);
+        for record in records {
+            table.load_record(record, now);
         }
     }
 
-    /// This node failed to reach another.
-    pub(super) fn missed(&self, name: &str, now: Moment) {
+    /// Records that this node failed to reach another.
+    pub(super) fn report_unreachable(&self, name: &str, now: Moment) {
         if self.table.lock().report_unreachable(name, now) {
-            tracing::info!(event = "node_doubted", node = name);
-            self.urgent.notify_one();
+            tracing::info!(event = "node_suspected", node = name);
+            self.urgent_change.notify_one();
         }
     }
 
-    /// A page of the table, for a node that joins.
+    /// Returns a page of the table, for a node that joins.
     pub(super) fn page(&self, after: Option<&Name>) -> Vec<MemberRecord<NodeLocation>> {
         self.table.lock().page(after)
     }
 
-    /// Where the node with this short name listens for peers.
-    pub(super) fn find(&self, id: u32) -> Option<SocketAddr> {
-        self.table.lock().find_by_id(id).map(|news| news.contact.peers)
+    /// Returns the peer address of the node with this short id.
+    pub(super) fn peer_address_by_id(&self, id: u32) -> Option<SocketAddr> {
+        self.table.lock().find_by_id(id).map(|record| record.contact.peers)
     }
 
-    /// The other nodes that are not known to have stopped or failed.
+    /// Returns the other nodes that are not known to have stopped or failed.
     pub(super) fn alive(&self, now: Moment) -> Vec<NodeInfo> {
         self.table.lock().alive(now).map(NodeInfo::from).collect()
     }
 
-    /// The other nodes that serve now.
+    /// Returns the other nodes that serve now.
     pub(super) fn serving(&self, now: Moment) -> Vec<NodeInfo> {
         let table = self.table.lock();
-        let serving = table.alive(now).filter(|news| news.state == NodeState::Serving);
+        let serving = table.alive(now).filter(|record| record.state == NodeState::Serving);
         serving.map(NodeInfo::from).collect()
     }
 
-    /// The nodes that serve now and that nobody fails to reach.
-    pub(super) fn reached(&self, now: Moment) -> Vec<NodeInfo> {
+    /// Returns the other nodes that serve now and that no node suspects to be unreachable.
+    pub(super) fn serving_unsuspected(&self, now: Moment) -> Vec<NodeInfo> {
         let table = self.table.lock();
-        let well = table.view(now).filter(|(news, standing)| {
-            *standing == Liveness::Alive && news.state == NodeState::Serving
+        let unsuspected = table.view(now).filter(|(record, liveness)| {
+            *liveness == Liveness::Alive && record.state == NodeState::Serving
         });
-        well.map(|(news, _)| NodeInfo::from(news)).collect()
+        unsuspected.map(|(record, _)| NodeInfo::from(record)).collect()
     }
 
-    /// Whether this node is among the first `most` for a key, of those that it
-    /// counts as alive.
-    pub(super) fn ranks(&self, key: &str, most: usize, now: Moment) -> bool {
+    /// Whether this node is among the first `count` nodes in the rendezvous ranking for a key, of
+    /// the nodes that it knows to be alive.
+    pub(super) fn ranks_within(&self, key: &str, count: usize, now: Moment) -> bool {
         let table = self.table.lock();
         let own = rendezvous_score(key, &table.own().name);
-        let before = table.alive(now).filter(|news| rendezvous_score(key, &news.name) > own);
-        before.take(most).count() < most
+        let before = table.alive(now).filter(|record| rendezvous_score(key, &record.name) > own);
+        before.take(count).count() < count
     }
 
-    /// How many other nodes are known, silent or not.
-    pub(super) fn held(&self) -> usize {
+    /// Returns the number of other nodes in the table, including failed ones.
+    pub(super) fn count(&self) -> usize {
         self.table.lock().view(Moment::ZERO).count()
     }
 
-    /// Where a node listens for peers, also if it was not heard lately.
-    pub(super) fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.table.lock().get(name).map(|news| news.contact.peers)
+    /// Returns the peer address of a node, even if the node is not known to be alive.
+    pub(super) fn peer_address(&self, name: &str) -> Option<SocketAddr> {
+        self.table.lock().get(name).map(|record| record.contact.peers)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,13 +1,15 @@
-//! The running node: the shell around the decisions.
+//! The running node: network interfaces, tasks and shared state around the decision logic in
+//! [`crate::decide`].
 
 mod addresses;
 mod admin;
 mod app;
 mod bundles;
-mod callers;
 mod claims;
+mod client_api;
 mod clock;
-mod complete;
+mod completion;
+mod completion_api;
 mod dispatcher;
 mod identity;
 mod lifecycle;
@@ -15,11 +17,10 @@
 mod node;
 mod orders;
 mod peers;
-mod plain;
-mod stream;
+mod plain_call;
+mod quarantine;
+mod steps;
 mod subsets;
-mod suspects;
-mod train;
 mod upstreams;
 
 pub use addresses::Addresses;
@@ -29,4 +30,4 @@
 pub use lifecycle::Phase;
 pub use node::{Node, StartError};
 pub use orders::EngineState;
-pub use train::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
+pub use steps::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -1,4 +1,4 @@
-//! A running node: started, stopped gracefully, or awaited.
+//! Starts and stops a node.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,52 +9,54 @@
 
 use super::admin::AdminHandler;
 use super::app::App;
-use super::callers::Callers;
+use super::client_api::ClientHandler;
 use super::identity::Identity;
-use super::lifecycle::{Event, Phase};
-use super::peers::Peers;
-use super::{bundles, claims, orders, peers, suspects, upstreams};
+use super::lifecycle::{LifecycleEvent, Phase};
+use super::peers::PeerRequestHandler;
+use super::{bundles, claims, orders, peers, quarantine, upstreams};
 use crate::edge::http::Listener;
 use crate::edge::peer::PeerListener;
 use crate::metrics::Task;
 use crate::settings::{Connections, Settings};
 
-/// Time between two looks at what waits.
-const TICK: Duration = Duration::from_millis(20);
+/// The time between two ticks of the dispatchers.
+const DISPATCHER_TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why a node did not start.
+/// The reason why a node did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A listener can't be bound.
-    #[error("can't listen on {address} for {role}: {source}")]
+    /// A listener could not be bound.
+    #[error("the listener for {role} can't be bound to {address}: {source}")]
     Bind {
-        /// What for.
+        /// Who the listener is for: callers, operators or peers.
         role: &'static str,
-        /// The address in the settings.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// A running node. Dropping it ends it at once, without draining.
+/// A running node. Dropping it ends all its tasks at once, without draining.
 #[derive(Debug)]
 pub struct Node {
     app: Arc<App>,
-    admin: SocketAddr,
+    admin_address: SocketAddr,
+    /// Cancelled when the node stops accepting connections of callers and trainers.
     accept: CancellationToken,
+    /// The open connections of callers and trainers.
     connections: TaskTracker,
 }
 
 impl Node {
-    /// Binds the listeners and starts.
+    /// Binds the listeners and starts the tasks of the node.
     pub async fn spawn(settings: Settings) -> Result<Self, StartError> {
         let node = &settings.node;
-        let callers = Listener::bind(node.callers).await;
-        let callers = callers.map_err(bind("callers", node.callers))?;
-        let admin = Listener::bind(node.admin).await.map_err(bind("admin", node.admin))?;
-        let peer = PeerListener::bind(node.peers).await.map_err(bind("peers", node.peers))?;
-        let identity = Identity::new(callers.address(), peer.address());
+        let client = Listener::bind(node.callers).await;
+        let client = client.map_err(bind_error("callers", node.callers))?;
+        let admin = Listener::bind(node.admin).await.map_err(bind_error("admin", node.admin))?;
+        let peer = PeerListener::bind(node.peers).await.map_err(bind_error("peers", node.peers))?;
+        let identity = Identity::new(client.address(), peer.address());
         let app = Arc::new(App::new(settings, identity));
         let accept = app.cancel.child_token();
         let connections = TaskTracker::new();
@@ -62,43 +64,48 @@
         tracing::info!(
             event = "listening",
             node = %app.settings.node.name,
-            callers = %callers.address(),
+            callers = %client.address(),
             peers = %peer.address(),
             admin = %admin_address,
         );
         let limits = app.settings.connections;
-        let handler = Arc::new(Callers { app: app.clone() });
-        callers.spawn(handler, limits, &connections, accept.clone());
-        // Operators and peers are answered until the end, also while the node drains.
-        let rest = TaskTracker::new();
+        let handler = Arc::new(ClientHandler { app: app.clone() });
+        client.spawn(handler, limits, &connections, accept.clone());
+        // The listeners for operators and peers stay open until the node has stopped, also while it
+        // drains.
+        let other_connections = TaskTracker::new();
         let handler = Arc::new(AdminHandler { app: app.clone(), connections: connections.clone() });
-        admin.spawn(handler, Connections::default(), &rest, app.cancel.clone());
-        peer.spawn(Arc::new(Peers { app: app.clone() }), &rest, app.cancel.clone());
-        let all = &app.metrics;
-        tokio::spawn(all.timed(Task::Bundle, bundles::follow(app.clone())));
-        tokio::spawn(all.timed(Task::Members, peers::gossip(app.clone())));
-        tokio::spawn(all.timed(Task::Announce, peers::announce(app.clone())));
-        tokio::spawn(all.timed(Task::Upstreams, upstreams::follow(app.clone())));
-        tokio::spawn(all.timed(Task::Orders, orders::follow(app.clone())));
-        tokio::spawn(all.timed(Task::Tick, tick(app.clone())));
-        claims::drive(&app);
-        tokio::spawn(all.timed(Task::Suspects, suspects::follow(app.clone())));
-        Ok(Self { app, admin: admin_address, accept, connections })
+        admin.spawn(handler, Connections::default(), &other_connections, app.cancel.clone());
+        peer.spawn(
+            Arc::new(PeerRequestHandler { app: app.clone() }),
+            &other_connections,
+            app.cancel.clone(),
+        );
+        let metrics = &app.metrics;
+        tokio::spawn(metrics.timed(Task::Bundle, bundles::follow_platform(app.clone())));
+        tokio::spawn(metrics.timed(Task::Members, peers::run_gossip(app.clone())));
+        tokio::spawn(metrics.timed(Task::Announce, peers::maintain_registration(app.clone())));
+        tokio::spawn(metrics.timed(Task::Upstreams, upstreams::run_updates(app.clone())));
+        tokio::spawn(metrics.timed(Task::Orders, orders::run_rollouts(app.clone())));
+        tokio::spawn(metrics.timed(Task::Tick, tick_dispatchers(app.clone())));
+        claims::spawn_partitions(&app);
+        tokio::spawn(metrics.timed(Task::Suspects, quarantine::sync_with_peers(app.clone())));
+        Ok(Self { app, admin_address, accept, connections })
     }
 
     /// Returns the address of the listener for callers and trainers.
     pub fn client_address(&self) -> SocketAddr {
-        self.app.info().callers
+        self.app.own_info().callers
     }
 
     /// Returns the address of the admin listener.
     pub fn admin_address(&self) -> SocketAddr {
-        self.admin
+        self.admin_address
     }
 
     /// Returns the address of the listener for peers.
     pub fn peer_address(&self) -> SocketAddr {
-        self.app.info().peers
+        self.app.own_info().peers
     }
 
     /// Returns the lifecycle phase of the node.
@@ -118,35 +125,36 @@
 
     /// Returns the number of fingerprints that are quarantined because they crash upstreams.
     pub fn quarantined_count(&self) -> usize {
-        self.app.suspects.counts().1
+        self.app.quarantine.counts().1
     }
 
     /// Returns the number of upstream VMs that the dispatchers use.
     pub fn routed_upstream_count(&self) -> usize {
-        self.app.upstreams.routed()
+        self.app.upstreams.routed_count()
     }
 
-    /// Stops gracefully: leaves the address answers, serves those who kept one,
-    /// then finishes what is in flight. Returns whether all of it was finished.
+    /// Stops the node gracefully: it is no longer listed in address responses, serves clients until
+    /// their cached addresses have expired, then finishes the requests in flight. Returns whether
+    /// all of them were finished within the grace period.
     pub async fn stop(&self) -> bool {
         let drain = self.app.settings.drain;
-        if self.app.advance(Event::Stop) == Phase::Draining {
+        if self.app.handle_event(LifecycleEvent::StopRequested) == Phase::Draining {
             tokio::time::sleep(drain.ttl + drain.margin).await;
-            self.app.advance(Event::Forgotten);
+            self.app.handle_event(LifecycleEvent::AddressesExpired);
         }
         self.accept.cancel();
         self.connections.close();
-        // A claimed call goes on without its caller: it counts as in flight too.
+        // A claimed call continues without its caller, so it counts as in flight too.
         let calls = &self.app.claims.calls;
         calls.close();
-        let all = async { tokio::join!(self.connections.wait(), calls.wait()) };
-        let finished = tokio::time::timeout(drain.grace, all).await.is_ok();
+        let all_finished = async { tokio::join!(self.connections.wait(), calls.wait()) };
+        let finished = tokio::time::timeout(drain.grace, all_finished).await.is_ok();
         if !finished {
             tracing::error!(event = "drain_cut", left = self.connections.len());
         }
         claims::flush(&self.app).await;
-        self.app.advance(Event::Idle);
-        peers::farewell(&self.app).await;
+        self.app.handle_event(LifecycleEvent::RequestsFinished);
+        peers::announce_departure(&self.app).await;
         self.app.cancel.cancel();
         finished
     }
@@ -158,12 +166,16 @@
     }
 }
 
-fn bind(role: &'static str, address: SocketAddr) -> impl FnOnce(std::io::Error) -> StartError {
+fn bind_error(
+    role: &'static str,
+    address: SocketAddr,
+) -> impl FnOnce(std::io::Error) -> StartError {
     move |source| StartError::Bind { role, address, source }
 }
 
-async fn tick(app: Arc<App>) {
-    let mut timer = tokio::time::interval(TICK);
+/// Ticks all dispatchers at intervals until the node stops.
+async fn tick_dispatchers(app: Arc<App>) {
+    let mut timer = tokio::time::interval(DISPATCHER_TICK_INTERVAL);
     loop {
         tokio::select! {
             () = app.cancel.cancelled() => return,
--- a/src/node/orders/state.rs
+++ b/src/node/orders/engine_state.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::orders::{fleets, wanted};
+use super::rollouts::{engine_fleets, target_weights};
 use crate::Name;
 use crate::decide::{EngineObservation, Rollout, RolloutStage};
 use crate::node::app::App;
@@ -22,7 +22,8 @@
     /// The weight version that the bundle asks for.
     #[serde(rename = "wanted")]
     pub target_version: u64,
-    /// The weight version of the last report. None if the engine's weights are incomplete.
+    /// The weight version in the last poll. None if the engine's weights were incomplete, or if it
+    /// did not respond.
     #[serde(rename = "reported")]
     pub reported_version: Option<u64>,
     /// The stage of the engine in the rollout.
@@ -33,19 +34,20 @@
 }
 
 /// Returns the state of every engine of the active bundle.
-pub(in crate::node) fn states(app: &App) -> Vec<EngineState> {
+pub(in crate::node) fn engine_states(app: &App) -> Vec<EngineState> {
     let Some(adopted) = app.bundles.current() else { return Vec::new() };
     let now = app.clock.now();
-    let rollouts = app.orders.rollouts.lock();
+    let rollouts = app.rollouts.by_service.lock();
     let mut states = Vec::new();
-    for fleet in fleets(app, &adopted.bundle).iter() {
+    for fleet in engine_fleets(app, &adopted.bundle).iter() {
         let rollout = rollouts.get(&fleet.service);
         // The stage refers to the target that the rollout was last given. A bundle that has just
         // become active may not have reached the rollout yet.
-        let wanted = rollout.map_or(wanted(&adopted.bundle, &fleet.engine), Rollout::target);
+        let target =
+            rollout.map_or(target_weights(&adopted.bundle, &fleet.engine), Rollout::target);
         for (name, owner) in &fleet.owners {
             let last = rollout.and_then(|r| r.last_observation(name));
-            let reported = match last {
+            let reported_version = match last {
                 Some((EngineObservation::Report { version, .. }, _)) => version,
                 Some((EngineObservation::Silent, _)) | None => None,
             };
@@ -53,8 +55,8 @@
                 name: name.clone(),
                 service: fleet.service.clone(),
                 owner: owner.clone(),
-                target_version: wanted.version,
-                reported_version: reported,
+                target_version: target.version,
+                reported_version,
                 stage: rollout.map_or(RolloutStage::Unknown, |r| r.stage(name)),
                 observation_age_ms: last.map(|(_, at)| now.saturating_sub(at).as_millis() as u64),
             });
--- a/src/node/orders/mod.rs
+++ b/src/node/orders/mod.rs
@@ -1,10 +1,11 @@
-//! Orders to engines: looks at them, and brings them to the wanted version.
+//! The rollout of weight versions: this node polls the engines that it owns, and orders them to
+//! load the version that the bundle asks for.
 
-mod follow;
-mod orders;
-mod state;
+mod engine_state;
+mod rollout_loop;
+mod rollouts;
 
-pub(super) use follow::follow;
-pub(super) use orders::Orders;
-pub use state::EngineState;
-pub(super) use state::states;
+pub use engine_state::EngineState;
+pub(super) use engine_state::engine_states;
+pub(super) use rollout_loop::run_rollouts;
+pub(super) use rollouts::Rollouts;
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Talk with the other nodes: who is there, and which bundle is in force.
+//! The communication with the other nodes: gossip about the members, and the exchange of bundles.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,45 +9,46 @@
 
 use super::app::App;
 use super::claims;
-use super::members::Target;
+use super::members::GossipTarget;
 use crate::Name;
 use crate::bundle::Envelope;
 use crate::decide::members::{GossipEffect, MemberRecord};
 use crate::edge::peer::{NodeInfo, NodeLocation, NodeReply, NodeRequest, PeerError, PeerHandler};
 use crate::metrics::{PlatformUse, Task, Traffic};
 
-/// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(500);
-/// Nodes that are asked in a round: two keep heartbeats of 380 nodes fresh and a
-/// failed node noticed, see `members-bench`.
-const FANOUT: usize = 2;
-/// Nodes that are told at once when something changed: three reach 380 in six hops.
-const PUSH: usize = 3;
-/// Nodes that are asked for their bundle at the start.
-const CONSULT: usize = 5;
-/// Changes within this time go out together.
-const GATHER: Duration = Duration::from_millis(20);
-/// How long a node may take to reply.
-const LIMIT: Duration = Duration::from_secs(1);
-/// One round in so many also asks a seed: two sides that forgot each other find
-/// each other again.
-const SEED: u32 = 32;
-/// The prefix of the nodes' own entries at the platform.
-const NODES: &str = "nodes/";
-/// How long an entry outlives its node.
-const ENTRY: Duration = Duration::from_secs(180);
-/// Time between two renewals: 380 nodes make 6.3 calls a second of it.
-const RENEW: Duration = Duration::from_secs(60);
-/// Time before a renewal that failed is tried again.
-const RETRY: Duration = Duration::from_secs(5);
+/// The time between two gossip rounds.
+const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
+/// The number of nodes to exchange gossip with in a round. Two keep the heartbeats of 380 nodes
+/// fresh and a failed node noticed, see `members-bench`.
+const GOSSIP_FANOUT: usize = 2;
+/// The number of nodes to send an urgent change to. With three, it reaches 380 nodes in six hops.
+const URGENT_FANOUT: usize = 3;
+/// The number of nodes that a starting node asks for their bundle.
+const STARTUP_BUNDLE_PEERS: usize = 5;
+/// Urgent changes within this time are sent together.
+const URGENT_BATCH_DELAY: Duration = Duration::from_millis(20);
+/// The timeout of a request to a peer.
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
+/// One round in this many, on average, also contacts a seed. So two groups of nodes that have
+/// forgotten each other find each other again.
+const ROUNDS_PER_SEED_CONTACT: u32 = 32;
+/// The key prefix of the nodes' registrations at the platform.
+const REGISTRATION_PREFIX: &str = "nodes/";
+/// How long a registration remains after its node has ended.
+const REGISTRATION_TTL: Duration = Duration::from_secs(180);
+/// The time between two renewals of the registration: 6.3 calls a second for 380 nodes.
+const REGISTRATION_RENEW_INTERVAL: Duration = Duration::from_secs(60);
+/// The delay before a renewal that failed is tried again, and the time between two renewals while
+/// no other node is known to be alive.
+const REGISTRATION_RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What answers peers.
+/// Answers the requests of peers.
 #[derive(Debug)]
-pub(super) struct Peers {
+pub(super) struct PeerRequestHandler {
     pub(super) app: Arc<App>,
 }
 
-impl PeerHandler for Peers {
+impl PeerHandler for PeerRequestHandler {
     type Request = NodeRequest;
 
     async fn handle(self: Arc<Self>, request: NodeRequest) -> NodeReply {
@@ -55,12 +56,12 @@
         match request {
             NodeRequest::Gossip(gossip) => {
                 let wanted = gossip.wanted.clone();
-                let heard = app.members.receive(gossip, app.clock.now());
-                let from = heard.sender.and_then(|id| app.members.find(id));
+                let effect = app.members.receive(gossip, app.clock.now());
+                let from = effect.sender.and_then(|id| app.members.peer_address_by_id(id));
                 if let Some(from) = from {
-                    tokio::spawn(catch_up(app.clone(), from, heard));
+                    tokio::spawn(fetch_newer_bundle(app.clone(), from, effect));
                 }
-                NodeReply::Gossip(app.members.message(&wanted))
+                NodeReply::Gossip(app.members.next_message(&wanted))
             }
             NodeRequest::Join(after) => NodeReply::Nodes(app.members.page(after.as_ref())),
             NodeRequest::Bundle => {
@@ -68,28 +69,30 @@
                 NodeReply::Bundle(current.map(|a| a.envelope.as_ref().clone()))
             }
             NodeRequest::Offer(envelope) => {
-                offered(app, envelope);
+                offer_bundle(app, envelope);
                 NodeReply::Acknowledged
             }
             NodeRequest::Departures(departures) => {
-                app.upstreams.left(app, departures);
+                app.upstreams.record_departures(app, departures);
                 NodeReply::Acknowledged
             }
-            NodeRequest::Claim(ask) => NodeReply::Decision(claims::verdict(app, ask).await),
-            NodeRequest::CallEnded { key, nonce, outcome: end } => {
-                NodeReply::Recorded(claims::ended(app, key, nonce, end))
+            NodeRequest::Claim(request) => {
+                NodeReply::Decision(claims::decide_claim(app, request).await)
             }
-            NodeRequest::Attempt(nonce) => NodeReply::Attempt(claims::attempt(app, nonce)),
-            NodeRequest::Suspects(all) => {
-                app.suspects.told(app, &all);
+            NodeRequest::CallEnded { key, nonce, outcome } => {
+                NodeReply::Recorded(claims::record_outcome(app, key, nonce, outcome))
+            }
+            NodeRequest::Attempt(nonce) => NodeReply::Attempt(claims::attempt_state(app, nonce)),
+            NodeRequest::Suspects(notices) => {
+                app.quarantine.apply_notices(app, &notices);
                 NodeReply::Acknowledged
             }
-            NodeRequest::ListSuspects => NodeReply::Suspects(app.suspects.all(app)),
-            NodeRequest::Trial { upstream, trial_id: holder } => {
-                NodeReply::Recorded(app.suspects.take(app, &upstream, holder))
+            NodeRequest::ListSuspects => NodeReply::Suspects(app.quarantine.notices(app)),
+            NodeRequest::Trial { upstream, trial_id } => {
+                NodeReply::Recorded(app.quarantine.acquire_trial(app, &upstream, trial_id))
             }
-            NodeRequest::TrialOver { upstream, trial_id: holder } => {
-                app.suspects.end(&upstream, holder);
+            NodeRequest::TrialOver { upstream, trial_id } => {
+                app.quarantine.release_trial(&upstream, trial_id);
                 NodeReply::Acknowledged
             }
         }
@@ -100,165 +103,175 @@
     }
 }
 
-/// Talks to some nodes in each round, and at once when something changed, until
-/// the node stops.
-pub(super) async fn gossip(app: Arc<App>) {
-    join(&app).await;
-    consult(&app).await;
-    let mut timer = tokio::time::interval(ROUND);
+/// Exchanges gossip with some nodes in each round, and at once after an urgent change, until this
+/// node stops.
+pub(super) async fn run_gossip(app: Arc<App>) {
+    load_members_from_seeds(&app).await;
+    fetch_startup_bundle(&app).await;
+    let mut timer = tokio::time::interval(GOSSIP_INTERVAL);
     loop {
         let targets = tokio::select! {
             () = app.cancel.cancelled() => return,
-            _ = timer.tick() => round(&app),
-            () = app.members.urgent() => {
-                tokio::time::sleep(GATHER).await;
-                app.members.targets(PUSH, app.clock.now())
+            _ = timer.tick() => begin_round(&app),
+            () = app.members.wait_for_urgent_change() => {
+                tokio::time::sleep(URGENT_BATCH_DELAY).await;
+                app.members.gossip_targets(URGENT_FANOUT, app.clock.now())
             }
         };
         for to in targets {
-            tokio::spawn(app.metrics.timed(Task::Members, exchange(app.clone(), to)));
+            tokio::spawn(app.metrics.timed(Task::Members, exchange_gossip(app.clone(), to)));
         }
     }
 }
 
-/// Tells some nodes of what changed last, and waits until they know or do not answer.
-pub(super) async fn farewell(app: &Arc<App>) {
-    let targets = app.members.targets(PUSH, app.clock.now()).into_iter();
-    let told = targets.map(|to| exchange(app.clone(), to));
-    futures_util::future::join_all(told).await;
+/// Sends the last state change of this node to some nodes, and waits until each has replied or
+/// the request has timed out.
+pub(super) async fn announce_departure(app: &Arc<App>) {
+    let targets = app.members.gossip_targets(URGENT_FANOUT, app.clock.now()).into_iter();
+    let exchanges = targets.map(|to| exchange_gossip(app.clone(), to));
+    futures_util::future::join_all(exchanges).await;
 }
 
-fn round(app: &App) -> Vec<Target> {
+fn begin_round(app: &App) -> Vec<GossipTarget> {
     let now = app.clock.now();
-    app.members.beat(now);
-    let mut targets = app.members.targets(FANOUT, now);
-    if targets.is_empty() || rand::rng().random_ratio(1, SEED) {
-        targets.extend(seed(app));
+    app.members.begin_round(now);
+    let mut targets = app.members.gossip_targets(GOSSIP_FANOUT, now);
+    if targets.is_empty() || rand::rng().random_ratio(1, ROUNDS_PER_SEED_CONTACT) {
+        targets.extend(random_seed(app));
     }
     targets
 }
 
-fn seed(app: &App) -> Option<Target> {
-    let own = app.members.own().peers;
+fn random_seed(app: &App) -> Option<GossipTarget> {
+    let own = app.members.own_info().peers;
     let others: Vec<&SocketAddr> = app.settings.peers.seeds.iter().filter(|s| **s != own).collect();
     let address = **others.choose(&mut rand::rng())?;
-    Some(Target { name: None, address })
+    Some(GossipTarget { name: None, address })
 }
 
-async fn exchange(app: Arc<App>, to: Target) {
-    let message = NodeRequest::Gossip(app.members.message(&[]));
-    match app.peers.request(to.address, &message, LIMIT).await {
+async fn exchange_gossip(app: Arc<App>, to: GossipTarget) {
+    let message = NodeRequest::Gossip(app.members.next_message(&[]));
+    match app.peers.request(to.address, &message, PEER_TIMEOUT).await {
         Ok(NodeReply::Gossip(gossip)) => {
-            let heard = app.members.receive(gossip, app.clock.now());
-            catch_up(app, to.address, heard).await;
+            let effect = app.members.receive(gossip, app.clock.now());
+            fetch_newer_bundle(app, to.address, effect).await;
         }
         Ok(_) => {}
-        // It answers, if not in our version: it lives.
+        // The node replied, if only with an error (such as another protocol version), so it is
+        // alive.
         Err(PeerError::Status { status, .. }) => {
-            tracing::debug!(event = "peer_refuses", to = %to.address, %status);
+            tracing::debug!(event = "peer_refused", to = %to.address, %status);
         }
         Err(e) => {
-            tracing::debug!(event = "peer_silent", to = %to.address, error = %e);
+            tracing::debug!(event = "peer_unreachable", to = %to.address, error = %e);
             if let Some(name) = to.name {
-                app.members.missed(&name, app.clock.now());
+                app.members.report_unreachable(&name, app.clock.now());
             }
         }
     }
 }
 
-/// Asks a peer for its bundle if that is later than ours.
-async fn catch_up(app: Arc<App>, from: SocketAddr, heard: GossipEffect) {
-    if heard.bundle <= app.bundles.number() {
+/// Fetches the bundle of a peer if it is newer than the active one.
+async fn fetch_newer_bundle(app: Arc<App>, from: SocketAddr, effect: GossipEffect) {
+    if effect.bundle <= app.bundles.number() {
         return;
     }
     if let Ok(NodeReply::Bundle(Some(envelope))) =
-        app.peers.request(from, &NodeRequest::Bundle, LIMIT).await
+        app.peers.request(from, &NodeRequest::Bundle, PEER_TIMEOUT).await
     {
-        offered(&app, envelope);
+        offer_bundle(&app, envelope);
     }
 }
 
-/// Learns all nodes from a seed, page by page.
-async fn join(app: &App) {
+/// Loads the records of all nodes from the seeds, page by page.
+async fn load_members_from_seeds(app: &App) {
     for seed in &app.settings.peers.seeds {
         let mut after: Option<Name> = None;
-        while let Some(page) = page(app, *seed, after.take()).await {
-            after = page.last().map(|news| news.name.clone());
-            app.members.told(page, app.clock.now());
+        while let Some(page) = fetch_member_page(app, *seed, after.take()).await {
+            after = page.last().map(|record| record.name.clone());
+            app.members.load_records(page, app.clock.now());
         }
     }
 }
 
-/// Asks some nodes for their bundle, before one comes into force here: the platform
-/// may answer with an older one than the others have.
-async fn consult(app: &App) {
-    others(app).await;
-    let targets = app.members.targets(CONSULT, app.clock.now()).into_iter();
-    let asked = targets.map(|to| async move {
+/// Asks some nodes for their bundle before any bundle becomes active here: the platform may return
+/// an older one than the other nodes have.
+async fn fetch_startup_bundle(app: &App) {
+    load_registered_nodes(app).await;
+    let targets = app.members.gossip_targets(STARTUP_BUNDLE_PEERS, app.clock.now()).into_iter();
+    let requests = targets.map(|to| async move {
         if let Ok(NodeReply::Bundle(Some(envelope))) =
-            app.peers.request(to.address, &NodeRequest::Bundle, LIMIT).await
+            app.peers.request(to.address, &NodeRequest::Bundle, PEER_TIMEOUT).await
         {
-            offered(app, envelope);
+            offer_bundle(app, envelope);
         }
     });
-    futures_util::future::join_all(asked).await;
-    app.bundles.asked(app);
+    futures_util::future::join_all(requests).await;
+    app.bundles.peers_asked(app);
 }
 
-async fn page(
+/// Fetches a page of member records. `None` after the last page or if the request fails.
+async fn fetch_member_page(
     app: &App,
     from: SocketAddr,
     after: Option<Name>,
 ) -> Option<Vec<MemberRecord<NodeLocation>>> {
-    match app.peers.request(from, &NodeRequest::Join(after), LIMIT).await {
+    match app.peers.request(from, &NodeRequest::Join(after), PEER_TIMEOUT).await {
         Ok(NodeReply::Nodes(page)) if !page.is_empty() => Some(page),
         Ok(_) | Err(_) => None,
     }
 }
 
-/// Keeps this node's entry at the platform, and reads those of the others whenever
-/// nobody else is known.
-pub(super) async fn announce(app: Arc<App>) {
+/// Keeps this node registered at the platform until it stops, and loads the registrations of the
+/// other nodes while none of them is known to be alive.
+pub(super) async fn maintain_registration(app: Arc<App>) {
     let mut lease = None;
     loop {
-        lease = entry(&app, lease).await;
+        lease = renew_registration(&app, lease).await;
         let alone = app.members.alive(app.clock.now()).is_empty();
         if alone {
-            others(&app).await;
+            load_registered_nodes(&app).await;
         }
-        let pause = if lease.is_some() && !alone { RENEW } else { RETRY };
+        let interval = if lease.is_some() && !alone {
+            REGISTRATION_RENEW_INTERVAL
+        } else {
+            REGISTRATION_RETRY_INTERVAL
+        };
         let jitter = rand::rng().random_range(0.5..1.0);
         tokio::select! {
             () = app.cancel.cancelled() => return,
-            () = tokio::time::sleep(pause.mul_f64(jitter)) => {}
+            () = tokio::time::sleep(interval.mul_f64(jitter)) => {}
         }
     }
 }
 
-async fn others(app: &App) {
-    let Ok((kept, _)) = app.platform.list(NODES, PlatformUse::Node).await else { return };
-    let infos = kept.iter().filter_map(|k| serde_json::from_slice::<NodeInfo>(&k.value).ok());
-    let news: Vec<MemberRecord<NodeLocation>> =
+async fn load_registered_nodes(app: &App) {
+    let Ok((values, _)) = app.platform.list(REGISTRATION_PREFIX, PlatformUse::Node).await else {
+        return;
+    };
+    let infos = values.iter().filter_map(|v| serde_json::from_slice::<NodeInfo>(&v.value).ok());
+    let records: Vec<MemberRecord<NodeLocation>> =
         infos.map(|info| MemberRecord::from(&info)).collect();
-    app.members.told(news, app.clock.now());
+    app.members.load_records(records, app.clock.now());
 }
 
-/// Renews the lease, or opens a new one and writes the entry under it.
-async fn entry(app: &App, lease: Option<i64>) -> Option<i64> {
+/// Renews the lease of the registration, or obtains a new lease and writes the registration under
+/// it. Returns the lease, if there is one.
+async fn renew_registration(app: &App, lease: Option<i64>) -> Option<i64> {
     if let Some(id) = lease
         && app.platform.renew_lease(id, PlatformUse::Node).await.unwrap_or(true)
     {
         return lease;
     }
-    let id = app.platform.grant_lease(ENTRY, PlatformUse::Node).await.ok()?;
-    let info = app.info();
+    let id = app.platform.grant_lease(REGISTRATION_TTL, PlatformUse::Node).await.ok()?;
+    let info = app.own_info();
     let value = serde_json::to_vec(&info).ok()?;
-    let key = format!("{NODES}{}", info.name);
+    let key = format!("{REGISTRATION_PREFIX}{}", info.name);
     app.platform.put(&key, value, Some(id), PlatformUse::Node).await.ok()?;
     Some(id)
 }
 
-fn offered(app: &App, envelope: Envelope) {
+fn offer_bundle(app: &App, envelope: Envelope) {
     if let Err(e) = app.bundles.offer(app, envelope) {
         tracing::error!(event = "bundle_rejected", source = "peer", error = %e);
     }
--- a/src/node/subsets.rs
+++ b/src/node/subsets.rs
@@ -1,5 +1,5 @@
-//! The upstreams of each service that this node uses, worked out anew only when the nodes
-//! or the upstreams change.
+//! The subset of each service's upstreams that this node uses. It is recomputed only when the
+//! nodes or the upstreams change.
 
 use std::collections::{HashMap, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,22 +11,28 @@
 
 #[derive(Debug)]
 struct Subset {
-    /// Hash of what it was worked out from.
-    from: u64,
+    /// The hash of the inputs that the subset was computed from.
+    input_hash: u64,
     names: HashSet<Name>,
 }
 
-/// The subsets, by service.
+/// The current subsets by service.
 #[derive(Debug, Default)]
-pub(super) struct Subsets {
-    known: HashMap<Name, Subset>,
+pub(super) struct SubsetCache {
+    by_service: HashMap<Name, Subset>,
 }
 
-impl Subsets {
-    /// Those of the VMs that this node uses: at most `size`.
-    pub(super) fn keep(&mut self, app: &App, service: &Name, vms: &mut Vec<Vm>, size: usize) {
+impl SubsetCache {
+    /// Reduces `vms` to the ones that this node uses, at most `size`.
+    pub(super) fn retain_subset(
+        &mut self,
+        app: &App,
+        service: &Name,
+        vms: &mut Vec<Vm>,
+        size: usize,
+    ) {
         if vms.len() <= size {
-            self.known.remove(service);
+            self.by_service.remove(service);
             return;
         }
         let own = &app.settings.node.name;
@@ -37,23 +43,25 @@
         nodes.dedup();
         let mut names: Vec<Name> = vms.iter().map(|vm| vm.name.clone()).collect();
         names.sort();
-        let from = hash(&nodes, &names, size);
-        let subset = match self.known.remove(service) {
-            Some(known) if known.from == from => known,
-            Some(_) | None => Subset { from, names: chosen(own, &nodes, &names, size) },
+        let input_hash = hash_inputs(&nodes, &names, size);
+        let subset = match self.by_service.remove(service) {
+            Some(known) if known.input_hash == input_hash => known,
+            Some(_) | None => {
+                Subset { input_hash, names: compute_subset(own, &nodes, &names, size) }
+            }
         };
         vms.retain(|vm| subset.names.contains(&vm.name));
-        self.known.insert(service.clone(), subset);
+        self.by_service.insert(service.clone(), subset);
     }
 }
 
-fn chosen(own: &str, nodes: &[Name], names: &[Name], size: usize) -> HashSet<Name> {
+fn compute_subset(own: &str, nodes: &[Name], names: &[Name], size: usize) -> HashSet<Name> {
     let nodes: Vec<&str> = nodes.iter().map(|n| &**n).collect();
     let names: Vec<&str> = names.iter().map(|n| &**n).collect();
     subset(own, &nodes, &names, size).into_iter().map(Name::from).collect()
 }
 
-fn hash(nodes: &[Name], names: &[Name], size: usize) -> u64 {
+fn hash_inputs(nodes: &[Name], names: &[Name], size: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
     (nodes, names, size).hash(&mut hasher);
     hasher.finish()
