--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! Which node is home to the jobs of a route.
+//! The preferred owner of the jobs of a route.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
@@ -12,22 +12,22 @@
 }
 
 #[test]
-fn without_nodes_there_is_no_home() {
+fn no_owner_without_nodes() {
     assert!(preferred_owners(&names("r", 3), &[]).is_empty());
 }
 
 proptest! {
     #[test]
-    fn routes_share_nodes_only_where_there_are_fewer(routes in 1_usize..9, nodes in 1_usize..30) {
-        let homes = preferred_owners(&names("r", routes), &names("n", nodes));
-        prop_assert_eq!(homes.len(), routes);
-        let used: BTreeSet<&Name> = homes.values().collect();
+    fn routes_share_nodes_only_if_there_are_fewer(routes in 1_usize..9, nodes in 1_usize..30) {
+        let owners = preferred_owners(&names("r", routes), &names("n", nodes));
+        prop_assert_eq!(owners.len(), routes);
+        let used: BTreeSet<&Name> = owners.values().collect();
         prop_assert_eq!(used.len(), routes.min(nodes));
     }
 
-    /// The order in which a node knows routes and nodes does not matter.
+    /// The order of the lists of routes and nodes does not matter.
     #[test]
-    fn every_node_names_the_same(routes in 1_usize..9, nodes in 1_usize..30, turn in 0_usize..30) {
+    fn every_node_derives_the_same_owners(routes in 1_usize..9, nodes in 1_usize..30, turn in 0_usize..30) {
         let (mut a, mut b) = (names("r", routes), names("n", nodes));
         let before = preferred_owners(&a, &b);
         a.reverse();
@@ -35,12 +35,12 @@
         prop_assert_eq!(preferred_owners(&a, &b), before);
     }
 
-    /// A node that is home to nothing changes nothing as it goes.
+    /// Removing a node that owns no route changes nothing.
     #[test]
-    fn homes_stay_as_others_go(routes in 1_usize..5, nodes in 6_usize..30) {
+    fn owners_stay_when_other_nodes_leave(routes in 1_usize..5, nodes in 6_usize..30) {
         let (routes, mut nodes) = (names("r", routes), names("n", nodes));
         let before = preferred_owners(&routes, &nodes);
-        let idle = nodes.iter().position(|n| !before.values().any(|home| home == n)).unwrap();
+        let idle = nodes.iter().position(|n| !before.values().any(|owner| owner == n)).unwrap();
         nodes.remove(idle);
         prop_assert_eq!(preferred_owners(&routes, &nodes), before);
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Promise 4 over real sockets: the whole answer to the caller's own request.
+//! Callers receive the whole answer to their own request, over real sockets.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -19,7 +19,7 @@
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
 
-/// Every chunk comes twice.
+/// Every chunk is sent twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn chunks_come_twice() {
     let request = completion("double lift", 1, 40);
@@ -27,7 +27,7 @@
     assert_eq!(faulty(&faults, &request).await, expected(&request));
 }
 
-/// The last chunk comes and the end of the stream is lost: the answer is whole all the same.
+/// The last chunk arrives and the end of the stream is lost: the answer is complete nevertheless.
 #[tokio::test(flavor = "multi_thread")]
 async fn end_of_stream_is_lost() {
     let request = completion("false cut", 2, 40);
@@ -35,7 +35,7 @@
     assert_eq!(faulty(&faults, &request).await, expected(&request));
 }
 
-/// The upstream body is cut after every 15 tokens: each engine goes on where the last stopped.
+/// The upstream body is cut after every 15 tokens: each engine continues where the last stopped.
 #[tokio::test(flavor = "multi_thread")]
 async fn body_is_truncated() {
     let request = completion("top change", 3, 60);
@@ -43,8 +43,8 @@
     assert_eq!(faulty(&faults, &request).await, expected(&request));
 }
 
-/// A caller that has a part of the answer asks for the rest, and the engine that goes on
-/// with it is cut: what the caller has is neither lost nor doubled.
+/// A caller that has a part of the answer requests the rest, and the stream of the engine that
+/// continues it is cut: no token is lost or doubled.
 #[tokio::test(flavor = "multi_thread")]
 async fn rest_of_an_answer_is_cut() {
     let request = completion("side steal", 4, 60);
@@ -56,7 +56,8 @@
     assert_eq!(faulty(&faults, &request).await, rest);
 }
 
-/// An event of the engine is no JSON: the tokens before it are kept, another attempt goes on.
+/// An event of the engine is not JSON: the tokens before it are kept, and another attempt
+/// continues.
 #[tokio::test(flavor = "multi_thread")]
 async fn event_is_garbled() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
@@ -83,13 +84,13 @@
         }
     };
     tokio::join!(ask("riffle", 1), ask("overhand", 2));
-    // The engine was told two ids, and not the callers'.
+    // The engine received two ids, neither of which is the one of the callers.
     let ids: Vec<String> = fleet.engines[0].ledger().into_keys().collect();
     assert!(ids.len() == 2 && ids.iter().all(|id| !id.starts_with("one")), "{ids:?}");
 }
 
-/// The upstream body is cut after every 2 tokens, far more often than a request that gets
-/// nowhere has attempts: the answer gets on each time, and becomes whole.
+/// The upstream body is cut after every 2 tokens, far more often than a request without progress
+/// has attempts: each attempt makes progress, and the answer is completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn body_is_truncated_again_and_again() {
     let request = completion("color change", 3, 80);
--- a/tests/load_golden.rs
+++ b/tests/load_golden.rs
@@ -1,4 +1,4 @@
-//! A list of events through `Dispatch`, with every action that comes out, as a golden file.
+//! A sequence of events for `Dispatch`, with all resulting actions, compared with a golden file.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Write;
@@ -46,8 +46,8 @@
     }
 }
 
-/// Two upstreams with one place each: queueing, a retry, a request that may not be repeated, a
-/// full queue, a deadline, an upstream that leaves.
+/// Two upstreams with one slot each: queueing, a retry, a request that may not be repeated, a
+/// full queue, a deadline, and an upstream that leaves.
 #[test]
 fn session() {
     let ms = Duration::from_millis;
--- a/tests/load_invariants.rs
+++ b/tests/load_invariants.rs
@@ -1,4 +1,4 @@
-//! What holds for `Dispatch` whatever happens, over random events.
+//! Invariants of `Dispatch` under random events.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{HashMap, HashSet};
@@ -159,7 +159,7 @@
                 self.dispatch.cancel(ticket, self.now);
             }
             Step::Upstreams { open, there } => {
-                // What was in flight at one that left still ends, but counts nowhere.
+                // Attempts in flight at a removed upstream still end, but are not counted.
                 for (i, there) in there.iter().enumerate() {
                     if !there {
                         self.running.remove(&format!("u{i}"));
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Takes the actions, and checks each and the state after them.
+    /// Takes the actions, and checks each of them and the resulting state.
     fn check(&mut self) {
         let actions = self.dispatch.take_actions();
         for action in actions {
@@ -190,7 +190,7 @@
                     assert_eq!(state, Some(State::Waiting), "sent twice, or after its end");
                     let unsure = self.unsure.contains(&ticket);
                     assert!(!(unsure && self.once.contains(&ticket)), "may have run, sent again");
-                    assert!(!self.closed.contains(&*upstream), "sent to one that is closed");
+                    assert!(!self.closed.contains(&*upstream), "sent to a closed upstream");
                     let running = self.running.entry(upstream.to_string()).or_default();
                     *running += 1;
                     assert!(*running <= CEILING, "{running} at {upstream}");
@@ -210,7 +210,7 @@
         assert_eq!(self.dispatch.waiting(), count(State::Waiting));
         assert_eq!(self.dispatch.running(), count(State::Running));
         let idle = self.running.values().all(|n| *n == 0);
-        // At most one of the four is left out for its failures.
+        // At most one of the four is ejected for its failures.
         let usable = UPSTREAMS - self.closed.len();
         if idle && self.dispatch.running() == 0 && usable > 1 {
             assert_eq!(self.dispatch.waiting(), 0, "work waits while every upstream is idle");
@@ -221,9 +221,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 512, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Every ticket gets exactly one end; the ceiling holds; no ticket is both sent and
-    /// refused; nothing waits while all upstreams are idle; "not run" is true; what may not be
-    /// repeated is not sent again once it may have run.
+    /// Every request gets exactly one final answer; the concurrency limit holds; no request is
+    /// both sent and refused; nothing waits while all upstreams are idle; a refusal reports
+    /// "not run" only if that is certain; a request that may not be repeated is not sent again
+    /// once it may have run.
     #[test]
     fn dispatch_invariants(steps in proptest::collection::vec(step(), 1..200)) {
         let mut watch = Watch::new();
@@ -231,7 +232,7 @@
             watch.apply(step);
             watch.check();
         }
-        // In the end, everything that waits is given its answer.
+        // In the end, every waiting request is answered.
         watch.now += Duration::from_secs(60);
         watch.dispatch.tick(watch.now);
         watch.check();
--- a/tests/load_overload.rs
+++ b/tests/load_overload.rs
@@ -1,4 +1,4 @@
-//! More arrives than the upstreams can do: what callers and trainers receive.
+//! Overload: what callers and trainers receive when more arrives than the upstreams can serve.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
@@ -30,7 +30,7 @@
 }
 
 /// At two and five times the capacity, live callers receive at least 95% of the answers that
-/// they receive at once the capacity, none after its deadline.
+/// they receive at the capacity, and none after its deadline.
 #[test]
 fn live_goodput_holds() {
     for seed in 1..=3 {
@@ -45,9 +45,10 @@
     }
 }
 
-/// Nearly all that is not answered is told so before its deadline, with a time to come back.
+/// Nearly all requests that are not answered are refused before their deadline, with a time to
+/// retry.
 #[test]
-fn refused_early() {
+fn refused_before_the_deadline() {
     for seed in 1..=3 {
         let result = measure(5.0, PolicyKind::Ours, seed);
         for flow in result.flows.iter().filter(|f| f.class == Class::Live) {
@@ -57,7 +58,8 @@
     }
 }
 
-/// Training keeps its floor, a tenth of the useful work, while live callers want everything.
+/// Training keeps its minimum share, a tenth of the useful work, while live callers ask for more
+/// than the whole capacity.
 #[test]
 fn training_keeps_its_floor() {
     for seed in 1..=3 {
@@ -80,7 +82,8 @@
     }
 }
 
-/// The naive version answers next to nothing at five times the capacity: the load is real.
+/// The naive policy answers almost nothing at five times the capacity, which shows that the
+/// scenario is an overload.
 #[test]
 fn naive_collapses() {
     let base = measure(1.0, PolicyKind::Ours, 1).goodput(Class::Live);
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -1,5 +1,5 @@
-//! Bursts, hot callers and keys, slow upstreams, long jobs among short ones: what callers
-//! receive, ours against the naive version.
+//! Bursts, hot callers and keys, slow upstreams, long requests among short ones: what callers
+//! receive with our policy, compared with the naive one.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
@@ -13,18 +13,19 @@
     run(&scenario, &deployment, scale, policy, seed)
 }
 
-fn part(flow: &FlowResult) -> f64 {
+fn answered_share(flow: &FlowResult) -> f64 {
     flow.answered as f64 / flow.offered as f64
 }
 
-/// One caller, ours at least at 95% and better than the naive version.
+/// Checks that our policy answers at least 95% of one caller's requests, and more than the naive
+/// policy.
 fn better_than_naive(text: &str) {
     for seed in SEEDS {
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
-        let shop = part(ours.flow("shop").unwrap());
+        let shop = answered_share(ours.flow("shop").unwrap());
         assert!(shop >= 0.95, "seed {seed}: {shop}");
         let naive = measure(text, 1.0, PolicyKind::Naive, seed);
-        assert!(shop > part(naive.flow("shop").unwrap()), "seed {seed}");
+        assert!(shop > answered_share(naive.flow("shop").unwrap()), "seed {seed}");
     }
 }
 
@@ -51,8 +52,13 @@
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
         let naive = measure(text, 1.0, PolicyKind::Naive, seed);
         let (ours, naive) = (ours.flow("shop").unwrap(), naive.flow("shop").unwrap());
-        assert!(part(ours) > part(naive), "seed {seed}: {} {}", part(ours), part(naive));
-        // Who isn't answered is told so; hardly anyone waits for nothing.
+        assert!(
+            answered_share(ours) > answered_share(naive),
+            "seed {seed}: {} {}",
+            answered_share(ours),
+            answered_share(naive)
+        );
+        // Requests that are not answered are refused; hardly any gets no answer in time.
         assert!(ours.late * 50 <= ours.offered, "seed {seed}: {} late", ours.late);
     }
 }
@@ -80,21 +86,21 @@
 keys = 100
 ";
 
-/// A caller that asks for three times the capacity costs the others at most 5%.
+/// A caller that asks for three times the capacity costs the others at most 5% of their answers.
 #[test]
 fn hot_caller() {
     for seed in SEEDS {
         let result = measure(HOT, 1.0, PolicyKind::Ours, seed);
         for name in ["a", "b"] {
-            let part = part(result.flow(name).unwrap());
+            let part = answered_share(result.flow(name).unwrap());
             assert!(part >= 0.95, "seed {seed}, {name}: {part}");
         }
         let naive = measure(HOT, 1.0, PolicyKind::Naive, seed);
-        assert!(part(naive.flow("a").unwrap()) < 0.5);
+        assert!(answered_share(naive.flow("a").unwrap()) < 0.5);
     }
 }
 
-/// The hot caller gets what the others leave: nothing is held back from it.
+/// The hot caller gets all capacity that the others leave.
 #[test]
 fn hot_caller_gets_the_rest() {
     for seed in SEEDS {
@@ -105,7 +111,7 @@
     }
 }
 
-/// A key that is asked for far too often costs the other keys of the same caller little.
+/// A hot key costs the other keys of the same caller little.
 #[test]
 fn hot_key() {
     let text = "
@@ -127,14 +133,14 @@
 ";
     for seed in SEEDS {
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
-        let even = part(ours.flow("even").unwrap());
+        let even = answered_share(ours.flow("even").unwrap());
         assert!(even >= 0.95, "seed {seed}: {even}");
         let naive = measure(text, 1.0, PolicyKind::Naive, seed);
-        assert!(part(naive.flow("even").unwrap()) < 0.5);
+        assert!(answered_share(naive.flow("even").unwrap()) < 0.5);
     }
 }
 
-/// An upstream that gets ten times slower costs at most its own share of the capacity and 5%.
+/// An upstream that becomes ten times slower costs at most its own share of the capacity and 5%.
 #[test]
 fn slow_upstream() {
     let text = "
@@ -155,7 +161,7 @@
     better_than_naive(text);
 }
 
-/// An upstream that takes connections and answers nothing gets hardly any work.
+/// An upstream that accepts connections and never answers gets hardly any work.
 #[test]
 fn frozen_upstream() {
     let text = "
@@ -175,7 +181,7 @@
     better_than_naive(text);
 }
 
-/// Short requests are answered although long ones want more than there is.
+/// Short requests are answered although long ones ask for more than the capacity.
 #[test]
 fn long_among_short() {
     let text = "
@@ -194,15 +200,15 @@
 ";
     for seed in SEEDS {
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
-        let short = part(ours.flow("short").unwrap());
+        let short = answered_share(ours.flow("short").unwrap());
         assert!(short >= 0.9, "seed {seed}: {short}");
         assert!(ours.flow("long").unwrap().answered > 0);
         let naive = measure(text, 1.0, PolicyKind::Naive, seed);
-        assert!(part(naive.flow("short").unwrap()) < short, "seed {seed}");
+        assert!(answered_share(naive.flow("short").unwrap()) < short, "seed {seed}");
     }
 }
 
-/// New weights on all engines, a third at a time: live callers hardly notice.
+/// A rollout of new weights to all engines, a third at a time, hardly affects live callers.
 #[test]
 fn weights_under_load() {
     let text = "
@@ -226,8 +232,8 @@
     better_than_naive(text);
 }
 
-/// All upstreams are away for five seconds, then everyone comes back: no storm of retries, and
-/// nothing that may not be repeated ran twice.
+/// After all upstreams were down for five seconds, all callers retry: retries stay within a tenth
+/// of the requests, and no request that may not be repeated runs twice.
 #[test]
 fn retry_storm() {
     let text = "
--- a/tests/load_sessions.rs
+++ b/tests/load_sessions.rs
@@ -1,5 +1,5 @@
-//! A request that gets on with each attempt is no retry storm: it goes on for as long as it
-//! does, while one that gets nowhere ends after a few attempts.
+//! A request that makes progress with each attempt is retried for as long as it does, while one
+//! without progress ends after a few attempts.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -29,8 +29,8 @@
     (dispatch, ticket)
 }
 
-/// Ends `count` attempts in the middle; returns how many were sent.
-fn broken(dispatch: &mut Dispatch, ticket: Ticket, count: u64, progress: bool) -> usize {
+/// Breaks off `count` attempts; returns how many were sent.
+fn break_attempts(dispatch: &mut Dispatch, ticket: Ticket, count: u64, progress: bool) -> usize {
     let took = Duration::from_secs(60);
     let mut sent = 0;
     for minute in 1..=count {
@@ -48,38 +48,39 @@
     sent
 }
 
-/// A session of an hour whose engine fails every minute, in a service that has no retry
-/// budget left: it goes on each time.
+/// A one-hour session whose engine fails every minute continues each time, although the
+/// service has no retry budget left.
 #[test]
-fn session_goes_on() {
+fn session_continues() {
     let (mut dispatch, ticket) = dispatch();
-    assert_eq!(broken(&mut dispatch, ticket, 50, true), 50);
+    assert_eq!(break_attempts(&mut dispatch, ticket, 50, true), 50);
 }
 
-/// All engines are shut for a moment: what has begun waits for one, until its deadline.
+/// While no engine accepts work, a request with progress waits for one until its deadline.
 #[test]
 fn session_waits_for_an_engine() {
     let (mut dispatch, ticket) = dispatch();
-    broken(&mut dispatch, ticket, 1, true);
+    break_attempts(&mut dispatch, ticket, 1, true);
     dispatch.take_actions();
-    let shut = |name: &str| UpstreamView { name: name.into(), zone: "z0".into(), accepting: false };
+    let closed =
+        |name: &str| UpstreamView { name: name.into(), zone: "z0".into(), accepting: false };
     let second = Duration::from_secs;
     dispatch.progressed(ticket);
-    dispatch.set_upstreams(&[shut("a"), shut("b")], second(61));
+    dispatch.set_upstreams(&[closed("a"), closed("b")], second(61));
     let report =
         AttemptReport { outcome: AttemptOutcome::Unknown, took: second(1), actual_cost: None };
     dispatch.attempt_ended(ticket, report, second(62));
     dispatch.tick(second(70));
     assert_eq!(dispatch.take_actions(), []);
-    let open = UpstreamView { accepting: true, ..shut("a") };
+    let open = UpstreamView { accepting: true, ..closed("a") };
     dispatch.set_upstreams(&[open], second(71));
     assert!(matches!(dispatch.take_actions().as_slice(), [DispatchAction::Send { .. }]));
 }
 
-/// The same without progress: a few attempts, then the final answer.
+/// A request without progress gets a few attempts and then the final answer.
 #[test]
 fn no_progress_ends() {
     let (mut dispatch, ticket) = dispatch();
-    let sent = broken(&mut dispatch, ticket, 50, false);
+    let sent = break_attempts(&mut dispatch, ticket, 50, false);
     assert!(sent <= 4, "{sent}");
 }
--- a/tests/load_subsets.rs
+++ b/tests/load_subsets.rs
@@ -1,4 +1,4 @@
-//! Subsets of upstreams stay even, and move little, as nodes and upstreams come and go.
+//! Subsets of upstreams stay even, and change little when nodes and upstreams are added or removed.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{HashMap, HashSet};
@@ -29,21 +29,21 @@
     (*counts.values().min().unwrap(), *counts.values().max().unwrap())
 }
 
-/// No upstream has more than its part of the nodes, and none is left alone.
+/// No upstream has more than its share of the nodes, and none has less than half of it.
 #[test]
-fn even() {
+fn subsets_are_even() {
     for (n, u) in [(38, 110), (40, 110), (38, 97), (95, 275)] {
         let (nodes, upstreams) = (names("n", n), names("u", u));
         let (least, most) = spread(&pairs(&nodes, &upstreams), &upstreams);
-        let part = (n * SIZE).div_ceil(u);
-        assert!(most <= part, "{n} nodes, {u} upstreams: {most} of {part}");
-        assert!(least * 2 >= part, "{n} nodes, {u} upstreams: {least} of {part}");
+        let share = (n * SIZE).div_ceil(u);
+        assert!(most <= share, "{n} nodes, {u} upstreams: {most} of {share}");
+        assert!(least * 2 >= share, "{n} nodes, {u} upstreams: {least} of {share}");
     }
 }
 
-/// A node that goes takes its own pairs with it and moves few of the others.
+/// Removing a node removes its own pairs and changes few of the others.
 #[test]
-fn a_node_goes() {
+fn removing_a_node_changes_little() {
     let (nodes, upstreams) = (names("n", 95), names("u", 275));
     let before = pairs(&nodes, &upstreams);
     let after = pairs(&nodes[1..], &upstreams);
@@ -51,9 +51,9 @@
     assert!(moved * 5 <= before.len(), "{moved} of {}", before.len());
 }
 
-/// So does an upstream.
+/// Removing an upstream changes few of the other pairs.
 #[test]
-fn an_upstream_goes() {
+fn removing_an_upstream_changes_little() {
     let (nodes, upstreams) = (names("n", 95), names("u", 275));
     let before = pairs(&nodes, &upstreams);
     let after = pairs(&nodes, &upstreams[1..]);
@@ -61,8 +61,8 @@
     assert!(moved * 5 <= before.len(), "{moved} of {}", before.len());
 }
 
-/// A small fleet is used whole.
+/// A node of a small fleet uses all upstreams.
 #[test]
-fn small_fleet() {
+fn small_fleet_is_not_divided() {
     assert_eq!(subset("a", &["a", "b"], &["u", "v", "w"], SIZE), ["u", "v", "w"]);
 }
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -1,5 +1,5 @@
-//! "Not run" is true: the connection to the upstream is cut at each point, and what the
-//! caller is told is judged by what the upstream truly ran.
+//! "Not run" is reported only if it is true: the connection to the upstream is cut at each point,
+//! and the answer to the caller is compared with what the upstream really ran.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -13,10 +13,10 @@
 use standins::plain::{Cutter, Point};
 use tokio::task::JoinSet;
 
-/// Longer than what a socket takes at once, so that a cut can fall into the body.
+/// Larger than a socket buffer, so that the connection can be cut within the body.
 const BODY: usize = 300_000;
 
-/// One node, and a cutter as the only upstream of both plain services.
+/// One node, with a server that cuts connections as the only upstream of both plain services.
 async fn cut_at(point: Point, once: bool) -> (Fleet, Cutter) {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let cutter = Cutter::bind(ANY, point, once).await.unwrap();
@@ -35,12 +35,12 @@
     (fleet, cutter)
 }
 
-fn told(answer: &Answered) -> Run {
+fn reported_run(answer: &Answered) -> Run {
     answer.problem.as_ref().map_or(Run::Ran, |p| p.run)
 }
 
-/// Cut at each point, with and without a key, for a call that may not be repeated: told
-/// as not run only if it did not run, and never run twice.
+/// A call that may not be repeated is cut at each point, with and without a key: it is reported as
+/// not run only if it did not run, and never runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_at_each_point() {
     let mut cases = JoinSet::new();
@@ -59,12 +59,12 @@
     let (fleet, cutter) = cut_at(point, false).await;
     let node = fleet.nodes[0].callers();
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
-    let (told, ran) = (told(&answer), cutter.ran());
+    let (told, ran) = (reported_run(&answer), cutter.ran());
     assert!(ran <= 1, "{point:?} {key:?}: ran {ran} times");
     assert!(told != Run::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
     let certain = match point {
         Point::Connect => Some(Run::NotRun),
-        // Bytes may have left before the close was seen, or not: both are true.
+        // Bytes may have been sent before the close was seen or not, so both answers are right.
         Point::Accept => None,
         Point::Head | Point::Headers | Point::Body | Point::Read => Some(Run::Unknown),
         Point::Ran | Point::AnswerHead => Some(Run::Unknown),
@@ -74,21 +74,25 @@
     assert!(certain.is_none_or(|c| c == told), "{point:?} {key:?}: {answer:?}");
 }
 
-/// A call that may be repeated breaks off after it ran; then nothing listens any more and
-/// every retry is refused by the system. The last attempts did not run, the first did: the
-/// caller must not be told "not run".
+/// A call that may be repeated breaks off after it ran; then the upstream stops listening and the
+/// operating system refuses every retry. The last attempts did not run but the first did, so the
+/// refusal must not report "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn earlier_attempt_counts() {
     for point in [Point::Ran, Point::AnswerHead, Point::AnswerBody] {
         let (fleet, cutter) = cut_at(point, true).await;
         let node = fleet.nodes[0].callers();
         let answer = send_within(node, "/stock/items", None, "x", Some(2_000)).await.unwrap();
-        assert_eq!((told(&answer), cutter.ran()), (Run::Unknown, 1), "{point:?}: {answer:?}");
+        assert_eq!(
+            (reported_run(&answer), cutter.ran()),
+            (Run::Unknown, 1),
+            "{point:?}: {answer:?}"
+        );
     }
 }
 
-/// The same for a completion: the engine takes it, is cut before its first token, and
-/// dies; the retries find nothing.
+/// The same for a completion: the engine accepts it and dies before its first token; the retries
+/// find no engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn earlier_attempt_counts_for_completions() {
     let restart = Duration::from_secs(3_600);
@@ -99,10 +103,10 @@
     let body = r#"{"model":"patter","prompt":"palm","max_tokens":8}"#;
     let answer = complete(fleet.nodes[0].callers(), body, 2_000).await.unwrap();
     assert_eq!(fleet.engines[0].started(), 1);
-    assert_eq!(told(&answer), Run::Unknown, "{answer:?}");
+    assert_eq!(reported_run(&answer), Run::Unknown, "{answer:?}");
 }
 
-/// The deadline passes in the middle of an attempt that runs on.
+/// The deadline passes during an attempt that continues to run: the outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn deadline_passes_in_the_attempt() {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
@@ -114,11 +118,11 @@
     for (answer, replicas) in [(sync, &fleet.sync), (stock, &fleet.stock)] {
         let ran: usize = replicas.iter().map(|p| p.ledger().len()).sum();
         let answer = answer.unwrap();
-        assert_eq!((told(&answer), ran), (Run::Unknown, 1), "{answer:?}");
+        assert_eq!((reported_run(&answer), ran), (Run::Unknown, 1), "{answer:?}");
     }
 }
 
-/// An upstream's own 503 is its answer, and is passed on as it is.
+/// A 503 of the upstream itself is its answer, and is forwarded unchanged.
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_of_upstreams_are_passed_on() {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
@@ -130,8 +134,8 @@
     assert_eq!(runs, 1);
 }
 
-/// Whatever the order of the attempts, one that may have run makes every later refusal
-/// say so; and no kind can be told as not run once that is known.
+/// Whatever the order of the attempts, after one that may have run, no refusal of any kind reports
+/// "not run".
 #[test]
 fn history_never_forgets() {
     let all = [
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! A request that crashes each engine that runs it, sent again through other nodes.
+//! A request that crashes each engine that runs it and is retried through other nodes.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -33,19 +33,19 @@
     kind.rsplit(':').next().unwrap_or(kind)
 }
 
-/// Innocent streams run on every engine when the request comes; its caller sends it again
-/// through each node. It takes down two engines in all, its final answer comes at once at
-/// every node, and every innocent stream is whole.
+/// Harmless streams run on every engine when the poison request arrives; its caller retries it
+/// through each node. It crashes two engines in total, every node refuses it as quarantined, and
+/// every harmless stream is complete.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_engines_and_no_more() {
     let fleet = fleet(3, 5).await;
     let requests: Vec<CompletionRequest> =
         (0..20).map(|n| completion(&format!("force {n}"), n, 120)).collect();
-    let mut innocent = Vec::new();
+    let mut harmless = Vec::new();
     for request in &requests {
         let request = request.clone();
         let shop = Caller::new("shop".into(), fleet.callers());
-        innocent.push(tokio::spawn(async move { shop.stream(&request, WAIT).await }));
+        harmless.push(tokio::spawn(async move { shop.stream(&request, WAIT).await }));
     }
     while fleet.engines.iter().any(|e| e.started() == 0) {
         tokio::time::sleep(Duration::from_millis(5)).await;
@@ -54,16 +54,16 @@
         let answer = complete(fleet.nodes[node].callers(), POISON, 20_000).await.unwrap();
         assert_eq!(kind(&answer), "quarantined", "{answer:?}");
     }
-    for (request, answer) in requests.iter().zip(innocent) {
+    for (request, answer) in requests.iter().zip(harmless) {
         let answer = answer.await.unwrap().unwrap();
         assert_eq!(answer.body, expected(request));
     }
     assert_eq!(crashes(&fleet), 2);
 }
 
-/// A caller that has its answer sends the request again at once, through another node. Three
-/// engines crashed, where two are allowed, as that node had not been told yet: seen once on a
-/// busy machine, where a connection between nodes took longer than one may.
+/// Every node knows of the quarantine before the caller gets its answer. Otherwise a caller that
+/// retries at once through another node crashes a third engine. This happened on a busy machine,
+/// where a connection between nodes took longer than the time limit.
 #[tokio::test(flavor = "multi_thread")]
 async fn every_node_knows_before_the_caller_does() {
     let fleet = fleet(3, 5).await;
@@ -73,8 +73,8 @@
     assert_eq!(known, [1, 1, 1]);
 }
 
-/// Every stream is cut on its way, again and again, while the engines go on to answer:
-/// that is no crash, and nothing is quarantined.
+/// Connections that break repeatedly while the engines still answer do not count as crashes, and
+/// nothing is quarantined.
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_connections_are_no_crash() {
     let fleet = fleet(2, 2).await;
@@ -93,7 +93,7 @@
     assert_eq!(crashes(&fleet), 0);
 }
 
-/// A node that starts after the quarantine refuses the request as well.
+/// A node that starts after the quarantine began refuses the request as well.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_that_starts_later_knows() {
     let mut fleet = fleet(2, 4).await;
--- a/tests/quarantine_world.rs
+++ b/tests/quarantine_world.rs
@@ -1,5 +1,5 @@
-//! Quarantine without sockets: nodes, upstreams and requests as plain data, in steps of
-//! ten milliseconds.
+//! Quarantine without sockets: a simulation of nodes, upstreams and requests in steps of ten
+//! milliseconds.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
 const UPSTREAMS: usize = 5;
 /// How long a crashed upstream is down.
 const DOWN: Duration = Duration::from_secs(4);
-/// What the poison and its copies are known by.
+/// Fingerprint of the request that crashes its upstream, and of its copies.
 const POISON: u64 = 0;
 
 #[derive(Debug, Clone)]
@@ -34,9 +34,9 @@
 struct Request {
     content: u64,
     node: usize,
-    /// Sends that its caller has left.
-    sends: u32,
-    /// Running time that it still needs.
+    /// Number of retries that its caller has left.
+    retries: u32,
+    /// Running time that the request still needs.
     left: Duration,
     state: State,
 }
@@ -49,27 +49,33 @@
     trials: TrialLocks,
     down: Vec<Duration>,
     requests: Vec<Request>,
-    news: Vec<(Duration, usize, CrashNotice)>,
-    /// How long the poison runs before its upstream crashes.
-    fuse: Duration,
+    notices: Vec<(Duration, usize, CrashNotice)>,
+    /// How long the crashing request runs before its upstream crashes.
+    crash_after: Duration,
     delay: u64,
     crashes: usize,
-    blamed: BTreeSet<u64>,
+    refused_harmless: BTreeSet<u64>,
     holders: u64,
 }
 
 impl World {
-    fn new(seed: u64, fuse: u64, delay: u64, copies: usize, innocent: &[(u64, u64)]) -> Self {
+    fn new(
+        seed: u64,
+        crash_after: u64,
+        delay: u64,
+        copies: usize,
+        harmless: &[(u64, u64)],
+    ) -> Self {
         let name = |n: usize| Name::from(format!("n{n}"));
-        let request = |content, node, sends, at: u64, left: u64| Request {
+        let request = |content, node, retries, at: u64, left: u64| Request {
             content,
             node,
-            sends,
+            retries,
             left: Duration::from_millis(left),
             state: State::Waiting(Duration::from_millis(at)),
         };
         let poison = (0..copies).map(|c| request(POISON, c % NODES, 6, 700, u64::MAX >> 1));
-        let others = innocent.iter().enumerate();
+        let others = harmless.iter().enumerate();
         let others = others.map(|(n, (at, left))| request(1 + n as u64, n % NODES, 0, *at, *left));
         Self {
             rng: SmallRng::seed_from_u64(seed),
@@ -78,11 +84,11 @@
             trials: TrialLocks::default(),
             down: vec![Duration::ZERO; UPSTREAMS],
             requests: poison.chain(others).collect(),
-            news: vec![],
-            fuse: Duration::from_millis(fuse),
+            notices: vec![],
+            crash_after: Duration::from_millis(crash_after),
             delay,
             crashes: 0,
-            blamed: BTreeSet::new(),
+            refused_harmless: BTreeSet::new(),
             holders: 0,
         }
     }
@@ -111,18 +117,18 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.news).into_iter().partition(|n| n.0 <= now);
-        self.news = later;
+        let (due, later) = std::mem::take(&mut self.notices).into_iter().partition(|n| n.0 <= now);
+        self.notices = later;
         let due: Vec<(Duration, usize, CrashNotice)> = due;
-        for (_, node, news) in due {
-            self.nodes[node].apply_notice(&news, now);
+        for (_, node, notice) in due {
+            self.nodes[node].apply_notice(&notice, now);
         }
     }
 
-    fn spread(&mut self, from: usize, news: &CrashNotice) {
+    fn spread(&mut self, from: usize, notice: &CrashNotice) {
         for node in (0..NODES).filter(|n| *n != from) {
             let delay = Duration::from_millis(self.rng.random_range(0..=self.delay));
-            self.news.push((self.now + delay, node, news.clone()));
+            self.notices.push((self.now + delay, node, notice.clone()));
         }
     }
 
@@ -152,17 +158,17 @@
         self.requests[index].state = State::Running { flight, trial, holder };
     }
 
-    /// The caller of a refused request sends it again, through the next node.
+    /// Refuses a request; its caller retries through the next node.
     fn refuse(&mut self, index: usize) {
         let request = &mut self.requests[index];
         if request.content != POISON {
-            self.blamed.insert(request.content);
+            self.refused_harmless.insert(request.content);
         }
-        if request.sends == 0 {
+        if request.retries == 0 {
             request.state = State::Done;
             return;
         }
-        request.sends -= 1;
+        request.retries -= 1;
         request.node = (request.node + 1) % NODES;
         request.state = State::Waiting(self.now + Duration::from_millis(200));
     }
@@ -176,7 +182,7 @@
     ) {
         let ran = self.now - flight.sent_at;
         let request = &mut self.requests[index];
-        if request.content == POISON && ran >= self.fuse {
+        if request.content == POISON && ran >= self.crash_after {
             return self.crash(&flight.upstream);
         }
         request.left = request.left.saturating_sub(STEP);
@@ -190,8 +196,8 @@
             if let State::Running { trial, .. } = &mut self.requests[index].state {
                 *trial = None;
             }
-            if let Some(news) = self.nodes[node].record_success(flight.fingerprint, self.now) {
-                self.spread(node, &news);
+            if let Some(notice) = self.nodes[node].record_success(flight.fingerprint, self.now) {
+                self.spread(node, &notice);
             }
         }
     }
@@ -209,8 +215,8 @@
             request.state = State::Waiting(self.now + Duration::from_millis(100));
             let node = request.node;
             self.trials.release(upstream, holder);
-            let news = self.nodes[node].record_crash(&flight, self.now, self.now);
-            self.spread(node, &news);
+            let notice = self.nodes[node].record_crash(&flight, self.now, self.now);
+            self.spread(node, &notice);
         }
     }
 }
@@ -220,40 +226,40 @@
     ProptestConfig { cases: 300, rng_seed, failure_persistence: None, ..ProptestConfig::default() }
 }
 
-fn innocent() -> impl Strategy<Value = Vec<(u64, u64)>> {
+fn harmless() -> impl Strategy<Value = Vec<(u64, u64)>> {
     prop::collection::vec((0_u64..4_000, 100_u64..6_000), 0..24)
 }
 
 proptest! {
     #![proptest_config(config())]
 
-    /// One request that crashes its upstream after some time, sent again six times through
-    /// all nodes, among innocent ones that share the upstreams, with news that take up to
-    /// 90 ms: two upstreams go down, every innocent request ends, none is ever blamed.
+    /// One request that crashes its upstream after some time, retried six times through all
+    /// nodes, among harmless ones that share the upstreams, with notices that are delayed by up
+    /// to 90 ms: two upstreams crash, every harmless request completes, and none is refused.
     #[test]
-    fn two_upstreams_and_nobody_else(
+    fn two_upstreams_crash_and_no_harmless_request_is_refused(
         seed in any::<u64>(),
-        fuse in 0_u64..3_000,
+        crash_after in 0_u64..3_000,
         delay in 0_u64..90,
-        innocent in innocent(),
+        harmless in harmless(),
     ) {
-        let mut world = World::new(seed, fuse, delay, 1, &innocent);
+        let mut world = World::new(seed, crash_after, delay, 1, &harmless);
         world.run();
         prop_assert_eq!(world.crashes, 2);
-        prop_assert_eq!(&world.blamed, &BTreeSet::new());
+        prop_assert_eq!(&world.refused_harmless, &BTreeSet::new());
         prop_assert!(world.over(), "{:#?}", world.requests);
     }
 
-    /// Several copies are in flight together when the first crash is seen: at most each
-    /// takes down one upstream, and each node one more.
+    /// Several copies are in flight when the first crash is seen: at most one upstream crashes
+    /// for each copy, and one more for each node.
     #[test]
     fn copies_are_bounded(
         seed in any::<u64>(),
-        fuse in 0_u64..3_000,
+        crash_after in 0_u64..3_000,
         delay in 0_u64..90,
         copies in 2_usize..6,
     ) {
-        let mut world = World::new(seed, fuse, delay, copies, &[]);
+        let mut world = World::new(seed, crash_after, delay, copies, &[]);
         world.run();
         prop_assert!(world.crashes <= copies + NODES, "{} crashes", world.crashes);
         prop_assert!(world.over());
@@ -272,8 +278,8 @@
     Duration::from_millis(ms)
 }
 
-/// Many requests break in one crash, a little apart, and two nodes see it: one crash. The
-/// same upstream's next crash is another.
+/// Many requests break off at slightly different times in one crash that two nodes see: it counts
+/// as one. The next crash of the same upstream counts as another.
 #[test]
 fn one_crash_is_counted_once() {
     let mut a = Quarantine::new("a".into(), 7);
@@ -288,10 +294,10 @@
     assert!(matches!(a.status(1, ms(1_000)), FingerprintStatus::Quarantined(_)));
 }
 
-/// News overtake each other, and the clearing may be lost: a crash from before it counts
-/// no more once a later one is known.
+/// Notices arrive out of order, and the clear notice may be lost: a crash of an earlier epoch is
+/// ignored once a later epoch is known.
 #[test]
-fn late_news_count_no_more() {
+fn late_notices_are_ignored() {
     let mut a = Quarantine::new("a".into(), 1);
     let crash = a.record_crash(&flight("u1", 1, 0), ms(10), ms(10));
     let clear = a.record_success(1, ms(500)).unwrap();
@@ -306,17 +312,16 @@
     ];
     for order in orders {
         let mut b = Quarantine::new("b".into(), 1);
-        for news in order {
-            b.apply_notice(news, ms(800));
+        for notice in order {
+            b.apply_notice(notice, ms(800));
         }
         assert!(matches!(b.status(1, ms(800)), FingerprintStatus::Suspect(_)), "{order:?}");
     }
 }
 
-/// A quarantine ends by itself; a suspect is forgotten sooner; what one node passes on to
-/// another keeps its age.
+/// A quarantine expires; a suspect expires earlier; what one node sends to another keeps its age.
 #[test]
-fn they_end_by_themselves() {
+fn quarantines_and_suspects_expire() {
     let mut a = Quarantine::new("a".into(), 1);
     a.record_crash(&flight("u1", 1, 0), ms(10), ms(10));
     a.record_crash(&flight("u2", 1, 20), ms(30), ms(30));
@@ -325,8 +330,8 @@
     assert_eq!(a.record_success(1, ms(40)), None);
     let later = ms(601_000);
     let mut b = Quarantine::new("b".into(), 1);
-    a.notices(later).iter().for_each(|news| {
-        b.apply_notice(news, later);
+    a.notices(later).iter().for_each(|notice| {
+        b.apply_notice(notice, later);
     });
     assert_eq!(b.status(2, later), FingerprintStatus::Clear);
     assert!(matches!(b.status(1, later), FingerprintStatus::Quarantined(_)));
@@ -335,8 +340,8 @@
     assert_eq!(a.counts(), (0, 0));
 }
 
-/// A rack of upstreams crashes with thousands in flight: memory is bounded, and what is
-/// quarantined outlives the suspects.
+/// A rack of upstreams crashes with thousands of requests in flight: memory is bounded, and
+/// quarantined requests are kept longer than suspects.
 #[test]
 fn memory_is_bounded() {
     let mut a = Quarantine::new("a".into(), 1);
