--- a/src/decide/claim/commits.rs
+++ b/src/decide/claim/commits.rs
@@ -3,7 +3,7 @@
 
 use rand::RngCore;
 
-use super::journal::{Commit, State};
+use super::journal::{Commit, PartitionState};
 use super::{
     ClaimDecision, ClaimIndex, ClaimJournal, ClaimOutcome, ClaimRequest, JournalAction,
     JournalEntry, MAX_SEGMENT_ENTRIES, SwapResult,
@@ -16,10 +16,10 @@
 impl ClaimJournal {
     /// Handles the result of the swap in progress.
     pub fn swap_completed(&mut self, result: SwapResult, now: Moment) {
-        let state = std::mem::replace(&mut self.state, State::Open);
+        let state = std::mem::replace(&mut self.state, PartitionState::Open);
         let (mut commit, sealing) = match state {
-            State::Sealing(commit) => (commit, true),
-            State::Committing(commit) => (commit, false),
+            PartitionState::Sealing(commit) => (commit, true),
+            PartitionState::Committing(commit) => (commit, false),
             other => {
                 self.state = other;
                 return;
@@ -75,7 +75,7 @@
         let commit =
             Commit { expected, head, segment, entries, may_be_applied: false, retry_at: None };
         self.send(&commit);
-        self.state = State::Committing(commit);
+        self.state = PartitionState::Committing(commit);
     }
 
     fn commit_applied(&mut self, commit: Commit, revision: u64, sealing: bool, now: Moment) {
@@ -85,12 +85,12 @@
             let first = commit.head.first;
             self.index = ClaimIndex::default();
             self.head = Some(commit.head);
-            self.state = State::Loading(first);
+            self.state = PartitionState::Loading(first);
             return self.load(now);
         }
         let segment = commit.head.next;
         self.head = Some(commit.head);
-        self.state = State::Open;
+        self.state = PartitionState::Open;
         for entry in &commit.entries {
             self.index.apply(segment, entry);
             if let JournalEntry::Claim { request, .. } = entry {
@@ -128,7 +128,7 @@
         if !self.queue.is_empty() {
             self.schedule.outcome_queued(now);
         }
-        self.state = State::Open;
+        self.state = PartitionState::Open;
     }
 
     /// Schedules another try of a commit that may have been applied. It is repeated until
@@ -141,7 +141,11 @@
     }
 
     fn keep_waiting(&mut self, commit: Commit, sealing: bool) {
-        self.state = if sealing { State::Sealing(commit) } else { State::Committing(commit) };
+        self.state = if sealing {
+            PartitionState::Sealing(commit)
+        } else {
+            PartitionState::Committing(commit)
+        };
     }
 
     pub(super) fn send(&mut self, commit: &Commit) {
@@ -162,7 +166,7 @@
     }
 
     fn close(&mut self, owner: Option<Name>, until: Moment) {
-        self.state = State::Closed { owner, until };
+        self.state = PartitionState::Closed { owner, until };
         self.index = ClaimIndex::default();
         self.head = None;
         self.queue.clear();
--- a/src/decide/claim/journal.rs
+++ b/src/decide/claim/journal.rs
@@ -61,11 +61,15 @@
     Unsent,
 }
 
+/// A replacement of the head that is in progress.
 #[derive(Debug, Clone)]
 pub(super) struct Commit {
+    /// Revision of the head that is replaced; 0 if there is none.
     pub(super) expected: u64,
     pub(super) head: PartitionHead,
+    /// The segment that became full, written with the head.
     pub(super) segment: Option<Segment>,
+    /// The new entries of this commit.
     pub(super) entries: Vec<JournalEntry>,
     /// Whether an earlier try may have been applied.
     pub(super) may_be_applied: bool,
@@ -73,8 +77,9 @@
     pub(super) retry_at: Option<Moment>,
 }
 
+/// The state of the partition at this node.
 #[derive(Debug, Clone)]
-pub(super) enum State {
+pub(super) enum PartitionState {
     /// This node is not the owner. Until `until`, requests are redirected to the owner
     /// or, if there is none, refused.
     Closed { owner: Option<Name>, until: Moment },
@@ -90,6 +95,7 @@
     Committing(Commit),
 }
 
+/// A request that waits for the commit of its claim until a time limit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiter {
     pub(super) nonce: u64,
@@ -103,7 +109,7 @@
     /// The time at moment zero, in seconds since 1970.
     unix_base: u64,
     pub(super) rng: SmallRng,
-    pub(super) state: State,
+    pub(super) state: PartitionState,
     /// Revision of the head at the platform.
     pub(super) revision: u64,
     pub(super) head: Option<PartitionHead>,
@@ -125,7 +131,7 @@
             node,
             unix_base,
             rng: SmallRng::seed_from_u64(seed),
-            state: State::Closed { owner: None, until: Moment::ZERO },
+            state: PartitionState::Closed { owner: None, until: Moment::ZERO },
             revision: 0,
             head: None,
             index: ClaimIndex::default(),
@@ -140,20 +146,22 @@
     /// Requests a claim. The decision comes as a [`JournalAction::Reply`].
     pub fn request(&mut self, request: ClaimRequest, now: Moment) {
         match &self.state {
-            State::Open | State::Committing(_) => self.decide(request, now),
-            State::Closed { owner: Some(owner), until } if *until > now => {
+            PartitionState::Open | PartitionState::Committing(_) => self.decide(request, now),
+            PartitionState::Closed { owner: Some(owner), until } if *until > now => {
                 let decision = ClaimDecision::Moved(owner.clone());
                 self.reply(request.nonce, decision);
             }
-            State::Closed { owner: None, until } if *until > now => {
+            PartitionState::Closed { owner: None, until } if *until > now => {
                 let decision = ClaimDecision::Unavailable(*until - now);
                 self.reply(request.nonce, decision);
             }
-            State::Closed { .. } => {
+            PartitionState::Closed { .. } => {
                 self.park(request, now);
                 self.start_reading();
             }
-            State::Reading | State::Sealing(_) | State::Loading(_) => self.park(request, now),
+            PartitionState::Reading | PartitionState::Sealing(_) | PartitionState::Loading(_) => {
+                self.park(request, now)
+            }
         }
     }
 
@@ -166,7 +174,7 @@
         outcome: ClaimOutcome,
         now: Moment,
     ) -> bool {
-        if !matches!(self.state, State::Open | State::Committing(_)) {
+        if !matches!(self.state, PartitionState::Open | PartitionState::Committing(_)) {
             return false;
         }
         let queued = self.queue.iter().position(|e| is_claim_of(e, nonce));
@@ -188,20 +196,22 @@
     pub fn tick(&mut self, now: Moment) {
         self.expire_requests(now);
         match &mut self.state {
-            State::Sealing(commit) | State::Committing(commit)
+            PartitionState::Sealing(commit) | PartitionState::Committing(commit)
                 if commit.retry_at.is_some_and(|at| at <= now) =>
             {
                 commit.retry_at = None;
                 let commit = commit.clone();
                 self.send(&commit);
             }
-            State::Open if self.schedule.due().is_some_and(|at| at <= now) => self.commit(now),
-            State::Open
-            | State::Sealing(_)
-            | State::Committing(_)
-            | State::Closed { .. }
-            | State::Reading
-            | State::Loading(_) => {}
+            PartitionState::Open if self.schedule.due().is_some_and(|at| at <= now) => {
+                self.commit(now)
+            }
+            PartitionState::Open
+            | PartitionState::Sealing(_)
+            | PartitionState::Committing(_)
+            | PartitionState::Closed { .. }
+            | PartitionState::Reading
+            | PartitionState::Loading(_) => {}
         }
     }
 
@@ -210,9 +220,12 @@
     pub fn flush(&mut self, now: Moment) -> bool {
         self.schedule.flush(now);
         match &self.state {
-            State::Open => self.queue.is_empty(),
-            State::Committing(_) => false,
-            State::Closed { .. } | State::Reading | State::Sealing(_) | State::Loading(_) => true,
+            PartitionState::Open => self.queue.is_empty(),
+            PartitionState::Committing(_) => false,
+            PartitionState::Closed { .. }
+            | PartitionState::Reading
+            | PartitionState::Sealing(_)
+            | PartitionState::Loading(_) => true,
         }
     }
 
@@ -221,9 +234,11 @@
         let waits = self.waiters.iter().map(|w| w.until);
         let parked = self.parked.iter().map(|(_, until)| *until);
         let own = match &self.state {
-            State::Open => self.schedule.due(),
-            State::Sealing(commit) | State::Committing(commit) => commit.retry_at,
-            State::Closed { .. } | State::Reading | State::Loading(_) => None,
+            PartitionState::Open => self.schedule.due(),
+            PartitionState::Sealing(commit) | PartitionState::Committing(commit) => commit.retry_at,
+            PartitionState::Closed { .. }
+            | PartitionState::Reading
+            | PartitionState::Loading(_) => None,
         };
         waits.chain(parked).chain(own).min()
     }
@@ -235,7 +250,7 @@
 
     /// Whether this node is the owner of the partition.
     pub fn is_open(&self) -> bool {
-        matches!(self.state, State::Open | State::Committing(_))
+        matches!(self.state, PartitionState::Open | PartitionState::Committing(_))
     }
 
     /// Number of keys with a claim.
@@ -248,6 +263,7 @@
         self.index.is_empty()
     }
 
+    /// Queues the claim of a request, or refuses it.
     pub(super) fn decide(&mut self, request: ClaimRequest, now: Moment) {
         if let Some(decision) = self.conflict(&request) {
             return self.reply(request.nonce, decision);
@@ -299,12 +315,12 @@
     /// The newest claim of a key that is queued or in the commit in progress.
     fn uncommitted_claim(&self, key: ClaimKey) -> Option<&ClaimRequest> {
         let committing = match &self.state {
-            State::Committing(commit) => commit.entries.as_slice(),
-            State::Closed { .. }
-            | State::Reading
-            | State::Sealing(_)
-            | State::Loading(_)
-            | State::Open => &[],
+            PartitionState::Committing(commit) => commit.entries.as_slice(),
+            PartitionState::Closed { .. }
+            | PartitionState::Reading
+            | PartitionState::Sealing(_)
+            | PartitionState::Loading(_)
+            | PartitionState::Open => &[],
         };
         let entries = committing.iter().chain(&self.queue).rev();
         let mut requests = entries.filter_map(|e| match e {
@@ -314,17 +330,21 @@
         requests.find(|request| request.key == key)
     }
 
+    /// Whether the claim of an attempt is in the commit in progress.
     fn is_committing(&self, nonce: u64) -> bool {
         match &self.state {
-            State::Committing(commit) => commit.entries.iter().any(|e| is_claim_of(e, nonce)),
-            State::Closed { .. }
-            | State::Reading
-            | State::Sealing(_)
-            | State::Loading(_)
-            | State::Open => false,
+            PartitionState::Committing(commit) => {
+                commit.entries.iter().any(|e| is_claim_of(e, nonce))
+            }
+            PartitionState::Closed { .. }
+            | PartitionState::Reading
+            | PartitionState::Sealing(_)
+            | PartitionState::Loading(_)
+            | PartitionState::Open => false,
         }
     }
 
+    /// Applies an outcome to the index and queues it for the next commit.
     pub(super) fn record_outcome(
         &mut self,
         key: ClaimKey,
@@ -338,6 +358,7 @@
         self.schedule.outcome_queued(now);
     }
 
+    /// Makes a request wait until the partition is open, or refuses it.
     pub(super) fn park(&mut self, request: ClaimRequest, now: Moment) {
         if let Some(after) = self.schedule.remaining_backoff(now) {
             return self.reply(request.nonce, ClaimDecision::Unavailable(after));
@@ -348,6 +369,7 @@
         self.parked.push_back((request, now + CLAIM_TIMEOUT));
     }
 
+    /// Refuses the requests whose time limit has passed.
     fn expire_requests(&mut self, now: Moment) {
         let late: Vec<u64> =
             self.waiters.iter().filter(|w| w.until <= now).map(|w| w.nonce).collect();
@@ -365,11 +387,13 @@
         self.actions.push(JournalAction::Reply { nonce, decision });
     }
 
+    /// The time in seconds since 1970.
     pub(super) fn unix_seconds(&self, now: Moment) -> u64 {
         self.unix_base + now.as_secs()
     }
 }
 
+/// Whether an entry is the claim of an attempt.
 pub(super) fn is_claim_of(entry: &JournalEntry, nonce: u64) -> bool {
     match entry {
         JournalEntry::Claim { request, .. } => request.nonce == nonce,
--- a/src/decide/claim/opening.rs
+++ b/src/decide/claim/opening.rs
@@ -2,7 +2,7 @@
 
 use rand::RngCore;
 
-use super::journal::{Commit, State};
+use super::journal::{Commit, PartitionState};
 use super::{ClaimJournal, JournalAction, PartitionHead, Segment};
 use crate::Moment;
 
@@ -12,7 +12,7 @@
 impl ClaimJournal {
     /// Handles the head that was read; an error means that the platform does not answer.
     pub fn head_read(&mut self, read: Result<Option<(PartitionHead, u64)>, ()>, now: Moment) {
-        if !matches!(self.state, State::Reading) {
+        if !matches!(self.state, PartitionState::Reading) {
             return;
         }
         let Ok(found) = read else { return self.close_after_failure(now) };
@@ -30,12 +30,12 @@
             retry_at: None,
         };
         self.send(&commit);
-        self.state = State::Sealing(commit);
+        self.state = PartitionState::Sealing(commit);
     }
 
     /// Handles segments that were read; an error means that the platform does not answer.
     pub fn segments_read(&mut self, read: Result<Vec<Segment>, ()>, now: Moment) {
-        let State::Loading(from) = self.state else { return };
+        let PartitionState::Loading(from) = self.state else { return };
         let Some(range) = self.next_segments(from) else { return };
         let Ok(segments) = read else { return self.close_after_failure(now) };
         let complete = segments.iter().map(|s| s.number).eq(range.clone());
@@ -46,7 +46,7 @@
         for segment in &segments {
             segment.entries.iter().for_each(|e| self.index.apply(segment.number, e));
         }
-        self.state = State::Loading(range.end);
+        self.state = PartitionState::Loading(range.end);
         self.load(now);
     }
 
@@ -59,7 +59,7 @@
 
     /// Reads the next segments, or opens the journal once all are loaded.
     pub(super) fn load(&mut self, now: Moment) {
-        let State::Loading(from) = self.state else { return };
+        let PartitionState::Loading(from) = self.state else { return };
         if let Some(range) = self.next_segments(from) {
             self.actions.push(JournalAction::ReadSegments(range));
             return;
@@ -67,7 +67,7 @@
         let Some(head) = &self.head else { return };
         let (next, tail) = (head.next, head.tail.clone());
         tail.iter().for_each(|e| self.index.apply(next, e));
-        self.state = State::Open;
+        self.state = PartitionState::Open;
         for (request, _) in std::mem::take(&mut self.parked) {
             self.decide(request, now);
         }
@@ -75,6 +75,6 @@
 
     pub(super) fn start_reading(&mut self) {
         self.actions.push(JournalAction::ReadHead);
-        self.state = State::Reading;
+        self.state = PartitionState::Reading;
     }
 }
--- a/src/decide/dispatch/dispatch.rs
+++ b/src/decide/dispatch/dispatch.rs
@@ -90,7 +90,7 @@
         if deadline <= now {
             self.refuse(ticket, Kind::DeadlineUnreachable, "the deadline has passed", now);
         } else if !estimate.in_time(now, deadline) {
-            let detail = "more is waiting than can be done by the deadline";
+            let detail = "more work is queued than can be done by the deadline";
             self.refuse(ticket, Kind::DeadlineUnreachable, detail, now);
         } else {
             self.enqueue(ticket, false);
@@ -192,12 +192,12 @@
     fn check_waiting(&mut self, ticket: Ticket, now: Moment) {
         let Some(pending) = self.pending.get_mut(ticket) else { return };
         if self.pool.is_unavailable() && !pending.has_progress {
-            self.refuse(ticket, Kind::NoUpstream, "no upstream takes work", now);
+            self.refuse(ticket, Kind::NoUpstream, "no upstream accepts work", now);
         } else if pending.call.deadline > now {
             pending.check_at = pending.call.deadline;
             self.deadlines.insert(pending.check_at, ticket);
         } else {
-            self.refuse(ticket, Kind::DeadlinePassed, "it waited until its deadline", now);
+            self.refuse(ticket, Kind::DeadlinePassed, "the request waited until its deadline", now);
         }
     }
 
@@ -206,7 +206,7 @@
         let pending = &mut self.pending[ticket];
         pending.may_have_run |= outcome == AttemptOutcome::Unknown;
         if pending.may_have_run && pending.call.repeat == Repeat::Once {
-            let detail = "the attempt broke off after it was sent";
+            let detail = "the attempt broke off after the request was sent";
             self.refuse(ticket, Kind::OutcomeUnknown, detail, now);
             return;
         }
@@ -225,13 +225,18 @@
             let pending = &self.pending[ticket];
             let deadline = pending.call.deadline;
             if deadline <= now {
-                self.refuse(ticket, Kind::DeadlinePassed, "it waited until its deadline", now);
+                self.refuse(
+                    ticket,
+                    Kind::DeadlinePassed,
+                    "the request waited until its deadline",
+                    now,
+                );
                 continue;
             }
             if !pending.has_progress
                 && !self.wait_estimate(&pending.call).in_time_now(now, deadline)
             {
-                let detail = "less time is left than it takes";
+                let detail = "less time is left than the request takes";
                 self.refuse(ticket, Kind::DeadlineUnreachable, detail, now);
                 continue;
             }
@@ -303,7 +308,7 @@
         let ticket = self.queue.newest_of_largest(class).unwrap_or(offered);
         let own = self.pending[ticket].call.caller == self.pending[offered].call.caller;
         let kind = if ticket == offered || own { Kind::QueueFull } else { Kind::OverShare };
-        self.refuse(ticket, kind, "the queue of this class is full", now);
+        self.refuse(ticket, kind, "the queue of this priority class is full", now);
     }
 
     /// Seconds that a request is expected to take at an upstream.
--- a/src/decide/dispatch/pool.rs
+++ b/src/decide/dispatch/pool.rs
@@ -20,6 +20,9 @@
 const RING_CANDIDATES: usize = 3;
 /// Most random pairs that are drawn to find an upstream other than the one to avoid.
 const MAX_RANDOM_PAIRS: usize = 4;
+/// Latency of an upstream, as a multiple of the typical one, above which its cached prefixes are
+/// not used.
+const MAX_PREFIX_LATENCY_RATIO: f64 = 2.0;
 
 /// The upstreams of a service.
 #[derive(Debug)]
@@ -135,8 +138,8 @@
         rng: &mut SmallRng,
     ) -> Option<UpstreamKey> {
         let typical = self.typical_latency().unwrap_or_default();
-        if let Some(home) = self.prefix_home(call, room, avoid, typical, now) {
-            return Some(home);
+        if let Some(key) = self.prefix_upstream(call, room, avoid, typical, now) {
+            return Some(key);
         }
         let ready = self.ready(room);
         let mut best: Option<(bool, f64, UpstreamKey)> = None;
@@ -205,7 +208,7 @@
 
     /// The upstream that the prefix of a call is assigned to, if it has room and is neither
     /// slow nor overloaded.
-    fn prefix_home(
+    fn prefix_upstream(
         &self,
         call: &Call,
         room: Class,
@@ -219,7 +222,7 @@
         self.ring.successors(prefix).take(RING_CANDIDATES).find(|key| {
             let upstream = &self.upstreams[*key];
             let fine = ready.contains(*key) && Some(*key) != avoid;
-            let slow = upstream.latency.decayed(typical, now) > 2.0 * typical;
+            let slow = upstream.latency.decayed(typical, now) > MAX_PREFIX_LATENCY_RATIO * typical;
             fine && !slow && within_load_bound(upstream.load(now), mean)
         })
     }
--- a/tests/claims/golden.rs
+++ b/tests/claims/golden.rs
@@ -1,4 +1,4 @@
-//! A whole session of one partition, replayed from recorded events.
+//! A session of one partition, replayed from recorded events and compared with a golden file.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 };
 use serde::Deserialize;
 
-/// An event as it was recorded, at milliseconds since the start.
+/// A recorded event. Times are in milliseconds since the start.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Event {
@@ -24,16 +24,16 @@
         nonce: u64,
         end: ClaimOutcome,
     },
-    /// The platform answers the read of the head with what it holds.
+    /// The platform answers the read of the head.
     HeadRead,
     HeadUnread,
     SegmentsRead,
-    /// The platform does the last swap, and answers.
+    /// The platform executes the last swap, and answers.
     SwapDone,
-    /// It does the last swap, and the answer is lost.
+    /// The platform executes the last swap, and the answer is lost.
     SwapLost,
     SwapUnsent,
-    /// Another node seals the partition meanwhile.
+    /// Another node seals the partition in the meantime.
     Sealed {
         by: String,
     },
@@ -44,12 +44,12 @@
 struct Platform {
     head: Option<(PartitionHead, u64)>,
     segments: Vec<Segment>,
-    asked: Option<(u64, PartitionHead, Option<Segment>)>,
+    swap_request: Option<(u64, PartitionHead, Option<Segment>)>,
 }
 
 impl Platform {
     fn swap(&mut self) -> SwapResult {
-        let (expected, head, segment) = self.asked.clone().expect("a swap was asked for");
+        let (expected, head, segment) = self.swap_request.clone().expect("a swap was asked for");
         let current = self.head.as_ref().map_or(0, |(_, revision)| *revision);
         if current != expected {
             return SwapResult::Conflict(self.head.clone());
@@ -97,15 +97,15 @@
     journal.tick(now);
 }
 
-/// One line for each step; nonces of commits are random and left out.
-fn line(step: &JournalAction) -> String {
+/// One line for each action, without the nonces of commits, which are random.
+fn line(action: &JournalAction) -> String {
     let entry = |e: &JournalEntry| match e {
         JournalEntry::Claim { request, .. } => {
             format!("claim {:?} by {} #{}", request.key, request.runner, request.nonce)
         }
         JournalEntry::End { key, nonce, outcome } => format!("end {key:?} #{nonce} {outcome:?}"),
     };
-    match step {
+    match action {
         JournalAction::Swap { expected, head, segment } => {
             let tail: Vec<String> = head.tail.iter().map(entry).collect();
             let PartitionHead { epoch, owner, first, next, .. } = head;
@@ -117,13 +117,13 @@
             )
         }
         JournalAction::ReadHead | JournalAction::ReadSegments(_) | JournalAction::Reply { .. } => {
-            format!("{step:?}")
+            format!("{action:?}")
         }
     }
 }
 
-/// A day of one partition in short: opened, a lost reply, an outage, a repeat, a freed
-/// key, and in the end a successor that fences it.
+/// A partition that is opened, loses a reply, has an outage, a repeated call and a released key,
+/// and is fenced by a new owner in the end.
 #[test]
 fn session() {
     let recorded = include_str!("session.json");
@@ -134,10 +134,10 @@
     for (at, event) in events {
         let _ = writeln!(text, "{at} ms {event:?}");
         handle(&mut journal, &mut platform, event, Duration::from_millis(at));
-        for step in journal.take_actions() {
-            let _ = writeln!(text, "    {}", line(&step));
-            if let JournalAction::Swap { expected, head, segment } = step {
-                platform.asked = Some((expected, head, segment));
+        for action in journal.take_actions() {
+            let _ = writeln!(text, "    {}", line(&action));
+            if let JournalAction::Swap { expected, head, segment } = action {
+                platform.swap_request = Some((expected, head, segment));
             }
         }
     }
--- a/tests/claims/parts.rs
+++ b/tests/claims/parts.rs
@@ -1,4 +1,4 @@
-//! Pacing, the ring of segments, retention and the runner's memory.
+//! Commit timing, the ring of segments, retention, and the runner's memory.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 };
 use mulberrycourse::error::{Kind, Run};
 
-fn ask(number: u64) -> ClaimRequest {
+fn request(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
     ClaimRequest { key, fingerprint: 1, nonce: number, runner: "n0".into() }
 }
@@ -18,7 +18,7 @@
     Duration::from_millis(ms)
 }
 
-/// A platform that answers at once; returns the revisions and what was asked of it.
+/// A journal with a platform that answers immediately, and counts of what they did.
 struct Quick {
     journal: ClaimJournal,
     revision: u64,
@@ -39,18 +39,18 @@
     fn run(&mut self, now: Duration) {
         self.journal.tick(now);
         loop {
-            let steps = self.journal.take_actions();
-            if steps.is_empty() {
+            let actions = self.journal.take_actions();
+            if actions.is_empty() {
                 return;
             }
-            for step in steps {
-                self.step(step, now);
+            for action in actions {
+                self.perform(action, now);
             }
         }
     }
 
-    fn step(&mut self, step: JournalAction, now: Duration) {
-        match step {
+    fn perform(&mut self, action: JournalAction, now: Duration) {
+        match action {
             JournalAction::ReadHead => self.journal.head_read(Ok(self.head.clone()), now),
             JournalAction::ReadSegments(range) => {
                 let found = self.segments.iter().filter(|s| range.contains(&s.number));
@@ -71,14 +71,14 @@
     }
 }
 
-/// A burst: thousands of claims in two seconds share at most one write in 80 ms, and
-/// none waits past its limit. Afterwards a successor that reads the segments holds all.
+/// In a burst, thousands of claims in two seconds share at most one write in 80 ms, and none waits
+/// longer than allowed. Afterwards a new owner that reads the segments knows all of them.
 #[test]
 fn burst_shares_writes_and_is_read_back() {
     let mut quick = Quick::new(1);
     for tick in 0..2_000 {
-        quick.journal.request(ask(2 * tick), ms(tick));
-        quick.journal.request(ask(2 * tick + 1), ms(tick));
+        quick.journal.request(request(2 * tick), ms(tick));
+        quick.journal.request(request(2 * tick + 1), ms(tick));
         quick.run(ms(tick));
     }
     quick.run(ms(2_200));
@@ -88,31 +88,30 @@
 
     let mut successor = Quick { journal: ClaimJournal::new("n1".into(), 1_000_000, 9), ..quick };
     (successor.granted, successor.refused) = (0, 0);
-    successor.journal.request(ask(7), ms(3_000));
+    successor.journal.request(request(7), ms(3_000));
     successor.run(ms(3_000));
     assert_eq!(successor.journal.len(), 4_000);
     assert_eq!((successor.granted, successor.refused), (0, 1));
 }
 
-/// A lone claim is committed within a few milliseconds, not after the spacing.
+/// A single claim is committed within a few milliseconds, not after the commit interval.
 #[test]
-fn lone_claim_hardly_waits() {
+fn single_claim_hardly_waits() {
     let mut quick = Quick::new(1);
-    quick.journal.request(ask(1), ms(1_000));
+    quick.journal.request(request(1), ms(1_000));
     quick.run(ms(1_000));
     assert_eq!(quick.journal.next_tick(), Some(ms(1_003)));
     quick.run(ms(1_003));
     assert_eq!(quick.granted, 1);
 }
 
-/// A slow platform under a stream of asks: each is refused within its limit, and the
-/// queue stays bounded.
+/// With a slow platform, each request is refused in time, and the queue stays bounded.
 #[test]
 fn slow_platform_refuses_in_time() {
     let mut journal = ClaimJournal::new("n0".into(), 0, 1);
     let mut refused = 0;
     for now in 0..3_000 {
-        journal.request(ask(now), ms(now));
+        journal.request(request(now), ms(now));
         journal.tick(ms(now));
         let replies =
             journal.take_actions().into_iter().filter(|s| matches!(s, JournalAction::Reply { .. }));
@@ -121,22 +120,22 @@
     }
 }
 
-/// Asks are given up on before their commit, which goes on in the meantime: each ask has
-/// an answer all the same, so nothing is left waiting at the home.
+/// Requests that are given up before or during their commit get an answer too, so that nothing is
+/// left waiting at the owner.
 #[test]
-fn every_ask_is_answered() {
+fn every_request_is_answered() {
     let mut journal = ClaimJournal::new("n0".into(), 0, 1);
     let mut open = 0_i64;
     for now in 0..400 {
-        let one = ask(now);
+        let one = request(now);
         journal.request(one.clone(), ms(now));
         open += 1;
         if now % 3 == 0 {
             journal.call_ended(one.key, one.nonce, ClaimOutcome::NotRun, ms(now));
         }
         journal.tick(ms(now));
-        for step in journal.take_actions() {
-            match step {
+        for action in journal.take_actions() {
+            match action {
                 JournalAction::ReadHead => journal.head_read(Ok(None), ms(now)),
                 JournalAction::ReadSegments(_) => journal.segments_read(Ok(vec![]), ms(now)),
                 JournalAction::Swap { expected, .. } => {
@@ -146,31 +145,31 @@
             }
         }
     }
-    for step in (400..2_000).flat_map(|now| {
+    for action in (400..2_000).flat_map(|now| {
         journal.tick(ms(now));
         journal.take_actions()
     }) {
-        open -= i64::from(matches!(step, JournalAction::Reply { .. }));
+        open -= i64::from(matches!(action, JournalAction::Reply { .. }));
     }
     assert_eq!(open, 0);
 }
 
-/// Claims outlive the time for which callers may ask again, and go after it.
+/// Claims are kept for as long as callers may retry, and are removed afterwards.
 #[test]
 fn retention() {
     let mut index = ClaimIndex::default();
-    index.apply(0, &JournalEntry::Claim { request: ask(1), claimed_at: 1_000 });
-    index.apply(1, &JournalEntry::Claim { request: ask(2), claimed_at: 2_000 });
+    index.apply(0, &JournalEntry::Claim { request: request(1), claimed_at: 1_000 });
+    index.apply(1, &JournalEntry::Claim { request: request(2), claimed_at: 2_000 });
     let kept = CLAIM_RETENTION.as_secs();
     assert_eq!(index.expire(0, 2, 1_000 + kept), 0);
     assert_eq!(index.len(), 2);
     assert_eq!(index.expire(0, 2, 1_000 + kept + 600), 1);
     assert_eq!(index.len(), 1);
-    assert!(index.get(ask(2).key).is_some());
+    assert!(index.get(request(2).key).is_some());
 }
 
-/// Large answers flood the runner: its memory stays bounded, what was dropped is told
-/// as already run, and no ended attempt turns into one that may run.
+/// Many large answers: the memory of the runner stays bounded, attempts whose answer was dropped
+/// are still known as run, and no ended attempt can be granted again.
 #[test]
 fn answers_are_bounded() {
     let mut attempts = Attempts::default();
@@ -190,10 +189,10 @@
     assert_eq!((attempts.len(), attempts.bytes()), (1, 0));
 }
 
-/// Two callers choose the same key: each has its own claim. Homes spread over nodes,
-/// and only the partitions of a node that goes find another home.
+/// Two callers that choose the same key have separate claims. When a node leaves, only its own
+/// partitions get another owner.
 #[test]
-fn keys_and_homes() {
+fn keys_and_owners() {
     let shop = ClaimKey::new("sync", "shop", "1");
     assert_ne!(shop, ClaimKey::new("sync", "payroll", "1"));
     assert_ne!(ClaimKey::new("sync", "a", "bc"), ClaimKey::new("sync", "ab", "c"));
@@ -206,9 +205,10 @@
     assert_eq!(partition_owner(0, []), None);
 }
 
-/// What is told of a claim: only a claim that can't be recorded counts as not run.
+/// Of the refusals of claims, only those that were not recorded or name another content report
+/// "not run".
 #[test]
-fn kinds_of_claims() {
+fn only_unrecorded_claims_are_not_run() {
     let run = |kind: Kind| kind.answer().run;
     assert_eq!(run(Kind::ClaimUnavailable), Run::NotRun);
     assert_eq!(run(Kind::KeyReused), Run::NotRun);
--- a/tests/claims/world.rs
+++ b/tests/claims/world.rs
@@ -1,4 +1,4 @@
-//! Nodes, askers and a platform as plain data, with a naive map that checks them.
+//! A simulation of nodes, requesters and a platform, with a naive map that checks them.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -15,23 +15,23 @@
 /// What happens to a call to the platform.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fate {
-    /// It is done and answered.
+    /// It is executed and answered.
     Good,
-    /// It is done, and the reply is lost.
+    /// It is executed, and the reply is lost.
     Lost,
     /// It is refused.
     Unsent,
     /// It is lost on the way.
     Vanished,
-    /// The sender gives up; it may arrive later.
+    /// The sender gives up; the call may arrive later.
     Delayed,
-    /// A replica answers that is so many writes behind.
-    Behind(usize),
+    /// The answer comes from a replica that lags by this many writes.
+    Lagging(usize),
 }
 
-/// What a caller is told in the end.
+/// The final result of a caller's call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Told {
+pub(crate) enum CallResult {
     Ran,
     Answer(u8),
     Reused,
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone)]
 struct Session {
     node: usize,
-    home: usize,
+    owner: usize,
     key: u8,
     body: u8,
     nonce: u64,
@@ -58,7 +58,7 @@
     paused: bool,
 }
 
-/// The naive version: one map from key to body and end; no end while it may run.
+/// The naive model: a map from key to body and outcome; no outcome while the call may run.
 type Naive = BTreeMap<u8, (u8, Option<ClaimOutcome>)>;
 
 #[derive(Debug)]
@@ -67,14 +67,14 @@
     nodes: Vec<Node>,
     calls: Vec<(usize, JournalAction)>,
     late: Vec<JournalAction>,
-    /// Every head that there was, with its revision.
+    /// Every head so far, with its revision.
     heads: Vec<(PartitionHead, u64)>,
     segments: HashMap<u64, Segment>,
     sessions: Vec<Session>,
     running: Vec<Session>,
     naive: Naive,
     asked: Vec<(u8, u8)>,
-    told: Vec<(u8, Told)>,
+    results: Vec<(u8, CallResult)>,
     next: u64,
     pub(crate) wrong: Vec<String>,
 }
@@ -105,23 +105,23 @@
             running: vec![],
             naive: BTreeMap::new(),
             asked: vec![],
-            told: vec![],
+            results: vec![],
             next: 0,
             wrong: vec![],
         }
     }
 
-    /// What the caller who asked last under a key was told.
-    pub(crate) fn told(&self, key: u8) -> Option<Told> {
-        self.told.iter().rev().find(|(k, _)| *k == key).map(|(_, told)| told.clone())
+    /// The result of the last call under a key.
+    pub(crate) fn result(&self, key: u8) -> Option<CallResult> {
+        self.results.iter().rev().find(|(k, _)| *k == key).map(|(_, result)| result.clone())
     }
 
-    pub(crate) fn ask(&mut self, node: usize, home: usize, key: u8, body: u8) {
+    pub(crate) fn call(&mut self, node: usize, owner: usize, key: u8, body: u8) {
         if self.nodes[node].paused {
             return;
         }
         self.asked.push((key, body));
-        self.send(Session { node, home, key, body, nonce: 0, hops: 0 });
+        self.send(Session { node, owner, key, body, nonce: 0, hops: 0 });
         self.run();
     }
 
@@ -141,7 +141,7 @@
         self.nodes[node] = Node { journal, attempts: Attempts::default(), paused: false };
         self.sessions.retain(|s| s.node != node);
         self.running.retain(|s| s.node != node);
-        // What the old process sent may still arrive, and nobody waits for a reply.
+        // Calls of the old process may still arrive, and their replies are dropped.
         let (gone, rest) =
             std::mem::take(&mut self.calls).into_iter().partition(|(n, _)| *n == node);
         self.calls = rest;
@@ -155,7 +155,7 @@
         }
         let session = self.sessions.remove(which % self.sessions.len());
         self.nodes[session.node].attempts.not_run(session.nonce, self.now);
-        self.tell(&session, Told::Unavailable);
+        self.record_result(&session, CallResult::Unavailable);
     }
 
     /// Ends a granted call: 0 ran, 1 did not run, else unknown.
@@ -176,9 +176,9 @@
             ClaimOutcome::NotRun => attempts.not_run(session.nonce, self.now),
             ClaimOutcome::Unknown => attempts.unknown(session.nonce, self.now),
         }
-        let home = &mut self.nodes[session.home];
-        if !home.paused {
-            home.journal.call_ended(claim_key(session.key), session.nonce, end, self.now);
+        let owner = &mut self.nodes[session.owner];
+        if !owner.paused {
+            owner.journal.call_ended(claim_key(session.key), session.nonce, end, self.now);
         }
         self.run();
     }
@@ -198,7 +198,7 @@
             JournalAction::ReadHead => {
                 let back = match fate {
                     Fate::Good => Some(0),
-                    Fate::Behind(back) => Some(back),
+                    Fate::Lagging(back) => Some(back),
                     Fate::Lost | Fate::Unsent | Fate::Vanished | Fate::Delayed => None,
                 };
                 let read = back.map(|back| self.head(back)).ok_or(());
@@ -209,8 +209,8 @@
                     Fate::Good => {
                         Ok(range.filter_map(|n| self.segments.get(&n).cloned()).collect())
                     }
-                    // The last of them is not there yet.
-                    Fate::Behind(_) => {
+                    // The last segment is missing.
+                    Fate::Lagging(_) => {
                         let range = range.start..range.end - 1;
                         Ok(range.filter_map(|n| self.segments.get(&n).cloned()).collect())
                     }
@@ -218,7 +218,7 @@
                 };
                 self.nodes[node].journal.segments_read(read, self.now);
             }
-            JournalAction::Reply { .. } => unreachable!("replies are taken out at once"),
+            JournalAction::Reply { .. } => unreachable!("replies are handled immediately"),
         }
         self.run();
     }
@@ -230,7 +230,7 @@
         }
     }
 
-    /// All faults end.
+    /// Ends all faults.
     pub(crate) fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|n| n.paused = false);
         for _ in 0..4 {
@@ -240,7 +240,7 @@
         self.quiet();
     }
 
-    /// Lets everything end, without faults. Calls that were granted end as unknown.
+    /// Completes everything without faults. Granted calls end as unknown.
     pub(crate) fn quiet(&mut self) {
         self.quiet_but_calls();
         while !self.running.is_empty() {
@@ -249,7 +249,7 @@
         self.quiet_but_calls();
     }
 
-    /// Lets everything but granted calls end, without faults.
+    /// Completes everything but granted calls, without faults.
     pub(crate) fn quiet_but_calls(&mut self) {
         for _ in 0..60 {
             while !self.calls.is_empty() {
@@ -265,7 +265,7 @@
                 Some(revision) => SwapResult::Done(revision),
                 None => SwapResult::Conflict(self.head(0)),
             },
-            Fate::Behind(back) => match self.apply(&step) {
+            Fate::Lagging(back) => match self.apply(&step) {
                 Some(revision) => SwapResult::Done(revision),
                 None => SwapResult::Conflict(self.head(back)),
             },
@@ -282,7 +282,7 @@
         }
     }
 
-    /// The platform's transaction: the revision if the compare held.
+    /// The transaction at the platform: returns the revision if the compare succeeded.
     fn apply(&mut self, step: &JournalAction) -> Option<u64> {
         let JournalAction::Swap { expected, head, segment } = step else { return None };
         let current = self.heads.last().map_or(0, |(_, revision)| *revision);
@@ -304,21 +304,21 @@
         self.next += 1;
         session.nonce = self.next;
         session.hops += 1;
-        let (node, home) = (session.node, session.home);
+        let (node, owner) = (session.node, session.owner);
         self.nodes[node].attempts.claim_requested(session.nonce);
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             key: claim_key(session.key),
             fingerprint: session.body.into(),
             nonce: session.nonce,
             runner: name(node),
         };
         self.sessions.push(session);
-        if !self.nodes[home].paused {
-            self.nodes[home].journal.request(ask, self.now);
+        if !self.nodes[owner].paused {
+            self.nodes[owner].journal.request(request, self.now);
         }
     }
 
-    /// Ticks every node that does not stand still, until no more verdicts come.
+    /// Ticks every node that is not paused, until there are no more decisions.
     fn run(&mut self) {
         loop {
             let mut replies = Vec::new();
@@ -358,34 +358,34 @@
             ClaimDecision::Granted => {}
             ClaimDecision::KeyReused => {
                 if self.asked.iter().all(|(k, b)| *k != session.key || *b == session.body) {
-                    self.wrong.push(format!("{session:?}: told of a reuse that was none"));
+                    self.wrong.push(format!("{session:?}: reported a reuse that did not happen"));
                 }
-                self.tell(&session, Told::Reused);
+                self.record_result(&session, CallResult::Reused);
             }
-            ClaimDecision::Unavailable(_) => self.tell(&session, Told::Unavailable),
+            ClaimDecision::Unavailable(_) => self.record_result(&session, CallResult::Unavailable),
             ClaimDecision::Moved(_) | ClaimDecision::Held(_) if session.hops > 4 => {
-                self.tell(&session, Told::Unavailable);
+                self.record_result(&session, CallResult::Unavailable);
             }
             ClaimDecision::Moved(to) => {
-                let home = (0..3).find(|n| name(*n) == to).unwrap();
-                self.send(Session { home, ..session });
+                let owner = (0..3).find(|n| name(*n) == to).unwrap();
+                self.send(Session { owner, ..session });
             }
             ClaimDecision::Held(holder) => {
                 let runner = (0..3).find(|n| name(*n) == holder.runner).unwrap();
                 let node = &self.nodes[runner];
-                let word = match node.attempts.get(holder.nonce) {
+                let status = match node.attempts.get(holder.nonce) {
                     _ if node.paused => RunnerStatus::Unresponsive,
                     Some(attempt) => RunnerStatus::Known(attempt.clone()),
                     None => RunnerStatus::Forgotten,
                 };
-                match resolve(&holder, word) {
+                match resolve(&holder, status) {
                     Resolution::Answer(kept) => self.answered(&session, kept.body[0]),
                     Resolution::Refuse(refusal) => self.refused(&session, refusal.kind),
                     Resolution::Release => {
-                        let home = &mut self.nodes[session.home];
-                        if !home.paused {
+                        let owner = &mut self.nodes[session.owner];
+                        if !owner.paused {
                             let key = claim_key(session.key);
-                            home.journal.call_ended(
+                            owner.journal.call_ended(
                                 key,
                                 holder.nonce,
                                 ClaimOutcome::NotRun,
@@ -405,35 +405,35 @@
             Some(held) => self.wrong.push(format!("{session:?} granted over {held:?}")),
         }
         self.naive.insert(session.key, (session.body, None));
-        self.tell(&session, Told::Ran);
+        self.record_result(&session, CallResult::Ran);
         self.running.push(session);
     }
 
     fn answered(&mut self, session: &Session, body: u8) {
         if self.naive.get(&session.key) != Some(&(session.body, Some(ClaimOutcome::Ran))) {
-            self.wrong.push(format!("{session:?} got an answer that it has not"));
+            self.wrong.push(format!("{session:?} got an answer that does not exist"));
         }
-        self.tell(session, Told::Answer(body));
+        self.record_result(session, CallResult::Answer(body));
     }
 
     fn refused(&mut self, session: &Session, kind: Kind) {
-        let told = match kind {
-            Kind::OutcomeUnknown => Told::Unknown,
-            Kind::InProgress => Told::InProgress,
+        let result = match kind {
+            Kind::OutcomeUnknown => CallResult::Unknown,
+            Kind::InProgress => CallResult::InProgress,
             Kind::AlreadyRan => {
                 let ran =
                     matches!(self.naive.get(&session.key), Some((_, Some(ClaimOutcome::Ran))));
                 if !ran {
-                    self.wrong.push(format!("{session:?} told that it already ran"));
+                    self.wrong.push(format!("{session:?} reported as already run"));
                 }
-                Told::AlreadyRan
+                CallResult::AlreadyRan
             }
-            other => panic!("no such refusal: {other}"),
+            other => panic!("unexpected refusal: {other}"),
         };
-        self.tell(session, told);
+        self.record_result(session, result);
     }
 
-    fn tell(&mut self, session: &Session, told: Told) {
-        self.told.push((session.key, told));
+    fn record_result(&mut self, session: &Session, result: CallResult) {
+        self.results.push((session.key, result));
     }
 }
