--- a/src/edge/peer/codec.rs
+++ b/src/edge/peer/codec.rs
@@ -1,55 +1,58 @@
-//! bincode, and the protocol version that goes with it.
+//! The encoding of messages between nodes, in bincode, and the version of that protocol.
 //!
-//! On the way, a byte says whether a message follows as it is or packed by LZ4 behind its length.
+//! On the wire, the first byte says whether the message follows as it is, or its length and the
+//! message compressed with LZ4.
 
 use bincode::config::{Configuration, Limit};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The version of the protocol between nodes. Both sides have to speak the same.
+/// The version of the protocol between nodes. Both sides must use the same.
 pub const PROTOCOL_VERSION: &str = "6";
 
-/// The largest message, in bytes: bounds what garbage can make a node allocate.
+/// The largest message. It bounds the memory that invalid input can make a node allocate.
 pub(super) const MAX_MESSAGE_BYTES: usize = 8 << 20;
 
-/// From this size on a message is packed, in bytes: a smaller one fits the first window of a
+/// The size from which a message is compressed. A smaller one fits into the first window of a
 /// connection.
-const LARGE: usize = 4 << 10;
-/// The first byte of a message that follows as it is.
-const PLAIN: u8 = 0;
-/// The first byte of a packed message; its length follows as four bytes, little-endian.
-const PACKED: u8 = 1;
-/// The bytes before a packed message.
-const HEAD: usize = 5;
+const MIN_COMPRESSED_BYTES: usize = 4 << 10;
+/// The first byte before an uncompressed message.
+const PLAIN_TAG: u8 = 0;
+/// The first byte before a compressed message. The uncompressed length follows as four bytes,
+/// little-endian.
+const LZ4_TAG: u8 = 1;
+/// The size of the tag and the length before a compressed message.
+const LZ4_HEADER_BYTES: usize = 5;
 
-/// A message that does not encode or decode.
+/// Why a message does not encode or decode.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// It does not encode.
+    /// The message does not encode.
     #[error("can't encode: {0}")]
     Encode(#[from] bincode::error::EncodeError),
-    /// It does not decode.
+    /// The bytes do not decode.
     #[error("can't decode: {0}")]
     Decode(#[from] bincode::error::DecodeError),
-    /// Bytes are left after the message.
-    #[error("{0} bytes are left over")]
+    /// Bytes remain after the message.
+    #[error("{0} bytes remain after the message")]
     Trailing(usize),
-    /// It does not unpack.
-    #[error("can't unpack: {0}")]
-    Unpack(String),
+    /// The message does not decompress, or its first bytes are invalid.
+    #[error("can't decompress: {0}")]
+    Decompress(String),
 }
 
+/// The bincode configuration.
 fn config()
 -> Configuration<bincode::config::LittleEndian, bincode::config::Varint, Limit<MAX_MESSAGE_BYTES>> {
     bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>()
 }
 
-/// Encodes a message.
+/// Encodes a value without compression.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     Ok(bincode::serde::encode_to_vec(message, config())?)
 }
 
-/// Decodes a message that takes up all the bytes.
+/// Decodes a value that takes up all the bytes.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (message, read) = bincode::serde::decode_from_slice(bytes, config())?;
     match bytes.len() - read {
@@ -58,46 +61,46 @@
     }
 }
 
-/// Encodes a message for the way to another node.
+/// Encodes a message for another node, and compresses it if it is large.
 ///
-/// Load pattern: a dozen nodes ask one for the same configuration at the same moment, over the
-/// narrowest link of the fleet. Text of routes packs to a ninth in a millisecond, where it takes
-/// a tenth of a second to send.
+/// Load pattern: a dozen nodes request the same configuration from one node at the same moment,
+/// over the narrowest link of the fleet. The text of routes compresses to a ninth in a millisecond,
+/// and takes a tenth of a second to send uncompressed.
 pub fn pack<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let plain = encode(message)?;
-    if plain.len() >= LARGE {
+    if plain.len() >= MIN_COMPRESSED_BYTES {
         let packed = lz4_flex::block::compress(&plain);
-        if HEAD + packed.len() < plain.len() {
-            let mut bytes = Vec::with_capacity(HEAD + packed.len());
-            bytes.push(PACKED);
+        if LZ4_HEADER_BYTES + packed.len() < plain.len() {
+            let mut bytes = Vec::with_capacity(LZ4_HEADER_BYTES + packed.len());
+            bytes.push(LZ4_TAG);
             bytes.extend_from_slice(&(plain.len() as u32).to_le_bytes());
             bytes.extend_from_slice(&packed);
             return Ok(bytes);
         }
     }
     let mut bytes = Vec::with_capacity(1 + plain.len());
-    bytes.push(PLAIN);
+    bytes.push(PLAIN_TAG);
     bytes.extend_from_slice(&plain);
     Ok(bytes)
 }
 
-/// Decodes what came from another node.
+/// Decodes a message from another node.
 pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
-    let wrong = |reason: &str| CodecError::Unpack(reason.to_owned());
+    let invalid = |reason: &str| CodecError::Decompress(reason.to_owned());
     match bytes {
-        [PLAIN, plain @ ..] => decode(plain),
-        [PACKED, a, b, c, d, packed @ ..] => {
+        [PLAIN_TAG, plain @ ..] => decode(plain),
+        [LZ4_TAG, a, b, c, d, packed @ ..] => {
             let length = u32::from_le_bytes([*a, *b, *c, *d]) as usize;
             if length > MAX_MESSAGE_BYTES {
-                return Err(wrong("it says to be too large"));
+                return Err(invalid("the declared length is over the limit"));
             }
             let plain = lz4_flex::block::decompress(packed, length)
-                .map_err(|e| CodecError::Unpack(e.to_string()))?;
+                .map_err(|e| CodecError::Decompress(e.to_string()))?;
             if plain.len() != length {
-                return Err(wrong("it is shorter than it says"));
+                return Err(invalid("the message is shorter than its declared length"));
             }
             decode(&plain)
         }
-        _ => Err(wrong("its first bytes are unknown")),
+        _ => Err(invalid("the first bytes are unknown")),
     }
 }
--- a/src/edge/peer/message.rs
+++ b/src/edge/peer/messages.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other.
+//! The messages between nodes.
 
 use std::net::SocketAddr;
 
@@ -13,9 +13,9 @@
 use crate::decide::quarantine::CrashNotice;
 use crate::metrics::Purpose;
 
-/// A request between nodes.
+/// A request type of the peer protocol.
 pub trait PeerMessage: Serialize + DeserializeOwned + Send + Sync + 'static {
-    /// What answers it.
+    /// The type of the reply.
     type Reply: Serialize + DeserializeOwned + Send;
 }
 
@@ -23,37 +23,38 @@
     type Reply = NodeReply;
 }
 
-/// What a node says of itself.
+/// What a node reports about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeInfo {
-    /// Its name.
+    /// The name of the node.
     pub name: Name,
-    /// Its region.
+    /// The region of the node.
     pub region: Name,
-    /// Its availability zone.
+    /// The availability zone of the node.
     pub zone: Name,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where peers connect.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// Grows each time that the node starts: milliseconds since 1970 at its start.
+    /// A number that grows each time the node starts: the milliseconds since the Unix epoch at its
+    /// start.
     pub incarnation: u64,
-    /// Whether it takes work.
+    /// Whether the node accepts work.
     pub state: NodeState,
-    /// Number of the bundle in force there, 0 for none.
+    /// The number of the node's active bundle, 0 for none.
     pub bundle: u64,
 }
 
-/// Where a node is and how it is reached.
+/// The location and the addresses of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeLocation {
-    /// Its region.
+    /// The region of the node.
     pub region: Name,
-    /// Its availability zone.
+    /// The availability zone of the node.
     pub zone: Name,
-    /// Where callers connect.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where peers connect.
+    /// The address for peers.
     pub peers: SocketAddr,
 }
 
@@ -78,17 +79,17 @@
 }
 
 impl From<&MemberRecord<NodeLocation>> for NodeInfo {
-    fn from(news: &MemberRecord<NodeLocation>) -> Self {
-        let NodeLocation { region, zone, callers, peers } = &news.contact;
+    fn from(record: &MemberRecord<NodeLocation>) -> Self {
+        let NodeLocation { region, zone, callers, peers } = &record.contact;
         Self {
-            name: news.name.clone(),
+            name: record.name.clone(),
             region: region.clone(),
             zone: zone.clone(),
             callers: *callers,
             peers: *peers,
-            incarnation: news.incarnation,
-            state: news.state,
-            bundle: news.bundle,
+            incarnation: record.incarnation,
+            state: record.state,
+            bundle: record.bundle,
         }
     }
 }
@@ -96,51 +97,53 @@
 /// A request between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeRequest {
-    /// What I know; what do you know?
+    /// Exchanges member records.
     Gossip(Gossip<NodeLocation>),
-    /// I am new: which nodes do you know, after this name?
+    /// Lists the known nodes in pages, from a node that starts. The page begins after this name.
     Join(Option<Name>),
-    /// Which bundle is in force at your place?
+    /// Requests the active bundle.
     Bundle,
-    /// A bundle that is later than yours.
+    /// Sends a bundle that is newer than the receiver's.
     Offer(Envelope),
-    /// Upstream VMs that leave.
+    /// Reports upstream VMs that are about to be removed.
     Departures(Vec<Departure>),
-    /// May I run this call?
+    /// Claims a call, to run it.
     Claim(ClaimRequest),
-    /// A claimed call ended.
+    /// Reports that a claimed call has ended.
     CallEnded {
-        /// Its key.
+        /// The key of the call.
         key: ClaimKey,
-        /// The attempt.
+        /// The nonce of the attempt.
         nonce: u64,
-        /// How.
+        /// How the call ended.
         outcome: ClaimOutcome,
     },
-    /// What became of this attempt of yours?
+    /// Requests the state of an attempt of the receiver, by its nonce.
     Attempt(u64),
-    /// News of requests that were in flight at an upstream that crashed.
+    /// Reports requests that were in flight at an upstream that crashed, or that have since been
+    /// cleared.
     Suspects(Vec<CrashNotice>),
-    /// Which suspects do you know?
+    /// Requests the suspect requests that the receiver knows.
     ListSuspects,
-    /// May I run a suspect at this upstream, which you are home to?
+    /// Asks for the trial lock of an upstream, whose home the receiver is, to run a suspect request
+    /// there.
     Trial {
-        /// The upstream.
+        /// The name of the upstream.
         upstream: Name,
-        /// Random, for this trial alone.
-        holder: u64,
+        /// A random number that identifies the trial.
+        trial_id: u64,
     },
-    /// The trial is over.
+    /// Releases the trial lock.
     TrialOver {
-        /// The upstream.
+        /// The name of the upstream.
         upstream: Name,
-        /// As before.
-        holder: u64,
+        /// The number that identifies the trial.
+        trial_id: u64,
     },
 }
 
 impl NodeRequest {
-    /// What its bytes, and those of its reply, count for.
+    /// The purpose that the bytes of the request and its reply are counted for.
     pub fn purpose(&self) -> Purpose {
         match self {
             Self::Gossip(_) | Self::Join(_) | Self::Departures(_) => Purpose::Hello,
@@ -157,20 +160,20 @@
 /// The reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeReply {
-    /// What the other knows.
+    /// The member records of the replying node.
     Gossip(Gossip<NodeLocation>),
-    /// A page of the nodes that it knows; empty after the last.
+    /// A page of the known nodes. Empty after the last page.
     Nodes(Vec<MemberRecord<NodeLocation>>),
-    /// The bundle in force, if there is one.
+    /// The active bundle, if there is one.
     Bundle(Option<Envelope>),
-    /// Taken, or not needed.
+    /// The request was received.
     Acknowledged,
-    /// The answer to a claim.
-    Verdict(ClaimDecision),
-    /// Whether it is recorded at this node.
+    /// The decision on a claim.
+    Decision(ClaimDecision),
+    /// Whether the replying node has recorded the request.
     Recorded(bool),
-    /// The suspects that are known here.
+    /// The suspect requests that the replying node knows.
     Suspects(Vec<CrashNotice>),
-    /// What became of the attempt; none if it is not known here.
+    /// The state of the attempt. None if the replying node does not know it.
     Attempt(Option<AttemptState>),
 }
