--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -1,4 +1,4 @@
-//! Which bundle a node adopts, without a network.
+//! Tests of which bundle a node adopts, without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -23,8 +23,8 @@
     BUNDLES[&(number, version)].clone()
 }
 
-/// A node restarts, and the platform answers with an older bundle than its peers have.
-/// No bundle is in force until the peers were asked, and then theirs is.
+/// A node restarts, and the platform returns an older bundle than its peers have. No bundle is
+/// active until the peers have been asked; then the newest offered bundle is.
 #[test]
 fn the_platforms_older_answer_waits_for_the_peers() {
     let mut adoption = Adoption::default();
@@ -39,9 +39,9 @@
 
 proptest! {
     /// Bundles arrive from the platform and the peers in any order, repeated and late, some with
-    /// the same number and different texts; the peers are asked at some point. Before that no
-    /// bundle is in force, afterwards the greatest of all offers is, and the number in force
-    /// only grows.
+    /// the same number and different texts. The peers are asked at some point. Before that no
+    /// bundle is active, afterwards the greatest of all offers is. The active bundle never changes
+    /// to a smaller one.
     #[test]
     fn adoption_equals_the_greatest_offer(
         offers in proptest::collection::vec((1..6_u64, 1..3_u64), 0..16),
@@ -51,16 +51,16 @@
         let mut all = Vec::new();
         let mut last = None;
         for (index, (number, version)) in offers.into_iter().enumerate() {
-            let mut forced = Vec::new();
+            let mut activated = Vec::new();
             if index == asked {
-                forced.extend(adoption.asked());
+                activated.extend(adoption.asked());
             }
             let offer = adopted(number, version);
             all.push(offer.envelope.order());
-            forced.extend(adoption.offer(offer));
-            for now in forced {
-                prop_assert!(last < Some(now.envelope.order()));
-                last = Some(now.envelope.order());
+            activated.extend(adoption.offer(offer));
+            for active in activated {
+                prop_assert!(last < Some(active.envelope.order()));
+                last = Some(active.envelope.order());
             }
             let greatest = if index >= asked { all.iter().max().copied() } else { None };
             prop_assert_eq!(adoption.current().map(|a| a.envelope.order()), greatest);
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -9,13 +9,13 @@
 use standins::engine::{EngineSettings, Faults, token};
 use standins::fleet::Fleet;
 
-const WAIT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
 async fn faulty(faults: &Faults, request: &CompletionRequest) -> String {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
     let shop = Caller::new("shop".into(), fleet.callers());
-    let answer = shop.stream(request, WAIT).await.unwrap();
+    let answer = shop.stream(request, CALL_TIMEOUT).await.unwrap();
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
 
@@ -65,7 +65,7 @@
     let shop = Caller::new("shop".into(), fleet.callers());
     for seed in 0..4 {
         let request = completion("pass", seed, 40);
-        let answer = shop.stream(&request, WAIT).await.unwrap();
+        let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
         assert_eq!(answer.body, expected(&request));
     }
 }
@@ -79,7 +79,7 @@
             CompletionRequest { request_id: "one".into(), ..completion(prompt, seed, 60) };
         let shop = Caller::new("shop".into(), fleet.callers());
         async move {
-            let answer = shop.stream(&request, WAIT).await.unwrap();
+            let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
             assert_eq!(answer.body, expected(&request));
         }
     };
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -1,5 +1,5 @@
-//! At most once across nodes: whole nodes on real sockets, judged by the ledger of
-//! the plain service. Each test states the failure that it brings about.
+//! Tests that a call runs at most once across nodes, over real sockets. The ledger of the plain
+//! service shows how often a call ran. Each test states the failure that it causes.
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
@@ -17,26 +17,26 @@
 use standins::platform::Faults;
 use tokio::task::JoinSet;
 
-const POLL: Duration = Duration::from_millis(20);
-const WAIT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A fleet whose nodes all know that all of them serve.
+/// Starts a fleet and waits until every node knows that all nodes serve.
 async fn fleet(nodes: usize) -> Fleet {
     let fleet = Fleet::spawn(nodes, 0, EngineSettings::default()).await.unwrap();
     for node in &fleet.nodes {
         while serving(node.client_address()).await < nodes {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     fleet
 }
 
 async fn serving(node: SocketAddr) -> usize {
-    let got = JsonClient::default().get::<Addresses>(node, "/v1/addresses", WAIT).await;
+    let got = JsonClient::default().get::<Addresses>(node, "/v1/addresses", CALL_TIMEOUT).await;
     got.unwrap().addresses.len()
 }
 
-/// Runs of `body` at the replicas of `sync`, together.
+/// Returns how often `body` ran at all replicas of `sync` together.
 fn runs(fleet: &Fleet, body: &str) -> usize {
     fleet.sync.iter().flat_map(|p| p.ledger()).filter(|e| e.body == body).count()
 }
@@ -55,19 +55,19 @@
     send(fleet.nodes[node].client_address(), "/sync/count", Some(key), body).await.unwrap()
 }
 
-/// Asks until nothing is under way, as a caller does who is told to come back.
+/// Repeats the call until it is no longer in progress, like a caller that honours `Retry-After`.
 async fn settled(fleet: &Fleet, node: usize, key: &str, body: &str) -> Answered {
     loop {
         let answer = ask(fleet, node, key, body).await;
         if !["in_progress", "claim_unavailable"].contains(&kind(&answer)) {
             return answer;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The same key comes to all nodes at the same time, many times over: one run, and
-/// everyone gets the one answer in the end.
+/// The same key is sent to all nodes at the same time, repeatedly: the call runs once, and every
+/// caller gets its answer in the end.
 #[tokio::test(flavor = "multi_thread")]
 async fn same_key_at_all_nodes_at_once() {
     let fleet = fleet(3).await;
@@ -82,8 +82,8 @@
     }
 }
 
-/// The caller did not get its answer and asks again, at every node, also with another
-/// body: the kept answer, and never a second run.
+/// The caller repeats a call that succeeded, at every node: it gets the cached answer and the call
+/// does not run again. The same key with another body is refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn asked_again_after_success() {
     let fleet = fleet(3).await;
@@ -99,8 +99,8 @@
     assert_eq!((runs(&fleet, "7 wands"), runs(&fleet, "8 wands")), (1, 0));
 }
 
-/// The replies to the seal and to the claim's commit are lost after both took
-/// effect: the node finds out, and the call runs once.
+/// The platform's replies to the commit that seals the partition and to the commit of the claim are
+/// lost after both were applied. The node finds out that they were, and the call runs once.
 #[tokio::test(flavor = "multi_thread")]
 async fn replies_of_the_platform_are_lost() {
     let fleet = fleet(2).await;
@@ -115,8 +115,8 @@
     }
 }
 
-/// The platform is down before, during and after calls: new claims are refused as not
-/// run with a time to come back, what ran is answered, nothing runs twice.
+/// The platform is down before, during and after calls. New claims are refused as not run, with a
+/// `Retry-After` time. Calls that ran are answered, and no call runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn platform_is_down() {
     let fleet = fleet(2).await;
@@ -134,7 +134,7 @@
     let running = ask(&fleet, 0, "during", "during");
     let cut = async {
         while runs(&fleet, "during") == 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         down();
     };
@@ -149,8 +149,8 @@
     assert_eq!((runs(&fleet, "early"), runs(&fleet, "during")), (1, 1));
 }
 
-/// The node that ran the call dies after the success: another node says that it
-/// already ran, or that it can't know, and does not run it.
+/// The node that ran the call dies after the call succeeded. Another node reports that the call
+/// already ran or that its outcome is unknown, and does not run it.
 #[tokio::test(flavor = "multi_thread")]
 async fn runner_is_gone() {
     let mut fleet = fleet(3).await;
@@ -160,7 +160,7 @@
     }
     drop(fleet.nodes.remove(2));
     while fleet.nodes.iter().any(|n| n.live_peer_count() > 1) {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     for round in 0..4 {
         let again = settled(&fleet, round % 2, &format!("key-{round}"), "count").await;
@@ -169,8 +169,8 @@
     assert_eq!(runs(&fleet, "count"), 4);
 }
 
-/// The attempt breaks off after it was sent: the caller is told that the outcome is
-/// unknown, also when it asks again elsewhere, and nothing runs a second time.
+/// The attempt is interrupted after it was sent. The caller is told that the outcome is unknown,
+/// also when it repeats the call at another node, and the call does not run a second time.
 #[tokio::test(flavor = "multi_thread")]
 async fn outcome_is_unknown() {
     let fleet = fleet(3).await;
@@ -191,14 +191,14 @@
     }
 }
 
-/// No upstream takes the call: it is refused as not run, and the same key runs once
-/// the upstream is back, from another node too.
+/// There is no upstream for the call, so it is refused as not run. Once the upstreams are back, a
+/// call with the same key runs, also through another node.
 #[tokio::test(flavor = "multi_thread")]
 async fn key_is_free_after_not_run() {
     let fleet = fleet(3).await;
     fleet.platform.set_vms(Vec::new());
     while fleet.nodes.iter().any(|n| n.routed_upstream_count() > 0) {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let node = fleet.nodes[0].client_address();
     let refused = send_within(node, "/sync/count", Some("key"), "count", Some(200)).await.unwrap();
@@ -208,8 +208,8 @@
     assert_eq!((answer.body.as_str(), runs(&fleet, "count")), ("ran /count count", 1));
 }
 
-/// The caller's connection breaks while its call runs: the call goes on, and the
-/// caller gets its answer when it asks again at another node.
+/// The caller's connection is closed while its call runs. The call continues, and the caller gets
+/// the answer when it repeats the call at another node.
 #[tokio::test(flavor = "multi_thread")]
 async fn caller_goes_away_and_comes_back() {
     let fleet = fleet(2).await;
@@ -217,7 +217,7 @@
     let node = fleet.nodes[0].client_address();
     let call = tokio::spawn(async move { send(node, "/sync/count", Some("key"), "count").await });
     while runs(&fleet, "count") == 0 {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     call.abort();
     let answer = settled(&fleet, 1, "key", "count").await;
@@ -225,9 +225,9 @@
     assert_eq!(runs(&fleet, "count"), 1);
 }
 
-/// The home is paused with its commit on the way, first the request and then the
-/// reply held back; a successor takes over and runs the keys; then the old home goes
-/// on. The compare fences it: nothing runs twice.
+/// The owner waits for its commit, of which first the request and then, in a second run, the reply
+/// is held back. Another node takes over and runs the calls; then the commit of the old owner
+/// continues. The compare-and-swap fences it: no call runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_home_goes_on_after_its_successor() {
     for hold in [Hold::Requests, Hold::Replies] {
@@ -237,13 +237,13 @@
         settings.platform.address = gate.address();
         settings.platform.timeout = Duration::from_secs(20);
         settings.drain.ttl = Duration::from_secs(60);
-        let home = Node::spawn(settings).await.unwrap();
-        fleet.nodes.push(home);
+        let owner = Node::spawn(settings).await.unwrap();
+        fleet.nodes.push(owner);
         fleet.settled(1).await;
         let first = ask(&fleet, 0, "warm", "warm").await;
         assert_eq!(first.status, StatusCode::OK);
 
-        // Every key has its home here: the only node there is.
+        // This is the only node, so it owns every key.
         gate.set(hold);
         let keys: Vec<String> = (0..8).map(|k| format!("key-{k}")).collect();
         let node = fleet.nodes[0].client_address();
@@ -259,7 +259,7 @@
         let stopping = fleet.nodes[0].stop();
         let rest = async {
             while fleet.nodes[1].bundle_number() == 0 || fleet.nodes[1].live_peer_count() == 0 {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             for key in &keys {
                 let answer = settled(&fleet, 1, key, key).await;
@@ -268,8 +268,8 @@
             gate.set(Hold::Nothing);
             for call in asked {
                 let answer = call.await.unwrap().unwrap();
-                let told = answer.problem.map(|p| p.run);
-                assert!(told == Some(Run::NotRun) || answer.status == StatusCode::OK);
+                let run = answer.problem.map(|p| p.run);
+                assert!(run == Some(Run::NotRun) || answer.status == StatusCode::OK);
             }
             for key in &keys {
                 let again = send(old, "/sync/count", Some(key), key).await.unwrap();
@@ -278,15 +278,15 @@
             }
         };
         tokio::select! {
-            _ = stopping => panic!("it keeps its address for a minute"),
+            _ = stopping => panic!("the node stopped while clients still cache its address"),
             () = rest => {}
         }
     }
 }
 
-/// A node is stopped gracefully while it runs a call whose caller has gone: the stop waits
-/// for the call, and its end is recorded before the node goes, home or not. The others say
-/// that it already ran, and not that nobody knows.
+/// A node is stopped gracefully while it runs calls whose callers have disconnected. The stop waits
+/// for the calls, and their outcomes are recorded before the node ends, whether or not it owns the
+/// keys. The other node reports that the calls already ran, and not that their outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn graceful_stop_records_what_ran() {
     let fleet = fleet(2).await;
@@ -299,12 +299,12 @@
         calls.spawn(async move { send(node, "/sync/count", Some(&key), &key).await });
     }
     while keys.iter().any(|key| runs(&fleet, key) == 0) {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     calls.shutdown().await;
     assert!(fleet.nodes[0].stop().await);
     while fleet.nodes[1].live_peer_count() > 0 {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     for key in &keys {
         let again = settled(&fleet, 1, key, key).await;
--- a/tests/claims_processes.rs
+++ b/tests/claims_processes.rs
@@ -1,4 +1,4 @@
-//! At most once over processes that are frozen (SIGSTOP) and thawed (SIGCONT).
+//! Tests that a call runs at most once while processes are frozen (SIGSTOP) and thawed (SIGCONT).
 #![allow(clippy::unwrap_used)]
 
 use std::net::SocketAddr;
@@ -13,12 +13,12 @@
 use standins::gate::{Gate, Hold};
 use standins::plain::Faults;
 
-const POLL: Duration = Duration::from_millis(20);
-const NAMES: [&str; 3] = ["a", "b", "c"];
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
 
 struct Deployment {
     fleet: Fleet,
-    /// Before the platform, for `a` alone.
+    /// Holds back the traffic between node `a` and the platform.
     gate: Gate,
     daemons: Vec<Daemon>,
     folder: std::path::PathBuf,
@@ -35,7 +35,7 @@
             let exe = env!("CARGO_BIN_EXE_mulberryd");
             Daemon::spawn(exe, name, &fleet, platform, &folder).unwrap()
         };
-        let daemons: Vec<Daemon> = NAMES.iter().map(spawn).collect();
+        let daemons: Vec<Daemon> = NODE_NAMES.iter().map(spawn).collect();
         let deployment = Self { fleet, gate, daemons, folder };
         for daemon in &deployment.daemons {
             deployment.sees(daemon, 3).await;
@@ -43,13 +43,13 @@
         deployment
     }
 
-    /// Waits until a daemon sees so many serving nodes.
+    /// Waits until a daemon reports this many serving nodes.
     async fn sees(&self, daemon: &Daemon, count: usize) {
         let serves = |nodes: Vec<mulberrycourse::edge::peer::NodeInfo>| {
             nodes.iter().filter(|n| n.state == NodeState::Serving).count() == count
         };
         while !serves(daemon.nodes().await) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -69,7 +69,7 @@
             if !kind.ends_with("in_progress") && !kind.ends_with("claim_unavailable") {
                 return answer;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -84,21 +84,21 @@
     send(node, "/sync/count", Some(key), key).await.unwrap()
 }
 
-/// Keys of one partition whose home is `name`, and the key of its head.
-fn homed_at(name: &str) -> (Vec<String>, String) {
-    let partition = (0..16).find(|p| partition_owner(*p, NAMES) == Some(name)).unwrap();
+/// Returns two idempotency keys of a partition that `name` owns, and the platform key of its head.
+fn keys_owned_by(name: &str) -> (Vec<String>, String) {
+    let partition = (0..16).find(|p| partition_owner(*p, NODE_NAMES) == Some(name)).unwrap();
     let keys = (0..).map(|n| format!("key-{n}"));
     let of = |key: &String| ClaimKey::new("sync", "shop", key).partition() == partition;
     (keys.filter(of).take(2).collect(), format!("claims/{partition:02x}/head"))
 }
 
-/// The home is frozen after its commit took effect and before it reads the reply; a
-/// successor takes over and the call runs there; then the home is thawed and asked.
-/// One run, and the thawed home gives the answer of that run.
+/// The owner of the key is frozen after its commit was applied and before it reads the reply.
+/// Another node takes over and the call runs there. Then the old owner is thawed. The call has run
+/// once, and the old owner returns the answer of that run.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_home_is_fenced() {
     let test = Deployment::spawn("frozen-home").await;
-    let (keys, head) = homed_at("a");
+    let (keys, head) = keys_owned_by("a");
     assert!(test.settled(1, &keys[0]).await.problem.is_none());
 
     let before = test.fleet.platform.value(&head);
@@ -107,12 +107,12 @@
     let key = keys[1].clone();
     let asked = tokio::spawn(async move { at(node, &key).await });
     while test.fleet.platform.value(&head) == before {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     test.daemons[0].freeze().unwrap();
     test.gate.set(Hold::Nothing);
-    // The entry that changed the head may have been the end of the first call: then
-    // this one was asked of a frozen home. Either way it is not granted.
+    // The commit that changed the head may have contained only the outcome of the first call. Then
+    // the owner was frozen before it handled this claim. In both cases the claim is not granted.
     let refused = asked.await.unwrap();
     assert!(refused.problem.unwrap().kind.ends_with("claim_unavailable"));
     assert_eq!(test.runs(&keys[1]), 0);
@@ -127,24 +127,24 @@
     assert_eq!(test.runs(&keys[1]), 1);
 }
 
-/// The node that runs the call is frozen in the middle of it: meanwhile the caller is
-/// told that it is under way or unknown, at the other nodes. Thawed, it has the answer.
+/// The node that runs the call is frozen during the call. Meanwhile the other nodes report that the
+/// call is in progress or that its outcome is unknown. Once the node is thawed, it has the answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn frozen_runner_runs_once() {
     let test = Deployment::spawn("frozen-runner").await;
-    let (keys, _) = homed_at("b");
+    let (keys, _) = keys_owned_by("b");
     let slow = Faults { slow_ms: 300, ..Faults::default() };
     test.fleet.sync.iter().for_each(|p| p.set_faults(slow.clone()));
     let node = test.daemons[0].callers;
     let key = keys[0].clone();
     let asked = tokio::spawn(async move { at(node, &key).await });
     while test.runs(&keys[0]) == 0 {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     test.daemons[0].freeze().unwrap();
     for node in [1, 2] {
-        let told = test.ask(node, &keys[0]).await.problem.unwrap();
-        assert_eq!(told.run, mulberrycourse::error::Run::Unknown, "{told:?}");
+        let problem = test.ask(node, &keys[0]).await.problem.unwrap();
+        assert_eq!(problem.run, mulberrycourse::error::Run::Unknown, "{problem:?}");
     }
     test.daemons[0].thaw().unwrap();
     assert!(asked.await.unwrap().problem.is_none());
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,5 @@
-//! The operators' client: exit statuses, JSON, lost replies and operators who race.
+//! Tests of the operators' command line: exit statuses, JSON output, lost replies and concurrent
+//! operators.
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
@@ -10,13 +11,13 @@
 use standins::fleet::{Fleet, bundle};
 use standins::platform::Faults;
 
-/// A folder with key files, settings and bundles; removed when dropped.
-struct Desk {
+/// A folder with key files, settings and bundles. It is removed when dropped.
+struct OperatorFolder {
     folder: PathBuf,
     platform: String,
 }
 
-impl Desk {
+impl OperatorFolder {
     fn new(name: &str, fleet: &Fleet) -> Self {
         let folder = std::env::temp_dir().join(format!("mulberry-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -55,17 +56,17 @@
     }
 
     fn run(&self, args: &[&str]) -> Output {
-        ctl(&[args, &["--output", "json", "--platform", &self.platform]].concat())
+        mulberryctl(&[args, &["--output", "json", "--platform", &self.platform]].concat())
     }
 }
 
-impl Drop for Desk {
+impl Drop for OperatorFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-fn ctl(args: &[&str]) -> Output {
+fn mulberryctl(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_mulberryctl")).args(args).output().unwrap()
 }
 
@@ -84,94 +85,96 @@
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-/// A bundle from proposal to every engine, and each command's refusal with its exit status.
+/// A bundle is proposed, signed off, applied and rolled out to every engine. Each command that is
+/// refused has its exit status.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_bundle_goes_its_way() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let desk = Desk::new("way", &fleet);
-    let two = desk.bundle("two.ini", &bundle(2, 7));
-    assert!(stdout(&desk.propose(&two, "ada")).contains("\"number\": 2"));
-    // Proposed again, it changes nothing.
-    stdout(&desk.propose(&two, "ada"));
+    let operator = OperatorFolder::new("way", &fleet);
+    let two = operator.bundle("two.ini", &bundle(2, 7));
+    assert!(stdout(&operator.propose(&two, "ada")).contains("\"number\": 2"));
+    // Proposing it again changes nothing.
+    stdout(&operator.propose(&two, "ada"));
 
-    let few = failure(&desk.apply("2"));
+    let few = failure(&operator.apply("2"));
     assert_eq!((&*few.error, few.status), ("rejected", 3));
     assert!(few.message.contains("1 of 2 operators"), "{}", few.message);
     // The author's second sign-off counts once.
-    stdout(&desk.sign("2", "ada", "ada"));
-    assert_eq!(failure(&desk.apply("2")).status, 3);
-    stdout(&desk.sign("2", "ben", "ben"));
-    stdout(&desk.apply("2"));
-    // Applied again, it is in force already.
-    stdout(&desk.apply("2"));
+    stdout(&operator.sign("2", "ada", "ada"));
+    assert_eq!(failure(&operator.apply("2")).status, 3);
+    stdout(&operator.sign("2", "ben", "ben"));
+    stdout(&operator.apply("2"));
+    // Applying it again succeeds, because it is already active.
+    stdout(&operator.apply("2"));
 
     let node = fleet.nodes[0].admin_address().to_string();
-    let done = ctl(&["rollout", "--node", &node, "--number", "2", "--output", "json"]);
+    let done = mulberryctl(&["rollout", "--node", &node, "--number", "2", "--output", "json"]);
     let rollout: Rollout = serde_json::from_str(&stdout(&done)).unwrap();
     assert_eq!((rollout.nodes, rollout.engines, rollout.all_engines), (2, 2, 2));
     assert!(fleet.engines.iter().all(|e| e.version() == Some(7)));
-    let late = ctl(&["rollout", "--node", &node, "--number", "3", "--wait", "0s"]);
+    let late = mulberryctl(&["rollout", "--node", &node, "--number", "3", "--wait", "0s"]);
     assert_eq!(status(&late), Some(8));
 
-    assert!(stdout(&desk.run(&["bundle", "show"])).contains("\"number\": 2"));
-    assert!(stdout(&desk.run(&["bundle", "history"])).contains("\"number\": 1"));
-    let three = desk.bundle("three.ini", &bundle(3, 8));
-    stdout(&desk.propose(&three, "ben"));
-    let diff: String = serde_json::from_str(&stdout(&desk.run(&["bundle", "diff", "3"]))).unwrap();
+    assert!(stdout(&operator.run(&["bundle", "show"])).contains("\"number\": 2"));
+    assert!(stdout(&operator.run(&["bundle", "history"])).contains("\"number\": 1"));
+    let three = operator.bundle("three.ini", &bundle(3, 8));
+    stdout(&operator.propose(&three, "ben"));
+    let diff: String =
+        serde_json::from_str(&stdout(&operator.run(&["bundle", "diff", "3"]))).unwrap();
     assert!(diff.contains("-version = 7\n+version = 8\n"), "{diff}");
     assert!(!diff.contains("[caller shop]"), "{diff}");
 }
 
-/// What is refused: a lowered number, a forged sign-off, a stranger's, a bundle that does not
-/// parse, none at all, and a platform that does not answer.
+/// Refused are a lower number, a forged sign-off, a sign-off of someone who is no operator, a bundle
+/// that does not parse, a bundle that does not exist, and any command while the platform is down.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_have_their_status() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
-    let desk = Desk::new("refused", &fleet);
+    let operator = OperatorFolder::new("refused", &fleet);
     fleet.apply(5, &bundle(5, 1)).await.unwrap();
-    let low = desk.bundle("low.ini", &bundle(4, 1));
-    stdout(&desk.propose(&low, "ada"));
-    stdout(&desk.sign("4", "ben", "ben"));
-    let lower = failure(&desk.apply("4"));
+    let low = operator.bundle("low.ini", &bundle(4, 1));
+    stdout(&operator.propose(&low, "ada"));
+    stdout(&operator.sign("4", "ben", "ben"));
+    let lower = failure(&operator.apply("4"));
     assert_eq!(lower.status, 3);
     assert!(lower.message.contains("bundle 5 is in force; 4 is not later"), "{}", lower.message);
 
-    let high = desk.bundle("high.ini", &bundle(6, 1));
-    stdout(&desk.propose(&high, "ada"));
-    stdout(&desk.sign("6", "ben", "eve"));
-    let forged = failure(&desk.apply("6"));
+    let high = operator.bundle("high.ini", &bundle(6, 1));
+    stdout(&operator.propose(&high, "ada"));
+    stdout(&operator.sign("6", "ben", "eve"));
+    let forged = failure(&operator.apply("6"));
     assert_eq!(forged.status, 3);
     assert!(forged.message.contains("signature of ben does not fit"), "{}", forged.message);
-    let next = desk.bundle("next.ini", &bundle(7, 1));
-    stdout(&desk.propose(&next, "ada"));
-    stdout(&desk.sign("7", "eve", "eve"));
-    let stranger = failure(&desk.apply("7"));
+    let next = operator.bundle("next.ini", &bundle(7, 1));
+    stdout(&operator.propose(&next, "ada"));
+    stdout(&operator.sign("7", "eve", "eve"));
+    let stranger = failure(&operator.apply("7"));
     assert!(stranger.message.contains("eve is not an operator"), "{}", stranger.message);
 
-    let bad = desk.bundle("bad.ini", "[bundle]\nnumber = six\n");
-    let invalid = failure(&desk.propose(&bad, "ada"));
+    let bad = operator.bundle("bad.ini", "[bundle]\nnumber = six\n");
+    let invalid = failure(&operator.propose(&bad, "ada"));
     assert_eq!((&*invalid.error, invalid.status), ("invalid", 2));
     assert!(invalid.message.contains("bad.ini: [bundle] number = six"), "{}", invalid.message);
-    assert_eq!(failure(&desk.apply("9")).status, 5);
-    assert_eq!(failure(&desk.propose("no/such/file", "ada")).status, 2);
+    assert_eq!(failure(&operator.apply("9")).status, 5);
+    assert_eq!(failure(&operator.propose("no/such/file", "ada")).status, 2);
     fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
-    assert_eq!(failure(&desk.run(&["bundle", "show"])).status, 6);
+    assert_eq!(failure(&operator.run(&["bundle", "show"])).status, 6);
     fleet.platform.set_faults(Faults::default());
-    assert!(stdout(&desk.run(&["bundle", "show"])).contains("\"number\": 5"));
+    assert!(stdout(&operator.run(&["bundle", "show"])).contains("\"number\": 5"));
 }
 
-/// Two operators write the same number at the same time: one wins, the other is told who,
-/// and how the two texts differ. Nothing of the loser stays.
+/// Two operators propose the same number at the same time. One succeeds. The other gets the name of
+/// the winner and the difference of the texts, and nothing of its proposal is stored.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_race() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
-    let desk = Desk::new("race", &fleet);
+    let operator = OperatorFolder::new("race", &fleet);
     for number in 2..8 {
-        let one = desk.bundle("one.ini", &bundle(number, 7));
-        let other = desk.bundle("other.ini", &bundle(number, 8));
+        let one = operator.bundle("one.ini", &bundle(number, 7));
+        let other = operator.bundle("other.ini", &bundle(number, 8));
         let (first, second) = std::thread::scope(|scope| {
-            let first = scope.spawn(|| desk.propose(&one, "ada"));
-            let second = scope.spawn(|| desk.propose(&other, "ben"));
+            let first = scope.spawn(|| operator.propose(&one, "ada"));
+            let second = scope.spawn(|| operator.propose(&other, "ben"));
             (first.join().unwrap(), second.join().unwrap())
         });
         let (lost, winner, version) = match (status(&first), status(&second)) {
@@ -189,7 +192,7 @@
     }
 }
 
-/// Two operators sign off the same bundle at the same time: both sign-offs stand.
+/// Two operators sign off the same bundle at the same time: both sign-offs are stored.
 #[tokio::test(flavor = "multi_thread")]
 async fn sign_offs_race() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
@@ -209,8 +212,9 @@
     }
 }
 
-/// The reply to a write is lost: what was written tells that it took effect, also when
-/// another write has come on top of it. When that can't be read either, it is said so.
+/// The reply to a write is lost. The command finds out from the stored value that the write was
+/// applied, also if another write has followed it. If the value can't be read either, the command
+/// reports that the outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_replies_are_settled() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
@@ -232,7 +236,7 @@
     assert!(matches!(unsure, Failure::Unknown(_)), "{unsure}");
     assert_eq!(unsure.status(), 7);
     fleet.platform.set_faults(Faults::default());
-    // It did take effect, and the same proposal made again is settled as done.
+    // The write was applied, and the same proposal made again succeeds.
     assert_eq!(store.proposed(3).await.unwrap().0, Some(three.clone()));
     let path = std::env::temp_dir().join(format!("mulberry-lost-{}.ini", std::process::id()));
     std::fs::write(&path, &three.text).unwrap();
@@ -242,7 +246,7 @@
     assert_eq!(again.unwrap(), three);
 }
 
-/// A write that was refused is never told as one that took effect.
+/// A write that was refused is never reported as applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lower_bundle_is_refused() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
@@ -255,12 +259,12 @@
     assert_eq!(store.current().await.unwrap().0.unwrap().number, 3);
 }
 
-/// Completions for every shell, and usage errors, without a platform.
+/// Shell completions and usage errors need no platform.
 #[test]
 fn completions_and_usage() {
     for shell in ["bash", "zsh", "fish", "elvish", "powershell"] {
-        assert!(stdout(&ctl(&["completions", shell])).contains("sign-off"), "{shell}");
+        assert!(stdout(&mulberryctl(&["completions", shell])).contains("sign-off"), "{shell}");
     }
-    assert_eq!(status(&ctl(&["bundle", "show", "--platform", "nowhere"])), Some(2));
-    assert_eq!(status(&ctl(&["frobnicate"])), Some(2));
+    assert_eq!(status(&mulberryctl(&["bundle", "show", "--platform", "nowhere"])), Some(2));
+    assert_eq!(status(&mulberryctl(&["frobnicate"])), Some(2));
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, with nodes and stand-ins in one process.
+//! Tests of complete requests, with the nodes and the simulated services in one process.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
 
-const WAIT: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits until an address takes no connection.
-async fn gone(address: std::net::SocketAddr) {
+/// Waits until an address refuses connections.
+async fn wait_until_closed(address: std::net::SocketAddr) {
     while tokio::net::TcpStream::connect(address).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// No failure: a plain call, a stream and a step, each whole.
+/// Without any failure, a plain call, a stream and a step are completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_path() {
     let fleet = Fleet::spawn(3, 3, EngineSettings::default()).await.unwrap();
     let shop = Caller::new("shop".into(), fleet.callers());
 
-    let answer = shop.call("stock", "/items/7?size=s", "", None, WAIT).await.unwrap();
+    let answer = shop.call("stock", "/items/7?size=s", "", None, CALL_TIMEOUT).await.unwrap();
     assert_eq!(answer.body, "ran /items/7?size=s ");
 
     let request = completion("patter", 3, 64);
-    let answer = shop.stream(&request, WAIT).await.unwrap();
+    let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
     assert_eq!(answer.body, expected(&request));
 
     let trainer = Trainer::new("coach".into(), fleet.callers());
@@ -43,8 +43,8 @@
     assert!(report.groups.values().all(|g| g.samples.len() == 4));
 }
 
-/// A bundle is put into force while the nodes run: every node takes it, and the engines
-/// come to the version that it states.
+/// A bundle becomes active while the nodes run: every node adopts it, and the engines load the
+/// version that it asks for.
 #[tokio::test(flavor = "multi_thread")]
 async fn bundle_reaches_nodes_and_engines() {
     let fleet = Fleet::spawn(3, 3, EngineSettings::default()).await.unwrap();
@@ -55,39 +55,46 @@
     }
 }
 
-/// Every upstream of a service is dead: the refusal says that the call did not run.
+/// Every upstream of a service is dead: the refusal states that the call did not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_upstreams_are_not_run() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
     for plain in &fleet.sync {
         plain.kill();
-        gone(plain.address()).await;
+        wait_until_closed(plain.address()).await;
     }
     let shop = Caller::new("shop".into(), fleet.callers());
-    let refused = shop.call("sync", "/count", "1", None, WAIT).await.unwrap_err();
+    let refused = shop.call("sync", "/count", "1", None, CALL_TIMEOUT).await.unwrap_err();
     let CallerError::Refused(problem) = refused else { panic!("{refused}") };
     assert_eq!(problem.run, Run::NotRun);
     assert!(problem.retry_after_ms.is_some());
     assert!(fleet.sync.iter().all(|p| p.ledger().is_empty()));
 }
 
-/// A node dies while callers keep its address: no call of theirs fails for it, since
-/// nothing was sent when the connection was refused.
+/// A node dies while callers have cached its address. Their calls don't fail, since nothing was sent
+/// when the connection was refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_node_in_a_kept_answer() {
     let mut fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     let first = fleet.callers()[0];
     let fetch = JsonClient::default();
-    while fetch.get::<Addresses>(first, "/v1/addresses", WAIT).await.unwrap().addresses.len() < 2 {
+    while fetch
+        .get::<Addresses>(first, "/v1/addresses", CALL_TIMEOUT)
+        .await
+        .unwrap()
+        .addresses
+        .len()
+        < 2
+    {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let shop = Caller::new("shop".into(), vec![first]);
-    shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
+    shop.call("stock", "/items/1", "", None, CALL_TIMEOUT).await.unwrap();
     let dead = fleet.nodes.pop().unwrap();
     let address = dead.client_address();
     drop(dead);
-    gone(address).await;
+    wait_until_closed(address).await;
     for _ in 0..4 {
-        shop.call("sync", "/count", "1", None, WAIT).await.unwrap();
+        shop.call("sync", "/count", "1", None, CALL_TIMEOUT).await.unwrap();
     }
 }
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Nodes as processes of their own, found through the platform.
+//! Tests of nodes that run as separate processes and find each other through the platform.
 #![allow(clippy::unwrap_used)]
 
 use std::path::Path;
@@ -10,10 +10,10 @@
 use standins::fleet::Fleet;
 use standins::platform::Faults;
 
-const WAIT: Duration = Duration::from_secs(20);
-/// A guard against a hang; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(120);
-const EXE: &str = env!("CARGO_BIN_EXE_mulberryd");
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time limit against a hang; no assertion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(120);
+const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_mulberryd");
 
 async fn fleet() -> Fleet {
     Fleet::spawn(0, 2, EngineSettings::default()).await.unwrap()
@@ -21,7 +21,7 @@
 
 fn spawn(fleet: &Fleet, folder: &Path, names: &[&str]) -> Vec<Daemon> {
     let platform = fleet.platform.address();
-    let one = |name: &&str| Daemon::spawn(EXE, name, fleet, platform, folder).unwrap();
+    let one = |name: &&str| Daemon::spawn(DAEMON_PATH, name, fleet, platform, folder).unwrap();
     names.iter().map(one).collect()
 }
 
@@ -31,8 +31,8 @@
     }
 }
 
-/// Three processes find each other, serve the bundle and a call, and one is killed:
-/// the others go on to answer.
+/// Three processes find each other and adopt the bundle. One is killed: the others still answer
+/// calls, and remove it from their members.
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_serve_and_one_is_killed() {
     let fleet = fleet().await;
@@ -45,13 +45,13 @@
     }
     drop(daemons.remove(0));
     let shop = Caller::new("shop".into(), daemons.iter().map(|d| d.callers).collect());
-    let answer = shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
+    let answer = shop.call("stock", "/items/1", "", None, CALL_TIMEOUT).await.unwrap();
     assert_eq!(answer.body, "ran /items/1 ");
-    tokio::time::timeout(GUARD, settle(&daemons, &["b", "c"])).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, settle(&daemons, &["b", "c"])).await.unwrap();
 }
 
-/// A process is frozen (SIGSTOP) and thawed: the others count it out and in again,
-/// and it serves as before.
+/// A process is stopped with SIGSTOP and continued: the others mark it as failed, then as alive
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_process_goes_and_comes_back() {
     let fleet = fleet().await;
@@ -64,11 +64,11 @@
         daemons[2].thaw().unwrap();
         settle(&daemons, &["a", "b", "c"]).await;
     };
-    tokio::time::timeout(GUARD, all).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, all).await.unwrap();
 }
 
-/// A process starts while the platform is down: it finds the others by the seeds of
-/// its settings, gets the bundle from them, and serves.
+/// A process starts while the platform is down. It finds the others through the seeds in its
+/// settings, gets the bundle from them, and serves.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_joins_during_an_outage() {
     let fleet = fleet().await;
@@ -79,11 +79,11 @@
         fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
         let platform = fleet.platform.address();
         let seeds = [daemons[0].peers];
-        let third =
-            Daemon::spawn_seeded(EXE, "c", &fleet, platform, folder.path(), &seeds).unwrap();
+        let third = Daemon::spawn_seeded(DAEMON_PATH, "c", &fleet, platform, folder.path(), &seeds)
+            .unwrap();
         daemons.push(third);
         settle(&daemons, &["a", "b", "c"]).await;
         daemons[2].holds(1).await;
     };
-    tokio::time::timeout(GUARD, all).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, all).await.unwrap();
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,4 +1,4 @@
-//! Long sessions over real sockets: a stream outlives nodes that are replaced or stopped.
+//! Tests of long streams over real sockets: a stream continues while nodes are replaced or stopped.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use standins::engine::{Engine, EngineSettings, Faults, token};
 use standins::fleet::Fleet;
 
-/// Guards a test against hanging; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(10);
+/// Time limit against a hang; no assertion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-fn slow() -> EngineSettings {
+fn slow_engines() -> EngineSettings {
     EngineSettings { token_time: Duration::from_millis(10), ..EngineSettings::default() }
 }
 
@@ -24,19 +24,20 @@
     engines.iter().flat_map(|e| e.ledger().into_values()).map(|tokens| tokens.len()).sum()
 }
 
-/// Waits until the engines produced so many tokens.
-async fn streamed(engines: &[Engine], tokens: usize) {
+/// Waits until the engines have produced this many tokens.
+async fn wait_for_tokens(engines: &[Engine], tokens: usize) {
     while produced(engines) < tokens {
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Every node is replaced, one after the other, while a stream runs that is longer than each
-/// node's drain: each node lets it go on elsewhere, and stops with nothing cut off.
+/// Every node is replaced, one after the other, while a stream runs that takes longer than the
+/// nodes' drain time. Each node moves the stream to another one, and stops without an interrupted
+/// request.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_outlives_every_node() {
     let mut fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    // Slow until the nodes are replaced: 400 ms a token.
+    // The engines are slow until the nodes are replaced: 400 ms a token.
     let crawl = Faults { slowdown: 200, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(crawl.clone()));
     let shop = Caller::new("shop".into(), fleet.callers());
@@ -44,29 +45,29 @@
     let total = expected(&request).split_whitespace().count();
     let running = tokio::spawn({
         let request = request.clone();
-        async move { shop.stream(&request, GUARD).await }
+        async move { shop.stream(&request, TEST_TIMEOUT).await }
     });
-    streamed(&fleet.engines, 2).await;
+    wait_for_tokens(&fleet.engines, 2).await;
     for index in 0..2 {
         let fresh = fleet.start_node(index + 2).await.unwrap();
         fleet.nodes.push(fresh);
         fleet.settled(1).await;
         let old = fleet.nodes.remove(0);
-        assert!(old.stop().await, "a node cut something off");
+        assert!(old.stop().await, "a node stopped before its requests were finished");
     }
-    assert!(produced(&fleet.engines) < total, "the stream was over before the nodes were");
+    assert!(produced(&fleet.engines) < total, "the stream ended before the nodes were replaced");
     fleet.engines.iter().for_each(|e| e.set_faults(Faults::default()));
     let answer = running.await.unwrap().unwrap();
     assert_eq!(answer.body, expected(&request));
 }
 
-/// A caller that can't resume keeps its stream to the end, at a node that stops meanwhile.
+/// A caller that can't resume is served until its stream ends, by a node that stops meanwhile.
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_stream_is_finished_by_a_stopping_node() {
-    let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
+    let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
     let at = fleet.nodes[0].client_address();
     let request = completion("long con", 3, 300);
-    let response = opened(at, &request, None).await;
+    let response = open_stream(at, &request, None).await;
     assert_eq!(response.status(), StatusCode::OK);
     let (finished, body) =
         tokio::join!(fleet.nodes[0].stop(), read_body(response.into_body(), 1 << 20));
@@ -77,29 +78,29 @@
     assert_eq!(events, expected(&request).split_whitespace().count());
 }
 
-/// The caller goes away in the middle: the work at the engine ends.
+/// The caller disconnects during the stream: the work at the engine is cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_stream_is_cancelled() {
-    let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
+    let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
     let shop = Caller::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 100_000);
-    let gone = async {
+    let disconnected = async {
         tokio::select! {
-            _ = shop.stream(&request, GUARD) => {}
-            () = streamed(&fleet.engines, 10) => {}
+            _ = shop.stream(&request, TEST_TIMEOUT) => {}
+            () = wait_for_tokens(&fleet.engines, 10) => {}
         }
     };
-    gone.await;
+    disconnected.await;
     let cancelled = async {
         while fleet.engines[0].running() > 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, cancelled).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, cancelled).await.unwrap();
 }
 
-/// A caller asks to go on from an event that does not fit what it has: it is told so, and
-/// nothing runs.
+/// A caller resumes after an event that does not match its prior output, or that does not exist:
+/// the request is refused, and nothing runs.
 #[tokio::test(flavor = "multi_thread")]
 async fn misfitting_resume_is_refused() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
@@ -108,14 +109,14 @@
     let text = token(&request.prompt, request.seed, 0);
     let request = CompletionRequest { prior: Some(PriorOutput { text, tokens: 1 }), ..request };
     for last in ["00000000000000aa/2", "nothing", "00000000000000aa/one", "x y/1"] {
-        let response = opened(at, &request, Some(last)).await;
+        let response = open_stream(at, &request, Some(last)).await;
         assert_eq!(response.status(), StatusCode::BAD_REQUEST, "{last}");
     }
     assert_eq!(fleet.engines[0].started(), 0);
 }
 
-/// One request of a stream, as a caller without our client makes it.
-async fn opened(
+/// Sends a stream request without the client library, and returns the response.
+async fn open_stream(
     at: std::net::SocketAddr,
     request: &CompletionRequest,
     last: Option<&str>,
@@ -130,8 +131,9 @@
     JsonClient::default().send(at, sent).await.unwrap()
 }
 
-/// A whole stream session, byte for byte but for the stream's id: a stream whose engine is cut,
-/// which the caller leaves in the middle and resumes at another node from its last event.
+/// Compares a complete stream session with its snapshot, except for the id of the stream. The
+/// engine's stream is cut, and the caller disconnects and resumes at another node after its last
+/// event.
 #[tokio::test(flavor = "multi_thread")]
 async fn stream_session() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
@@ -142,7 +144,7 @@
     cut(3);
     let request = completion("cull", 5, 40);
     let mut log = format!("> {}\n", serde_json::to_string(&request).unwrap());
-    let response = opened(fleet.nodes[0].client_address(), &request, None).await;
+    let response = open_stream(fleet.nodes[0].client_address(), &request, None).await;
     let mut body = http_body_util::BodyDataStream::new(response.into_body());
     let mut got = String::new();
     while got.matches("\n\n").count() < 4 {
@@ -150,7 +152,7 @@
         got.push_str(std::str::from_utf8(&data).unwrap());
     }
     drop(body);
-    // Seldom enough that the attempts of one request suffice for the rest.
+    // The cuts are rare enough that the attempts of one request suffice for the rest.
     cut(12);
     let events: Vec<&str> = got.split_inclusive("\n\n").take(4).collect();
     let last = events[3].lines().next().unwrap().trim_start_matches("id: ").to_owned();
@@ -162,30 +164,30 @@
         "> last-event-id: {last}\n> {}\n",
         serde_json::to_string(&rest).unwrap()
     ));
-    let response = opened(fleet.nodes[1].client_address(), &rest, Some(&last)).await;
+    let response = open_stream(fleet.nodes[1].client_address(), &rest, Some(&last)).await;
     let bytes = read_body(response.into_body(), 1 << 20).await.unwrap();
     log.push_str(std::str::from_utf8(&bytes).unwrap());
     assert!(log.ends_with("data: [DONE]\n\n"), "{log}");
     insta::assert_snapshot!(log.replace(&id, "STREAM"));
 }
 
-/// The only node stops: there is nowhere to go on, so it keeps the stream to its end.
+/// The only node stops. Since no other node serves, it serves the stream until its end.
 #[tokio::test(flavor = "multi_thread")]
 async fn last_node_keeps_its_streams() {
-    let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
+    let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
     let shop = Caller::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 300);
     let stop = async {
-        streamed(&fleet.engines, 5).await;
+        wait_for_tokens(&fleet.engines, 5).await;
         fleet.nodes[0].stop().await
     };
-    let (answer, finished) = tokio::join!(shop.stream(&request, GUARD), stop);
+    let (answer, finished) = tokio::join!(shop.stream(&request, TEST_TIMEOUT), stop);
     assert_eq!(answer.unwrap().body, expected(&request));
     assert!(finished);
 }
 
-/// Engines cut the stream more often than a node makes attempts: as long as new tokens come, the
-/// session goes on.
+/// Engines cut the stream more often than a node makes attempts without progress. The stream
+/// continues as long as each attempt produces tokens.
 #[tokio::test(flavor = "multi_thread")]
 async fn session_outlives_many_engine_failures() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
@@ -193,6 +195,6 @@
     fleet.engines.iter().for_each(|e| e.set_faults(cut.clone()));
     let shop = Caller::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 100);
-    let answer = shop.stream(&request, GUARD).await;
+    let answer = shop.stream(&request, TEST_TIMEOUT).await;
     assert_eq!(answer.unwrap().body, expected(&request));
 }
--- a/tests/sessions_processes.rs
+++ b/tests/sessions_processes.rs
@@ -1,4 +1,4 @@
-//! Streams and steps over processes that are killed (SIGKILL) or frozen (SIGSTOP).
+//! Tests of streams and steps while processes are killed (SIGKILL) or frozen (SIGSTOP).
 #![allow(clippy::unwrap_used)]
 
 use std::path::PathBuf;
@@ -12,10 +12,10 @@
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::Fleet;
 
-/// Guards a test against hanging; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
-const NAMES: [&str; 3] = ["a", "b", "c"];
+/// Time limit against a hang; no assertion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
 
 struct Deployment {
     fleet: Fleet,
@@ -24,7 +24,7 @@
 }
 
 impl Deployment {
-    /// Three nodes that know each other, before two engines that crawl: 400 ms a token.
+    /// Starts three nodes that know each other, with two slow engines: 400 ms a token.
     async fn spawn(test: &str) -> Self {
         let fleet = Fleet::spawn(0, 2, EngineSettings::default()).await.unwrap();
         let crawl = Faults { slowdown: 200, ..Faults::default() };
@@ -35,21 +35,21 @@
             let exe = env!("CARGO_BIN_EXE_mulberryd");
             Some(Daemon::spawn(exe, name, &fleet, fleet.platform.address(), &folder).unwrap())
         };
-        let daemons = NAMES.iter().map(spawn).collect();
+        let daemons = NODE_NAMES.iter().map(spawn).collect();
         let deployment = Self { fleet, daemons, folder };
         for daemon in deployment.daemons.iter().flatten() {
-            deployment.meets(daemon).await;
+            deployment.wait_for_members(daemon).await;
         }
         deployment
     }
 
-    async fn meets(&self, daemon: &Daemon) {
+    async fn wait_for_members(&self, daemon: &Daemon) {
         let serving = async || {
             let nodes = daemon.nodes().await;
             nodes.iter().filter(|n| n.state == NodeState::Serving).count()
         };
-        while serving().await < NAMES.len() {
-            tokio::time::sleep(POLL).await;
+        while serving().await < NODE_NAMES.len() {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -57,22 +57,22 @@
         self.daemons.iter().flatten().map(|d| d.callers).collect()
     }
 
-    /// Waits until the engines produced so many tokens.
-    async fn streamed(&self, tokens: usize) {
+    /// Waits until the engines have produced this many tokens.
+    async fn wait_for_tokens(&self, tokens: usize) {
         let ledgers = || self.fleet.engines.iter().flat_map(|e| e.ledger().into_values());
         while ledgers().map(|tokens| tokens.len()).sum::<usize>() < tokens {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    fn full_speed(&self) {
+    fn restore_speed(&self) {
         self.fleet.engines.iter().for_each(|e| e.set_faults(Faults::default()));
     }
 
-    /// The place of the node that holds the trainer's steps.
-    fn home(&self) -> usize {
-        let home = rendezvous_rank("coach", NAMES)[0];
-        NAMES.iter().position(|n| *n == home).unwrap()
+    /// Returns the index of the node that owns the trainer's steps.
+    fn owner_index(&self) -> usize {
+        let owner = rendezvous_rank("coach", NODE_NAMES)[0];
+        NODE_NAMES.iter().position(|n| *n == owner).unwrap()
     }
 
     fn trainer(&self) -> Trainer {
@@ -91,14 +91,14 @@
     StepSpec { version: 1, groups: (0..4).map(prompt).collect() }
 }
 
-fn whole(report: &StepReport) {
+fn assert_complete(report: &StepReport) {
     assert_eq!((report.doubled, report.thin), (0, 0));
     assert!(report.groups.keys().copied().eq(0..4));
     assert!(report.groups.values().all(|g| g.samples.len() == 2));
 }
 
-/// Two of three nodes are killed while streams run over all of them: each stream goes on at
-/// a node that is left, no token lost or doubled.
+/// Two of three nodes are killed while streams run through all of them. Each stream continues at a
+/// remaining node, and no token is lost or duplicated.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_are_killed_in_streams() {
     let mut test = Deployment::spawn("killed-streams").await;
@@ -107,58 +107,58 @@
             let shop = Caller::new("shop".into(), test.callers());
             tokio::spawn(async move {
                 let request = completion("long con", seed, 120);
-                let answer = shop.stream(&request, GUARD).await.unwrap();
+                let answer = shop.stream(&request, TEST_TIMEOUT).await.unwrap();
                 assert_eq!(answer.body, expected(&request));
             })
         })
         .collect();
-    test.streamed(16).await;
+    test.wait_for_tokens(16).await;
     test.daemons[0] = None;
-    test.streamed(32).await;
+    test.wait_for_tokens(32).await;
     test.daemons[1] = None;
-    test.streamed(48).await;
-    test.full_speed();
+    test.wait_for_tokens(48).await;
+    test.restore_speed();
     for stream in streams {
         stream.await.unwrap();
     }
 }
 
-/// The node that holds a step is killed in the middle of it.
+/// The node that owns a step is killed during the step. The trainer continues at another node.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_is_killed_in_a_step() {
     let mut test = Deployment::spawn("killed-home").await;
-    let (home, trainer) = (test.home(), test.trainer());
+    let (owner, trainer) = (test.owner_index(), test.trainer());
     let step = tokio::spawn(async move { trainer.step(1, &spec()).await });
-    test.streamed(16).await;
-    test.daemons[home] = None;
-    test.full_speed();
-    let report = tokio::time::timeout(GUARD, step).await.unwrap().unwrap().unwrap();
-    whole(&report);
+    test.wait_for_tokens(16).await;
+    test.daemons[owner] = None;
+    test.restore_speed();
+    let report = tokio::time::timeout(TEST_TIMEOUT, step).await.unwrap().unwrap().unwrap();
+    assert_complete(&report);
     assert!(report.failures > 0);
 }
 
-/// The node that holds a step is frozen in the middle of it; the trainer goes on elsewhere.
-/// Thawed, the node still holds the step and its samples: nothing comes a second time.
+/// The node that owns a step is frozen during the step, and the trainer continues at another node.
+/// Once the node is thawed, it still has the step and its samples: no group is delivered twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_is_frozen_in_a_step() {
     let test = Deployment::spawn("frozen-home-of-a-step").await;
-    let (home, trainer) = (test.home(), test.trainer());
+    let (owner, trainer) = (test.owner_index(), test.trainer());
     let step = tokio::spawn(async move {
         let report = trainer.step(1, &spec()).await;
         (trainer, report)
     });
-    test.streamed(16).await;
-    let frozen = test.daemons[home].as_ref().unwrap();
+    test.wait_for_tokens(16).await;
+    let frozen = test.daemons[owner].as_ref().unwrap();
     frozen.freeze().unwrap();
-    test.full_speed();
-    let (trainer, report) = tokio::time::timeout(GUARD, step).await.unwrap().unwrap();
-    whole(&report.unwrap());
+    test.restore_speed();
+    let (trainer, report) = tokio::time::timeout(TEST_TIMEOUT, step).await.unwrap().unwrap();
+    assert_complete(&report.unwrap());
     frozen.thaw().unwrap();
-    whole(&trainer.step(2, &spec()).await.unwrap());
+    assert_complete(&trainer.step(2, &spec()).await.unwrap());
 }
 
-/// A node is frozen while streams run over it: its callers leave it and go on at the others,
-/// no token lost or doubled.
+/// A node is frozen while streams run through it. Its callers continue at the other nodes, and no
+/// token is lost or duplicated.
 #[tokio::test(flavor = "multi_thread")]
 async fn node_is_frozen_in_streams() {
     let test = Deployment::spawn("frozen-streams").await;
@@ -166,13 +166,13 @@
     let streams: Vec<_> = (0..8)
         .map(|seed| {
             let shop = Caller::new("shop".into(), test.callers());
-            tokio::spawn(async move { shop.stream(&request(seed), GUARD).await })
+            tokio::spawn(async move { shop.stream(&request(seed), TEST_TIMEOUT).await })
         })
         .collect();
-    test.streamed(16).await;
+    test.wait_for_tokens(16).await;
     let frozen = test.daemons[0].as_ref().unwrap();
     frozen.freeze().unwrap();
-    test.full_speed();
+    test.restore_speed();
     for (seed, stream) in (0..).zip(streams) {
         assert_eq!(stream.await.unwrap().unwrap().body, expected(&request(seed)));
     }
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -1,4 +1,5 @@
-//! Promises 2 and 3 over real sockets: every sample once, none too old, groups whole.
+//! Tests over real sockets that a step delivers every sample once, none of them too old, in complete
+//! groups.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -14,11 +15,11 @@
 use standins::fleet::{Fleet, bundle};
 use standins::trainer::{flat, truth};
 
-/// Guards a test against hanging; no verdict depends on it.
-const GUARD: Duration = Duration::from_secs(30);
-const POLL: Duration = Duration::from_millis(10);
+/// Time limit against a hang; no assertion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-fn slow() -> EngineSettings {
+fn slow_engines() -> EngineSettings {
     EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() }
 }
 
@@ -27,7 +28,7 @@
     StepSpec { version: 1, groups: (0..groups).map(prompt).collect() }
 }
 
-fn whole(report: &StepReport, spec: &StepSpec) {
+fn assert_complete(report: &StepReport, spec: &StepSpec) {
     assert_eq!(report.doubled, 0);
     assert_eq!(report.thin, 0);
     assert!(report.groups.keys().copied().eq(0..spec.groups.len() as u32));
@@ -37,31 +38,31 @@
     }
 }
 
-/// How many samples were begun at the engines, by slot.
-fn begun(fleet: &Fleet) -> BTreeMap<String, usize> {
-    let mut begun = BTreeMap::new();
+/// Returns how often each sample was started at the engines, by slot.
+fn started_samples(fleet: &Fleet) -> BTreeMap<String, usize> {
+    let mut started = BTreeMap::new();
     for id in fleet.engines.iter().flat_map(|e| e.ledger().into_keys()) {
         let slot = id.rsplitn(3, '/').last().unwrap_or_default().to_owned();
-        *begun.entry(slot).or_default() += 1;
+        *started.entry(slot).or_default() += 1;
     }
-    begun
+    started
 }
 
-/// The home of the trainer's steps, once every node names the same.
-async fn home(fleet: &Fleet) -> SocketAddr {
+/// Returns the owner of the trainer's steps, once every node names the same one.
+async fn agreed_owner(fleet: &Fleet) -> SocketAddr {
     let wait = async {
         loop {
-            let mut homes = Vec::new();
+            let mut owners = Vec::new();
             for node in fleet.callers() {
-                homes.push(AddressBook::homed(vec![node], "coach".into()).get().await.unwrap());
+                owners.push(AddressBook::homed(vec![node], "coach".into()).get().await.unwrap());
             }
-            if homes.iter().all(|home| *home == homes[0]) {
-                return homes[0];
+            if owners.iter().all(|owner| *owner == owners[0]) {
+                return owners[0];
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, wait).await.unwrap()
+    tokio::time::timeout(TEST_TIMEOUT, wait).await.unwrap()
 }
 
 async fn send<T: serde::de::DeserializeOwned>(
@@ -71,7 +72,7 @@
     value: &impl serde::Serialize,
 ) -> Result<T, JsonClientError> {
     let path = format!("/v1/trainers/coach/steps/{path}");
-    JsonClient::default().call(at, method, &path, value, GUARD).await
+    JsonClient::default().call(at, method, &path, value, TEST_TIMEOUT).await
 }
 
 async fn submit(at: SocketAddr, step: u64, spec: &StepSpec, have: Ranges) {
@@ -86,68 +87,69 @@
     send(at, Method::POST, &format!("{step}/pull"), &pull).await.unwrap()
 }
 
-/// Pulls without acknowledging until this many groups are there.
-async fn unacknowledged(at: SocketAddr, step: u64, groups: usize) -> Vec<Group> {
+/// Pulls without an acknowledgement until the response contains this many groups.
+async fn pull_unacknowledged(at: SocketAddr, step: u64, groups: usize) -> Vec<Group> {
     loop {
         let pulled = pull(at, step, 1, &[]).await;
         if pulled.groups.len() >= groups {
             return pulled.groups;
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Nodes that have just met may name different homes; soon all name the same, and when it
-/// stops they agree on its successor.
+/// Nodes that have just started may name different owners. Soon all name the same one, and after it
+/// has stopped they agree on the next.
 #[tokio::test(flavor = "multi_thread")]
 async fn nodes_agree_on_the_home() {
     let mut fleet = Fleet::spawn(3, 2, EngineSettings::default()).await.unwrap();
-    let first = home(&fleet).await;
+    let first = agreed_owner(&fleet).await;
     let node = fleet.nodes.iter().find(|n| n.client_address() == first).unwrap();
     assert!(node.stop().await);
     fleet.nodes.retain(|n| n.client_address() != first);
-    assert_ne!(home(&fleet).await, first);
+    assert_ne!(agreed_owner(&fleet).await, first);
 }
 
-/// The reply with the groups is lost: they come again, the same ones, until they are
-/// acknowledged, and then no more.
+/// The response with the groups is lost. The same groups are returned again until they are
+/// acknowledged, and not after that.
 #[tokio::test(flavor = "multi_thread")]
 async fn reply_is_lost() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let at = home(&fleet).await;
+    let at = agreed_owner(&fleet).await;
     let spec = spec(2, 2, 16);
     submit(at, 1, &spec, Ranges::default()).await;
-    let lost = unacknowledged(at, 1, 2).await;
+    let lost = pull_unacknowledged(at, 1, 2).await;
     let again = pull(at, 1, 1, &[]).await;
     assert_eq!(again.groups, lost);
     assert_eq!(pull(at, 1, 1, &[0]).await.groups, lost[1..]);
     let last = pull(at, 1, 1, &[0, 1]).await;
     assert!(last.complete && last.groups.is_empty());
-    assert!(begun(&fleet).values().all(|count| *count == 1));
+    assert!(started_samples(&fleet).values().all(|count| *count == 1));
 }
 
-/// The node that holds the step dies after it handed groups over, before they were
-/// acknowledged to it: the trainer goes on at another node, which makes only the rest.
+/// The owner of the step dies after it returned groups and before they were acknowledged. The
+/// trainer continues at another node, which makes only the other groups.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_dies_after_handover() {
-    let mut fleet = Fleet::spawn(3, 2, slow()).await.unwrap();
-    let at = home(&fleet).await;
+    let mut fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
+    let at = agreed_owner(&fleet).await;
     let trainer = Trainer::new("coach".into(), fleet.callers());
     let spec = spec(6, 2, 60);
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     let first = pulling.next().await.unwrap();
     assert!(!first.is_empty());
     fleet.nodes.retain(|n| n.client_address() != at);
-    let before = begun(&fleet);
+    let before = started_samples(&fleet);
     while !pulling.next().await.unwrap().is_empty() {}
-    whole(pulling.report(), &spec);
+    assert_complete(pulling.report(), &spec);
     for group in first {
         let slot = format!("coach/1/{}/0", group.group);
-        assert_eq!(begun(&fleet)[&slot], before[&slot], "{slot} was made again");
+        assert_eq!(started_samples(&fleet)[&slot], before[&slot], "{slot} was started again");
     }
 }
 
-/// Two nodes hold the step and both finish it, and the trainer asks the one and the other.
+/// Two nodes run the same step and both finish it. The trainer pulls from one and from the other,
+/// and receives each group once.
 #[tokio::test(flavor = "multi_thread")]
 async fn two_nodes_finish_the_step() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
@@ -155,8 +157,8 @@
     let spec = spec(3, 2, 16);
     submit(one, 1, &spec, Ranges::default()).await;
     submit(other, 1, &spec, Ranges::default()).await;
-    unacknowledged(one, 1, 3).await;
-    unacknowledged(other, 1, 3).await;
+    pull_unacknowledged(one, 1, 3).await;
+    pull_unacknowledged(other, 1, 3).await;
     let mut have = Vec::new();
     for at in [one, other, one] {
         let pulled = pull(at, 1, 1, &have).await;
@@ -168,11 +170,11 @@
     assert!(pull(other, 1, 1, &have).await.complete);
 }
 
-/// The trainer restarts in the middle of a step, with the groups that it kept.
+/// The trainer restarts during a step, with the groups that it has stored.
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_restarts() {
-    let fleet = Fleet::spawn(2, 2, slow()).await.unwrap();
-    home(&fleet).await;
+    let fleet = Fleet::spawn(2, 2, slow_engines()).await.unwrap();
+    agreed_owner(&fleet).await;
     let spec = spec(6, 2, 60);
     let kept = {
         let trainer = Trainer::new("coach".into(), fleet.callers());
@@ -183,44 +185,46 @@
     let trainer = Trainer::new("coach".into(), fleet.callers());
     let mut pulling = trainer.resume(1, &spec, kept.clone());
     while !pulling.next().await.unwrap().is_empty() {}
-    whole(pulling.report(), &spec);
+    assert_complete(pulling.report(), &spec);
     let groups = &pulling.report().groups;
     assert!(kept.iter().all(|(number, group)| groups[number] == *group));
-    assert!(begun(&fleet).values().all(|count| *count == 1));
+    assert!(started_samples(&fleet).values().all(|count| *count == 1));
 }
 
-/// The node that holds the step is stopped as planned: what it finished goes along to the
-/// next, whole groups and parts of groups.
+/// The owner of the step drains. Its finished samples are kept at the next owner, both those of
+/// complete and those of incomplete groups.
 #[tokio::test(flavor = "multi_thread")]
 async fn home_drains() {
-    let fleet = Fleet::spawn(3, 2, slow()).await.unwrap();
-    let at = home(&fleet).await;
+    let fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
+    let at = agreed_owner(&fleet).await;
     let trainer = Trainer::new("coach".into(), fleet.callers());
-    // One long sample in each group: most of a group is finished long before it is whole.
+    // One sample in each group is long, so most of a group is finished long before the group is
+    // complete.
     let spec = spec(4, 6, 120);
     let node = fleet.nodes.iter().find(|n| n.client_address() == at).unwrap();
     let drain = async {
         let finished = || fleet.engines.iter().any(|e| e.ledger().values().any(|l| l.len() > 60));
         while !finished() {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         assert!(node.stop().await);
     };
     let both = async { tokio::join!(trainer.step(1, &spec), drain) };
-    let (report, ()) = tokio::time::timeout(GUARD, both).await.unwrap();
+    let (report, ()) = tokio::time::timeout(TEST_TIMEOUT, both).await.unwrap();
     let report = report.unwrap();
-    whole(&report, &spec);
-    assert_eq!(report.failures, 0, "the step moved without a failed call");
+    assert_complete(&report, &spec);
+    assert_eq!(report.failures, 0, "a call failed while the step moved");
 }
 
-/// Parts of groups that a leaving node gave along are kept: only the rest is made.
+/// Samples of incomplete groups that a draining node returned are kept: only the missing ones are
+/// made.
 #[tokio::test(flavor = "multi_thread")]
 async fn parts_go_along() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
     let at = fleet.nodes[0].client_address();
     let spec = spec(2, 3, 16);
     submit(at, 1, &spec, Ranges::default()).await;
-    let mut parts = unacknowledged(at, 1, 2).await;
+    let mut parts = pull_unacknowledged(at, 1, 2).await;
     parts.iter_mut().for_each(|group| drop(group.samples.remove(1)));
     let submitted = SubmitStepRequest {
         spec: spec.clone(),
@@ -228,24 +232,25 @@
         partial_groups: parts.clone(),
     };
     let _: serde_json::Value = send(at, Method::PUT, "2", &submitted).await.unwrap();
-    let made = unacknowledged(at, 2, 2).await;
+    let made = pull_unacknowledged(at, 2, 2).await;
     for (group, part) in made.iter().zip(&parts) {
         assert_eq!([&group.samples[0], &group.samples[2]], [&part.samples[0], &part.samples[1]]);
     }
-    let begun = begun(&fleet).into_keys().filter(|slot| slot.starts_with("coach/2/"));
-    assert_eq!(begun.collect::<Vec<_>>(), ["coach/2/0/1", "coach/2/1/1"]);
+    let started = started_samples(&fleet).into_keys().filter(|slot| slot.starts_with("coach/2/"));
+    assert_eq!(started.collect::<Vec<_>>(), ["coach/2/0/1", "coach/2/1/1"]);
 }
 
-/// Nobody pulls a step any more: it is dropped, and its work at the engines ends.
+/// The trainer no longer pulls a step: the step is removed, and its work at the engines is
+/// cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_step_is_dropped() {
-    let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
+    let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
     let text = bundle(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
     fleet.apply(2, &text).await.unwrap();
     fleet.settled(2).await;
     let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 100_000), Ranges::default()).await;
-    let held = async || {
+    let is_active = async || {
         let pull = PullGroupsRequest {
             version: 1,
             delivered: Ranges::default(),
@@ -254,29 +259,30 @@
         };
         send::<PullGroupsResponse>(at, Method::POST, "1/pull", &pull).await.is_ok()
     };
-    assert!(held().await);
-    let dropped = async {
-        // Longer than the bundle's time: a look is a pull.
-        while held().await {
+    assert!(is_active().await);
+    let removed = async {
+        // Each check is a pull, so the checks are further apart than the 300 ms after which the
+        // step counts as abandoned.
+        while is_active().await {
             tokio::time::sleep(Duration::from_millis(500)).await;
         }
         while fleet.engines[0].running() > 0 {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, dropped).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, removed).await.unwrap();
 }
 
-/// The trainer moves on between two deliveries of the same group: the second is made anew,
-/// with weights that are fresh.
+/// The trainer advances between two deliveries of the same group: the group is made again, with
+/// weights that are fresh.
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_between_deliveries() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 2, 16), Ranges::default()).await;
-    let first = unacknowledged(at, 1, 1).await;
+    let first = pull_unacknowledged(at, 1, 1).await;
     assert!(first[0].samples.iter().all(|s| s.oldest() == Some(1)));
-    // Bound 2: at version 4 nothing older than 2 is fresh.
+    // The staleness bound is 2, so at version 4 nothing older than version 2 is fresh.
     fleet.apply(2, &bundle(2, 4)).await.unwrap();
     let second = loop {
         let pulled = pull(at, 1, 4, &[]).await;
@@ -287,14 +293,14 @@
     assert!(second[0].samples.iter().all(|s| s.oldest() >= Some(2)), "{second:?}");
 }
 
-/// A pull that was under way while the trainer moved on comes in late, with the old version:
-/// it is judged by the newest that the trainer named.
+/// A pull with the trainer's old version arrives after the trainer has advanced. The samples are
+/// checked against the newest version that the trainer has sent.
 #[tokio::test(flavor = "multi_thread")]
 async fn late_pull_is_judged_by_the_newest_version() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
     let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 16), Ranges::default()).await;
-    unacknowledged(at, 1, 1).await;
+    pull_unacknowledged(at, 1, 1).await;
     let newer = StepSpec { version: 9, ..spec(1, 1, 16) };
     submit(at, 2, &newer, Ranges::default()).await;
     let pull =
@@ -303,36 +309,36 @@
     assert!(late.groups.is_empty(), "{late:?}");
 }
 
-/// The trainer moves on while the samples are under way and the engines follow: what has
-/// become too old is cut at the engine and begun again, none is handed over.
+/// The trainer and the engines advance while samples are in progress. Samples that have become too
+/// old are cancelled and started again, and none of them is delivered.
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_under_way() {
-    let fleet = Fleet::spawn(2, 2, slow()).await.unwrap();
+    let fleet = Fleet::spawn(2, 2, slow_engines()).await.unwrap();
     let trainer = Trainer::new("coach".into(), fleet.callers());
     let spec = spec(2, 2, 200);
     let moves = async {
         while !fleet.engines.iter().all(|e| e.ledger().values().any(|l| l.len() > 10)) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         trainer.advance(4);
         fleet.apply(2, &bundle(2, 4)).await.unwrap();
     };
     let (report, ()) = tokio::join!(trainer.step(1, &spec), moves);
     let report = report.unwrap();
-    whole(&report, &spec);
+    assert_complete(&report, &spec);
     let samples = report.groups.values().flat_map(|g| &g.samples);
     assert!(samples.into_iter().all(|s| s.oldest() >= Some(2)));
 }
 
-/// Every engine is known to serve weights that are too old: nothing is begun there until one
-/// has caught up.
+/// Every engine is known to serve weights that are too old: no sample starts until an engine has
+/// loaded newer ones.
 #[tokio::test(flavor = "multi_thread")]
 async fn stale_on_arrival_is_not_started() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
     let at = fleet.nodes[0].client_address();
-    // A sample shows the node which version the engine serves.
+    // The node learns from this sample which version the engine serves.
     submit(at, 1, &spec(1, 1, 4), Ranges::default()).await;
-    unacknowledged(at, 1, 1).await;
+    pull_unacknowledged(at, 1, 1).await;
     let before = fleet.engines[0].started();
     submit(at, 2, &StepSpec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
     let pull = PullGroupsRequest {
@@ -354,21 +360,24 @@
     assert!(made[0].samples.iter().all(|s| s.oldest() == Some(5)));
 }
 
-/// One of three engines is a hundred times slower than the others: its samples move on to the
-/// others from the tokens that are there, and none is dropped for being slow.
+/// One of three engines is 200 times slower than the others. Its samples continue at the others
+/// after the tokens received so far, and none is dropped for being slow.
 #[tokio::test(flavor = "multi_thread")]
 async fn samples_leave_a_slow_engine() {
     let fleet = Fleet::spawn(1, 3, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { slowdown: 200, ..Faults::default() });
     let trainer = Trainer::new("coach".into(), fleet.callers());
     let spec = spec(8, 4, 400);
-    let report = tokio::time::timeout(GUARD, trainer.step(1, &spec)).await.unwrap().unwrap();
-    whole(&report, &spec);
-    let begun = fleet.engines[0].ledger().len();
+    let report = tokio::time::timeout(TEST_TIMEOUT, trainer.step(1, &spec)).await.unwrap().unwrap();
+    assert_complete(&report, &spec);
+    let started = fleet.engines[0].ledger().len();
     let slow = report.groups.values().flat_map(|g| &g.samples);
     let slow = slow.filter(|s| &*s.upstream == "patter-0").count();
-    assert!(begun > 0, "no sample was at the slow engine");
-    assert_eq!(slow, 0, "samples that stayed at the slow engine to their end, of {begun}");
+    assert!(started > 0, "no sample was started at the slow engine");
+    assert_eq!(
+        slow, 0,
+        "samples that finished at the slow engine, of {started} that started there"
+    );
     for group in report.groups.values() {
         for sample in &group.samples {
             let slot = format!("coach/1/{}/{}", group.group, sample.index);
@@ -377,8 +386,8 @@
     }
 }
 
-/// A trainer submits its next step while it still trains: as many samples are begun as the
-/// bundle's idle weight allows (0.8 of 12, rounded), and the rest once it asks for the step.
+/// A trainer submits its next step while it still trains. As many samples start as the bundle's
+/// idle weight allows (0.8 of 12, rounded), and the others once the trainer pulls the step.
 #[tokio::test(flavor = "multi_thread")]
 async fn next_step_is_begun_early_in_part() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
@@ -387,13 +396,13 @@
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     pulling.prepare().await.unwrap();
     let made = async {
-        while begun(&fleet).len() < 10 || fleet.engines.iter().any(|e| e.running() > 0) {
-            tokio::time::sleep(POLL).await;
+        while started_samples(&fleet).len() < 10 || fleet.engines.iter().any(|e| e.running() > 0) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    tokio::time::timeout(GUARD, made).await.unwrap();
-    assert_eq!(begun(&fleet).len(), 10);
+    tokio::time::timeout(TEST_TIMEOUT, made).await.unwrap();
+    assert_eq!(started_samples(&fleet).len(), 10);
     while !pulling.next().await.unwrap().is_empty() {}
-    whole(pulling.report(), &spec);
-    assert_eq!(begun(&fleet).len(), 12);
+    assert_complete(pulling.report(), &spec);
+    assert_eq!(started_samples(&fleet).len(), 12);
 }
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops cut off nothing.
+//! Tests that a planned stop interrupts no request.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -12,11 +12,11 @@
 use standins::fleet::Fleet;
 use standins::plain::Faults;
 
-const EXE: &str = env!("CARGO_BIN_EXE_mulberryd");
-const WAIT: Duration = Duration::from_secs(20);
+const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_mulberryd");
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// All nodes are replaced one after the other while callers call and stream without a
-/// pause: each stop finishes what was in flight, and every call gets its whole answer.
+/// All nodes are replaced one after the other while callers make calls and streams without a pause.
+/// Each stop finishes the requests in flight, and every call gets its complete answer.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_rolling_replacement_cuts_off_nothing() {
     let mut fleet = Fleet::spawn(3, 2, EngineSettings::default()).await.unwrap();
@@ -29,10 +29,10 @@
         callers.push(tokio::spawn(async move {
             while !over.load(Ordering::Relaxed) {
                 if index % 2 == 0 {
-                    shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
+                    shop.call("stock", "/items/1", "", None, CALL_TIMEOUT).await.unwrap();
                 } else {
                     let request = completion("patter", index, 32);
-                    let answer = shop.stream(&request, WAIT).await.unwrap();
+                    let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
                     assert_eq!(answer.body, expected(&request));
                 }
                 answered.fetch_add(1, Ordering::Relaxed);
@@ -47,7 +47,7 @@
         let before = answered.load(Ordering::Relaxed);
         let finished = old.stop().await;
         assert!(finished);
-        // The load went on over the stop.
+        // Calls are still answered after the stop.
         while answered.load(Ordering::Relaxed) <= before {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -58,24 +58,25 @@
     }
 }
 
-/// A process is told to stop (SIGTERM), and told again, while a call that takes two
-/// seconds is in flight: the call gets its whole answer and the process ends well.
+/// A process receives SIGTERM twice while a call that takes two seconds is in flight. The call gets
+/// its complete answer, and the process exits with success.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_stopped_twice_finishes_its_call() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let folder = Folder::open().unwrap();
     let platform = fleet.platform.address();
-    let mut daemon = Daemon::spawn(EXE, "a", &fleet, platform, folder.path()).unwrap();
+    let mut daemon = Daemon::spawn(DAEMON_PATH, "a", &fleet, platform, folder.path()).unwrap();
     daemon.sees(&["a"]).await;
     let slow = Faults { slow_ms: 2000, ..Faults::default() };
     fleet.stock.iter().for_each(|p| p.set_faults(slow.clone()));
     let shop = Caller::new("shop".into(), vec![daemon.callers]);
-    let call = tokio::spawn(async move { shop.call("stock", "/items/1", "", None, WAIT).await });
+    let call =
+        tokio::spawn(async move { shop.call("stock", "/items/1", "", None, CALL_TIMEOUT).await });
     while fleet.stock.iter().all(|p| p.ledger().is_empty()) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     daemon.terminate().unwrap();
-    // Not serving any more: the first signal was taken, so the second is one of its own.
+    // The node no longer serves, so the first signal was handled before the second is sent.
     daemon.sees(&[]).await;
     daemon.terminate().unwrap();
     assert_eq!(call.await.unwrap().unwrap().body, "ran /items/1 ");
