--- a/src/edge/http/json_client.rs
+++ b/src/edge/http/json_client.rs
@@ -71,7 +71,7 @@
     },
 }
 
-/// The client. Clones share one connection pool.
+/// An HTTP client for JSON calls. Clones share one connection pool.
 #[derive(Debug, Clone)]
 pub struct JsonClient {
     client: Client<HttpConnector, Body>,
--- a/src/edge/http/pool.rs
+++ b/src/edge/http/pool.rs
@@ -74,7 +74,7 @@
     idle_timeout: Duration,
 }
 
-/// The pool. Clones share the connections.
+/// A pool of HTTP/1 connections. Clones share the connections.
 #[derive(Debug, Clone)]
 pub struct ConnectionPool {
     shared: Arc<Shared>,
