--- a/src/entry/slots.rs
+++ b/src/entry/slots.rs
@@ -99,7 +99,7 @@
 }
 
 impl<'a> SlotGuard<'a> {
-    /// A guard for a slot that [`Fleet::start`] has already counted.
+    /// A guard for a slot that [`Fleet::start_attempt`] has already counted.
     pub(super) fn started(app: &'a App, target: Target) -> Self {
         Self { app, target, model: None, ended: ReplicaOutcome::Abandoned, _demand: None }
     }
