--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -13,7 +13,7 @@
 
 use super::replica::{LoadReporting, Replica, fits};
 use super::{AttemptRequest, ListedReplica, ReplicaOutcome};
-use crate::decide::{OtherLoad, Pace, expected_latency, most_out};
+use crate::decide::{LatencyEstimate, OtherLoad, expected_latency, max_ejected};
 use crate::edge::replica::{ReplicaLoad, Target};
 use crate::{Moment, Name};
 
@@ -63,7 +63,7 @@
     /// The latest time until which any replica is excluded.
     last_exclusion: Moment,
     /// Usual time per cost of the attempts of each service.
-    typical_pace: HashMap<Name, Pace>,
+    typical_pace: HashMap<Name, LatencyEstimate>,
     /// When the typical event interval of each service was last computed.
     interval_updates: HashMap<Name, Moment>,
     /// The event interval that a quarter of a service's replicas do not exceed, in seconds.
@@ -211,7 +211,7 @@
         for replica in self.after_last(request.service).filter(|r| fits(r, request, now, exclude)) {
             let (known, typical) = self.pace_and_typical(replica, request);
             let load_known = ignore_load || replica.load_is_known(now);
-            let rated = self.rate(replica, request, known.faded(typical, now), now);
+            let rated = self.rate(replica, request, known.decayed(typical, now), now);
             if many
                 && load_known
                 && rated.latency <= expected_latency(0.0, typical, 1, false)
@@ -239,7 +239,7 @@
     pub fn choose_at(&self, id: &str, request: &AttemptRequest<'_>, now: Moment) -> Option<Target> {
         let replica = self.replicas.get(id).filter(|r| fits(r, request, now, true))?;
         let (known, typical) = self.pace_and_typical(replica, request);
-        let slow = known.faded(typical, now) > SLOW_FACTOR * typical;
+        let slow = known.decayed(typical, now) > SLOW_FACTOR * typical;
         let open = replica.load_is_known(now)
             && !slow
             && !request.avoid.contains(&replica.listed.target.id);
@@ -252,11 +252,12 @@
         &self,
         replica: &'a Replica,
         request: &AttemptRequest<'_>,
-    ) -> (&'a Pace, f64) {
+    ) -> (&'a LatencyEstimate, f64) {
         match (request.weights, self.typical_intervals.get(request.service)) {
             (Some(_), Some(interval)) => (&replica.event_interval, *interval),
             _ => {
-                let typical = self.typical_pace.get(request.service).and_then(Pace::mean);
+                let typical =
+                    self.typical_pace.get(request.service).and_then(LatencyEstimate::mean);
                 (&replica.pace, typical.unwrap_or(0.001))
             }
         }
@@ -269,7 +270,7 @@
             return true;
         }
         let excluded = self.of(service).filter(|r| r.excluded_until > now).count();
-        excluded <= most_out(self.of(service).count())
+        excluded <= max_ejected(self.of(service).count())
     }
 
     /// Returns the replicas of a service, starting after the one that got the last attempt.
@@ -349,7 +350,7 @@
         others
             .filter(|r| fits(r, &request, now, true))
             .map(|r| if interval.is_some() { r.event_interval } else { r.pace })
-            .any(|known| SLOW_FACTOR * known.faded(typical, now) < pace)
+            .any(|known| SLOW_FACTOR * known.decayed(typical, now) < pace)
     }
 
     /// Records that an attempt begins at a replica.
@@ -397,7 +398,7 @@
             }
             ReplicaOutcome::Failed => {
                 replica.failures.failed();
-                if replica.failures.over() {
+                if replica.failures.should_eject() {
                     replica.excluded_until = replica.failures.eject(now);
                 }
             }
--- a/src/edge/upstream/plain.rs
+++ b/src/edge/upstream/plain.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use tokio_util::task::AbortOnDropHandle;
 
-use crate::decide::Outcome;
+use crate::decide::AttemptOutcome;
 use crate::edge::http::{Body, read_body};
 
 /// The largest response body.
@@ -31,7 +31,7 @@
 #[error("{reason}")]
 pub struct AttemptFailure {
     /// What the failure says about the request: whether it was sent, refused, or may have run.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
     /// The reason, for logs and error messages.
     pub reason: String,
 }
@@ -100,9 +100,9 @@
 }
 
 fn unsent(reason: String) -> AttemptFailure {
-    AttemptFailure { outcome: Outcome::Unsent, reason }
+    AttemptFailure { outcome: AttemptOutcome::Unsent, reason }
 }
 
 fn unknown(reason: String) -> AttemptFailure {
-    AttemptFailure { outcome: Outcome::Unknown, reason }
+    AttemptFailure { outcome: AttemptOutcome::Unknown, reason }
 }
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use super::meter::Usage;
-use crate::decide::rank;
+use crate::decide::rendezvous_rank;
 use crate::decide::usage::WindowNote;
 use crate::entry::app::App;
 use crate::entry::keys::LEADER_KEY;
@@ -97,7 +97,7 @@
         let membership = self.membership.lock();
         let Some(stored) = membership.leader() else { return Vec::new() };
         let (candidates, leader) = (membership.serving_incarnations(), &stored.value.incarnation);
-        let ranked = rank(LEADER_KEY, candidates.iter().map(|l| &**l));
+        let ranked = rendezvous_rank(LEADER_KEY, candidates.iter().map(|l| &**l));
         let successors = ranked.into_iter().filter(|l| **leader != **l);
         let collectors = std::iter::once(&**leader).chain(successors).take(MAX_COLLECTORS);
         collectors
