--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,33 +1,32 @@
-//! The decisions: pure, synchronous, without I/O or network types.
+//! Decision logic: pure and synchronous, without I/O or network types.
 //!
-//! Each takes its state, an event and the present moment, and returns typed
-//! actions. The daemon turns sockets and timers into events, and actions into I/O.
+//! Each decision takes its state, an event and the current time, and returns typed actions.
+//! The daemon turns sockets and timers into events, and actions into I/O.
 
+mod adaptive_timeout;
 mod admission;
 pub mod affinity;
-mod ahead;
 mod call;
 pub mod claim;
 mod client_nodes;
+mod concurrency;
 mod deadlines;
 mod demand;
 mod departures;
 mod dispatch;
-mod drag;
-mod eject;
+mod early_samples;
+mod ejection;
 mod fair_queue;
 pub mod fallback;
 mod fleet;
 mod freshness;
+mod indexed_set;
 pub mod job;
 mod label;
-mod limit;
+mod latency;
 pub mod members;
-mod open;
 mod organisations;
 mod outcome;
-mod pace;
-mod patience;
 pub mod quarantine;
 mod queue;
 mod ranges;
@@ -39,6 +38,7 @@
 mod routes;
 mod sample_order;
 pub mod scale;
+mod slow_engine;
 mod step;
 mod subset;
 mod transfer;
@@ -46,42 +46,46 @@
 pub mod usage;
 pub mod weight_loads;
 
-pub use admission::{Outlook, Returns};
-pub use ahead::ahead;
+pub use adaptive_timeout::AdaptiveTimeout;
+pub use admission::{RetrySchedule, WaitEstimate};
 pub use call::{Call, Class, Repeat};
 pub use client_nodes::{CandidateNode, MAX_CLIENT_NODES, nodes_for_client};
+pub use concurrency::ConcurrencyLimit;
 pub use deadlines::Deadlines;
 pub use demand::Demand;
 pub use departures::{Departure, Departures};
 pub use dispatch::{
-    Action, Dispatch, Limits, LoadReport, Report, Shares, Ticket, UpstreamKey, UpstreamView,
+    AttemptReport, CallerWeights, Dispatch, DispatchAction, LoadReport, ServiceLimits, Ticket,
+    UpstreamKey, UpstreamView,
 };
-pub use drag::Drag;
-pub use eject::{Failures, most_out};
+pub use early_samples::early_samples;
+pub use ejection::{FailureTracker, max_ejected};
 pub use fair_queue::FairQueue;
 pub use fleet::{
     AttemptRequest, Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest, WaitPosition,
 };
 pub use freshness::{EngineVersions, StartDecision, min_fresh_version};
+pub use indexed_set::IndexedSet;
 pub use label::{Label, Span, Unlabelled};
-pub use limit::Limit;
-pub use open::Open;
+pub use latency::{LatencyEstimate, seconds_per_cost};
 pub use organisations::{
     Caller, KeyDigest, Organisation, OrganisationFault, Organisations, public_job,
 };
-pub use outcome::{History, Outcome};
-pub use pace::{Pace, per_cost};
-pub use patience::Patience;
-pub use queue::{Place, Queue};
+pub use outcome::{AttemptHistory, AttemptOutcome};
+pub use queue::{QueuePosition, RequestQueue};
 pub use ranges::Ranges;
-pub use rendezvous::{rank, score};
-pub use retry::Budget;
-pub use ring::Ring;
-pub use rollout::{Cause, Chains, Rollout, Sight, Stage, StoreShare, Turn, Wanted};
+pub use rendezvous::{rendezvous_rank, rendezvous_score};
+pub use retry::RetryBudget;
+pub use ring::HashRing;
+pub use rollout::{
+    EngineObservation, OrderDecision, OrderReason, Rollout, RolloutStage, SwapChains,
+    TargetWeights, WeightLoadBudget,
+};
 pub use routes::{RequestLimits, RetryPolicy, Route, Routes};
 pub use sample_order::{
     NORMAL_PRIORITY, RAISED_PRIORITY, max_running, order_slots, sample_priority,
 };
+pub use slow_engine::SlowEngineDetector;
 pub use step::{FillOutcome, Group, GroupSpec, Sample, Slot, Step, StepSpec};
 pub use subset::subset;
 pub use transfer::Transfer;
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::topic::Topic;
-use crate::decide::rank;
+use crate::decide::rendezvous_rank;
 use crate::edge::schema::Directive;
 use crate::edge::store::{Change, KeyValue, RangeResult, WatchBatch};
 use crate::entry::app::App;
@@ -65,7 +65,7 @@
     fn update_peers(&self) {
         let nodes = self.membership.lock().peer_addresses();
         let others = nodes.keys().filter(|n| **n != self.settings.name).map(|n| &**n);
-        let ranked = rank(&self.settings.name, others);
+        let ranked = rendezvous_rank(&self.settings.name, others);
         self.fallback_store
             .set_peers(ranked.iter().filter_map(|n| nodes.get(*n).copied()).collect());
     }
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -10,7 +10,9 @@
 use super::slots::SlotGuard;
 use super::stream;
 use crate::decide::retry_after::DEFAULT_RETRY_AFTER;
-use crate::decide::{AttemptRequest, History, Outcome, ReplicaOutcome, RetryPolicy, Route};
+use crate::decide::{
+    AttemptHistory, AttemptOutcome, AttemptRequest, ReplicaOutcome, RetryPolicy, Route,
+};
 use crate::edge::http::collect_pieces;
 use crate::edge::replica::{BodyStream, CallError, ReplicaCall, Reply};
 use crate::error::{Kind, Refusal};
@@ -104,7 +106,7 @@
     /// The replicas that are not tried again.
     pub avoid: Vec<Name>,
     /// What is known of the attempts, for the final refusal.
-    pub history: History,
+    pub history: AttemptHistory,
 }
 
 /// What follows from an attempt.
@@ -138,12 +140,12 @@
             attempts: 0,
             failures: 0,
             avoid: Vec::new(),
-            history: History::new(),
+            history: AttemptHistory::new(),
         };
         loop {
             let response = match self.attempt(&mut state).await {
                 RelayStep::Done(response) => response,
-                RelayStep::Failed(refusal) => RelayResponse::Refused(state.history.judge(refusal)),
+                RelayStep::Failed(refusal) => RelayResponse::Refused(state.history.adjust(refusal)),
                 RelayStep::Retry => continue,
             };
             log(self, &state, &response);
@@ -221,7 +223,7 @@
         if failed {
             slot.set_end(ReplicaOutcome::Failed);
             if state.may_repeat() && state.attempts < state.route.max_attempts {
-                state.history.note(Outcome::Unknown);
+                state.history.record(AttemptOutcome::Unknown);
                 state.avoid.push(slot.target.id.clone());
                 return RelayStep::Retry;
             }
@@ -299,7 +301,7 @@
         );
         self.avoid.push(slot.target.id.clone());
         if failure.not_run() {
-            self.history.note(Outcome::Refused);
+            self.history.record(AttemptOutcome::Refused);
             // The replica did not run the request, so the attempt does not count toward the
             // route's limit, unless too many replicas were tried already.
             if self.avoid.len() < 2 * self.route.max_attempts.max(1) as usize {
@@ -307,7 +309,7 @@
             }
             return RelayStep::Retry;
         }
-        self.history.note(Outcome::Unknown);
+        self.history.record(AttemptOutcome::Unknown);
         if self.may_repeat() {
             return RelayStep::Retry;
         }
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -18,7 +18,7 @@
 use super::{Clock, identity};
 use crate::Name;
 use crate::bundle::Adopted;
-use crate::decide::{EngineVersions, rank};
+use crate::decide::{EngineVersions, rendezvous_rank};
 use crate::edge::peer::{NodeInfo, NodeRequest, NodeState, PeerClient};
 use crate::edge::platform::PlatformClient;
 use crate::edge::upstream::{EngineClient, PlainClient};
@@ -113,7 +113,7 @@
         if own.state == NodeState::Serving {
             serving.push(own);
         }
-        let ranked = rank(key, serving.iter().map(|n| &*n.name));
+        let ranked = rendezvous_rank(key, serving.iter().map(|n| &*n.name));
         ranked.first().map(|home| Name::from(*home))
     }
 
--- a/src/node/train/fill.rs
+++ b/src/node/train/fill.rs
@@ -8,7 +8,8 @@
 
 use super::held::{Held, leaving};
 use crate::decide::{
-    Call, Class, FillOutcome, GroupSpec, Repeat, Sample, Slot, StartDecision, ahead, max_running,
+    Call, Class, FillOutcome, GroupSpec, Repeat, Sample, Slot, StartDecision, early_samples,
+    max_running,
 };
 use crate::edge::upstream::CompletionRequest;
 use crate::error::Refusal;
@@ -32,7 +33,7 @@
     } else {
         let weight = app.bundles.current().map_or(0.0, |a| a.bundle.idle_weight);
         let mut step = held.step.lock();
-        let early = ahead(weight, step.sample_count(), step.bound());
+        let early = early_samples(weight, step.sample_count(), step.bound());
         step.start_early(most, early as usize)
     };
     for slot in slots {
