--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -27,7 +27,11 @@
 
     /// The order of the lists of routes and nodes does not matter.
     #[test]
-    fn every_node_derives_the_same_owners(routes in 1_usize..9, nodes in 1_usize..30, turn in 0_usize..30) {
+    fn every_node_derives_the_same_owners(
+        routes in 1_usize..9,
+        nodes in 1_usize..30,
+        turn in 0_usize..30,
+    ) {
         let (mut a, mut b) = (names("r", routes), names("n", nodes));
         let before = preferred_owners(&a, &b);
         a.reverse();
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -59,9 +59,9 @@
     let (fleet, cutter) = cut_at(point, false).await;
     let node = fleet.nodes[0].callers();
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
-    let (told, ran) = (reported_run(&answer), cutter.ran());
+    let (reported, ran) = (reported_run(&answer), cutter.ran());
     assert!(ran <= 1, "{point:?} {key:?}: ran {ran} times");
-    assert!(told != Run::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
+    assert!(reported != Run::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
     let certain = match point {
         Point::Connect => Some(Run::NotRun),
         // Bytes may have been sent before the close was seen or not, so both answers are right.
@@ -71,7 +71,7 @@
         Point::AnswerHeaders | Point::AnswerBody => Some(Run::Unknown),
         Point::Nowhere => Some(Run::Ran),
     };
-    assert!(certain.is_none_or(|c| c == told), "{point:?} {key:?}: {answer:?}");
+    assert!(certain.is_none_or(|c| c == reported), "{point:?} {key:?}: {answer:?}");
 }
 
 /// A call that may be repeated breaks off after it ran; then the upstream stops listening and the
