--- a/src/bin/mulberryctl.rs
+++ b/src/bin/mulberryctl.rs
@@ -9,7 +9,9 @@
 use clap_complete::Shell;
 use mulberrycourse::Name;
 use mulberrycourse::bundle::{Envelope, Operators};
-use mulberrycourse::cli::{Failure, Rollout, Store, commands, follow, queries};
+use mulberrycourse::cli::{
+    BundleStore, CommandError, RolloutProgress, commands, follow_rollout, queries,
+};
 use mulberrycourse::edge::peer::NodeInfo;
 use mulberrycourse::node::{RefusalCount, UpstreamState};
 use mulberrycourse::settings::Document;
@@ -161,7 +163,7 @@
     }
 }
 
-async fn run(args: Args) -> Result<(), Failure> {
+async fn run(args: Args) -> Result<(), CommandError> {
     let output = args.output;
     match args.command {
         Command::Keygen { file } => {
@@ -178,9 +180,9 @@
             print(output, &upstreams, |all| lines(all, upstream_line));
         }
         Command::Rollout { node, number, wait } => {
-            let rollout = follow(node, number, wait.into(), progress).await;
+            let rollout = follow_rollout(node, number, wait.into(), progress).await;
             end_progress();
-            print(output, &rollout?, Rollout::line);
+            print(output, &rollout?, RolloutProgress::line);
         }
         Command::Completions { shell } => {
             let mut command = Args::command();
@@ -194,7 +196,7 @@
     Ok(())
 }
 
-async fn bundle(output: Output, command: BundleCommand) -> Result<(), Failure> {
+async fn bundle(output: Output, command: BundleCommand) -> Result<(), CommandError> {
     match command {
         BundleCommand::Check { file } => {
             let bundle = queries::check(&file)?;
@@ -202,38 +204,38 @@
         }
         BundleCommand::Propose { file, signer } => {
             let key = commands::read_key(&signer.key)?;
-            let store = Store::new(signer.platform);
+            let store = BundleStore::new(signer.platform);
             let envelope = commands::propose(&store, &file, signer.operator, &key).await?;
             print(output, &envelope, |e| summary("proposed", e));
         }
         BundleCommand::SignOff { number, signer } => {
             let key = commands::read_key(&signer.key)?;
-            let store = Store::new(signer.platform);
+            let store = BundleStore::new(signer.platform);
             let envelope = commands::sign_off(&store, number, signer.operator, &key).await?;
             print(output, &envelope, |e| summary("signed off", e));
         }
         BundleCommand::Apply { number, platform, operators } => {
             let operators = read_operators(&operators)?;
-            let envelope = commands::apply(&Store::new(platform), number, &operators).await?;
+            let envelope = commands::apply(&BundleStore::new(platform), number, &operators).await?;
             print(output, &envelope, |e| summary("in force", e));
         }
         BundleCommand::Show { number, platform } => {
-            let envelope = queries::show(&Store::new(platform), number).await?;
+            let envelope = queries::show(&BundleStore::new(platform), number).await?;
             print(output, &envelope, |e| format!("{}\n{}", summary("bundle", e), e.text));
         }
         BundleCommand::Diff { number, platform } => {
-            let difference = queries::diff(&Store::new(platform), number).await?;
+            let difference = queries::diff(&BundleStore::new(platform), number).await?;
             print(output, &difference, |d| d.clone());
         }
         BundleCommand::History { platform } => {
-            let history = Store::new(platform).history().await?;
+            let history = BundleStore::new(platform).history().await?;
             print(output, &history, |all| lines(all, |e| summary("bundle", e)));
         }
     }
     Ok(())
 }
 
-fn read_operators(path: &std::path::Path) -> Result<Operators, Failure> {
+fn read_operators(path: &std::path::Path) -> Result<Operators, CommandError> {
     let doc = Document::open(path)?;
     Ok(Operators::read(doc.section("operators")?)?)
 }
@@ -276,7 +278,7 @@
 
 /// A line that is written over, for people who watch; not in a file or a pipe.
 #[allow(clippy::print_stderr)]
-fn progress(rollout: &Rollout) {
+fn progress(rollout: &RolloutProgress) {
     if std::io::stderr().is_terminal() {
         eprint!("\r\x1b[2K{}", rollout.line());
     }
@@ -290,7 +292,7 @@
 }
 
 #[allow(clippy::print_stderr)]
-fn report(output: Output, failure: &Failure) {
+fn report(output: Output, failure: &CommandError) {
     match output {
         Output::Text => eprintln!("mulberryctl: {failure}"),
         Output::Json => {
--- a/src/bundle/adopt.rs
+++ b/src/bundle/adoption.rs
@@ -6,7 +6,7 @@
 
 /// The bundle in force, with the envelope that it came in.
 #[derive(Debug, Clone)]
-pub struct Adopted {
+pub struct AdoptedBundle {
     /// What it says.
     pub bundle: Arc<Bundle>,
     /// What is passed on to peers.
@@ -15,7 +15,7 @@
 
 /// How an offered bundle stands to the one in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ahead {
+pub enum OfferOrder {
     /// It is later: adopt it.
     Later,
     /// It is the one in force.
@@ -24,7 +24,7 @@
     Earlier,
 }
 
-impl Ahead {
+impl OfferOrder {
     /// Compares an offer with what is in force.
     pub fn of(offer: &Envelope, current: Option<&Envelope>) -> Self {
         let Some(current) = current else { return Self::Later };
@@ -44,27 +44,27 @@
 /// older bundle, and the number at that node would go down over its restart.
 #[derive(Debug, Default)]
 pub struct Adoption {
-    current: Option<Adopted>,
+    current: Option<AdoptedBundle>,
     /// The latest offer so far, while the others are being asked.
-    best: Option<Adopted>,
+    best: Option<AdoptedBundle>,
     asked: bool,
 }
 
 impl Adoption {
     /// The bundle in force.
-    pub fn current(&self) -> Option<&Adopted> {
+    pub fn current(&self) -> Option<&AdoptedBundle> {
         self.current.as_ref()
     }
 
     /// How an envelope stands to the latest one that is known here.
-    pub fn compare(&self, envelope: &Envelope) -> Ahead {
+    pub fn compare(&self, envelope: &Envelope) -> OfferOrder {
         let latest = self.current.as_ref().or(self.best.as_ref());
-        Ahead::of(envelope, latest.map(|a| a.envelope.as_ref()))
+        OfferOrder::of(envelope, latest.map(|a| a.envelope.as_ref()))
     }
 
     /// A checked bundle is offered. Returns it if it comes into force now.
-    pub fn offer(&mut self, offer: Adopted) -> Option<Adopted> {
-        if self.compare(&offer.envelope) != Ahead::Later {
+    pub fn offer(&mut self, offer: AdoptedBundle) -> Option<AdoptedBundle> {
+        if self.compare(&offer.envelope) != OfferOrder::Later {
             return None;
         }
         if !self.asked {
@@ -76,7 +76,7 @@
     }
 
     /// The other nodes were asked. Returns the bundle that comes into force by it.
-    pub fn asked(&mut self) -> Option<Adopted> {
+    pub fn asked(&mut self) -> Option<AdoptedBundle> {
         self.asked = true;
         self.current = self.current.take().or(self.best.take());
         self.current.clone()
--- a/src/bundle/bundle.rs
+++ b/src/bundle/bundle.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::{CallerSpec, Engine, Flavour, ServiceSpec, TrainerSpec};
+use super::{CallerSpec, EngineSpec, ServiceKind, ServiceSpec, TrainerSpec};
 use crate::Name;
 use crate::decide::{CallerWeights, Class, Repeat};
-use crate::settings::{Document, Invalid, Section};
+use crate::settings::{Document, Section, SettingsError};
 
 /// How long a step is kept that nobody pulls: four waits of the longest pull.
 const ABANDONED: Duration = Duration::from_secs(120);
@@ -28,7 +28,7 @@
 
 impl Bundle {
     /// Reads and checks a text; `file` names it in errors.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Invalid> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let doc = Document::parse(file, text)?;
         doc.only(&["bundle"], &["service", "caller", "trainer"])?;
         let head = doc.section("bundle")?;
@@ -53,8 +53,8 @@
 fn read<T>(
     doc: &Document,
     kind: &str,
-    one: impl Fn(Name, &Section<'_>) -> Result<T, Invalid>,
-) -> Result<BTreeMap<Name, T>, Invalid> {
+    one: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
+) -> Result<BTreeMap<Name, T>, SettingsError> {
     let mut all = BTreeMap::new();
     for (name, section) in doc.named(kind) {
         let item = one(name.clone(), &section)?;
@@ -64,12 +64,12 @@
     Ok(all)
 }
 
-fn service(name: Name, section: &Section<'_>) -> Result<ServiceSpec, Invalid> {
-    let kinds = [("engine", Flavour::Engine), ("plain", Flavour::Plain)];
+fn service(name: Name, section: &Section<'_>) -> Result<ServiceSpec, SettingsError> {
+    let kinds = [("engine", ServiceKind::Engine), ("plain", ServiceKind::Plain)];
     let repeats = [("idempotent", Repeat::Idempotent), ("once", Repeat::Once)];
-    let engine = match section.choice("kind", &kinds, Flavour::Plain)? {
-        Flavour::Plain => None,
-        Flavour::Engine => Some(Engine {
+    let engine = match section.choice("kind", &kinds, ServiceKind::Plain)? {
+        ServiceKind::Plain => None,
+        ServiceKind::Engine => Some(EngineSpec {
             version: section.value("version")?,
             fenced: section.value_or("fenced", true)?,
             swapping: section.within("swapping", 1..=100, 34)?,
@@ -88,7 +88,7 @@
     })
 }
 
-fn caller(section: &Section<'_>) -> Result<CallerSpec, Invalid> {
+fn caller(section: &Section<'_>) -> Result<CallerSpec, SettingsError> {
     let classes = [("live", Class::Live), ("training", Class::Training)];
     Ok(CallerSpec {
         class: section.choice("class", &classes, Class::Live)?,
@@ -99,7 +99,7 @@
 fn trainer(
     section: &Section<'_>,
     services: &BTreeMap<Name, ServiceSpec>,
-) -> Result<TrainerSpec, Invalid> {
+) -> Result<TrainerSpec, SettingsError> {
     let service: Name = section.required("service")?.into();
     let engine = services.get(&service).is_some_and(|s| s.engine.is_some());
     if !engine {
--- a/src/bundle/envelope.rs
+++ b/src/bundle/envelope.rs
@@ -9,7 +9,7 @@
 
 use super::{Bundle, Operators};
 use crate::Name;
-use crate::settings::Invalid;
+use crate::settings::SettingsError;
 
 /// Operators that have to sign a bundle.
 const SIGNERS: usize = 2;
@@ -42,13 +42,13 @@
 
 /// Why an envelope is not taken.
 #[derive(Debug, thiserror::Error)]
-pub enum Rejected {
+pub enum BundleError {
     /// The text does not check.
     #[error(transparent)]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] SettingsError),
     /// The envelope's number is not the text's.
     #[error("the envelope says number {envelope}, the text says {text}")]
-    Number {
+    NumberMismatch {
         /// In the envelope.
         envelope: u64,
         /// In the text.
@@ -56,13 +56,13 @@
     },
     /// A signature of someone who is no operator.
     #[error("{0} is not an operator")]
-    Stranger(Name),
+    UnknownOperator(Name),
     /// A signature that does not fit.
     #[error("the signature of {0} does not fit the bundle")]
-    Forged(Name),
+    InvalidSignature(Name),
     /// A later bundle is in force.
     #[error("bundle {current} is in force; {offered} is not later")]
-    Lower {
+    NotLater {
         /// In force.
         current: u64,
         /// Offered.
@@ -70,7 +70,7 @@
     },
     /// Not enough operators signed.
     #[error("{found} of {needed} operators have signed off; each counts once")]
-    Unsigned {
+    TooFewSignatures {
         /// How many did.
         found: usize,
         /// How many have to.
@@ -95,29 +95,30 @@
     }
 
     /// Checks the text alone, not the signatures.
-    pub fn check(&self) -> Result<Bundle, Rejected> {
+    pub fn check(&self) -> Result<Bundle, BundleError> {
         let bundle = Bundle::parse(&format!("bundle {}", self.number), &self.text)?;
         if bundle.number != self.number {
-            return Err(Rejected::Number { envelope: self.number, text: bundle.number });
+            return Err(BundleError::NumberMismatch { envelope: self.number, text: bundle.number });
         }
         Ok(bundle)
     }
 
     /// Checks text and signatures: two different operators signed this text.
-    pub fn verify(&self, operators: &Operators) -> Result<Bundle, Rejected> {
+    pub fn verify(&self, operators: &Operators) -> Result<Bundle, BundleError> {
         let bundle = self.check()?;
         let digest = self.digest();
         let mut signers = BTreeSet::new();
         for signature in &self.signatures {
             let name = &signature.operator;
-            let key = operators.key(name).ok_or_else(|| Rejected::Stranger(name.clone()))?;
+            let key =
+                operators.key(name).ok_or_else(|| BundleError::UnknownOperator(name.clone()))?;
             let bytes = ed25519_dalek::Signature::from_slice(&signature.bytes)
-                .map_err(|_| Rejected::Forged(name.clone()))?;
-            key.verify(&digest, &bytes).map_err(|_| Rejected::Forged(name.clone()))?;
+                .map_err(|_| BundleError::InvalidSignature(name.clone()))?;
+            key.verify(&digest, &bytes).map_err(|_| BundleError::InvalidSignature(name.clone()))?;
             signers.insert(name.clone());
         }
         if signers.len() < SIGNERS {
-            return Err(Rejected::Unsigned { found: signers.len(), needed: SIGNERS });
+            return Err(BundleError::TooFewSignatures { found: signers.len(), needed: SIGNERS });
         }
         Ok(bundle)
     }
--- a/src/bundle/mod.rs
+++ b/src/bundle/mod.rs
@@ -1,13 +1,13 @@
 //! The bundle: what operators state, how it is checked, signed and adopted.
 
-mod adopt;
+mod adoption;
 mod bundle;
 mod envelope;
 mod operators;
 mod spec;
 
-pub use adopt::{Adopted, Adoption, Ahead};
+pub use adoption::{AdoptedBundle, Adoption, OfferOrder};
 pub use bundle::Bundle;
-pub use envelope::{Envelope, Rejected, Signature, sign};
-pub use operators::{BadKey, Operators, parse_key};
-pub use spec::{CallerSpec, Engine, Flavour, ServiceSpec, TrainerSpec};
+pub use envelope::{BundleError, Envelope, Signature, sign};
+pub use operators::{InvalidKey, Operators, parse_key};
+pub use spec::{CallerSpec, EngineSpec, ServiceKind, ServiceSpec, TrainerSpec};
--- a/src/bundle/operators.rs
+++ b/src/bundle/operators.rs
@@ -5,18 +5,18 @@
 use ed25519_dalek::VerifyingKey;
 
 use crate::Name;
-use crate::settings::{Invalid, Section};
+use crate::settings::{Section, SettingsError};
 
 /// A text that is no public key.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("expected an ed25519 public key, 64 hex digits")]
-pub struct BadKey;
+pub struct InvalidKey;
 
 /// Parses a public key from hex.
-pub fn parse_key(text: &str) -> Result<VerifyingKey, BadKey> {
-    let bytes = hex::decode(text).map_err(|_| BadKey)?;
-    let bytes: [u8; 32] = bytes.try_into().map_err(|_| BadKey)?;
-    VerifyingKey::from_bytes(&bytes).map_err(|_| BadKey)
+pub fn parse_key(text: &str) -> Result<VerifyingKey, InvalidKey> {
+    let bytes = hex::decode(text).map_err(|_| InvalidKey)?;
+    let bytes: [u8; 32] = bytes.try_into().map_err(|_| InvalidKey)?;
+    VerifyingKey::from_bytes(&bytes).map_err(|_| InvalidKey)
 }
 
 /// Operators by name.
@@ -27,7 +27,7 @@
 
 impl Operators {
     /// Reads the section `[operators]`: names and public keys.
-    pub fn read(section: Section<'_>) -> Result<Self, Invalid> {
+    pub fn read(section: Section<'_>) -> Result<Self, SettingsError> {
         let mut operators = Self::default();
         for (name, hex) in section.all() {
             let key = parse_key(hex).map_err(|e| section.bad(&name, hex, e.to_string()))?;
--- a/src/bundle/spec.rs
+++ b/src/bundle/spec.rs
@@ -7,7 +7,7 @@
 
 /// What kind of upstream a service has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Flavour {
+pub enum ServiceKind {
     /// Model engines.
     Engine,
     /// A plain HTTP service.
@@ -16,7 +16,7 @@
 
 /// What only model engines have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Engine {
+pub struct EngineSpec {
     /// The weight version that its upstreams are to serve.
     pub version: u64,
     /// Whether its upstreams refuse orders with an old fencing number.
@@ -33,7 +33,7 @@
     /// Its name.
     pub name: Name,
     /// For model engines, what they are to serve.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineSpec>,
     /// Whether its calls may be repeated.
     pub repeat: Repeat,
     /// Requests of one class that may wait at one node.
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -4,12 +4,12 @@
 
 use ed25519_dalek::SigningKey;
 
-use super::{Failure, Store};
+use super::{BundleStore, CommandError};
 use crate::Name;
-use crate::bundle::{Bundle, Envelope, Operators, Rejected, sign};
+use crate::bundle::{Bundle, BundleError, Envelope, Operators, sign};
 
 /// Makes a key, writes it to a file, and returns the public key in hex.
-pub fn keygen(path: &Path) -> Result<String, Failure> {
+pub fn keygen(path: &Path) -> Result<String, CommandError> {
     let key = SigningKey::from_bytes(&rand::random());
     let fail = |e: std::io::Error| file(path, &e.to_string());
     let mut open = std::fs::OpenOptions::new();
@@ -23,7 +23,7 @@
 }
 
 /// Reads a key from a file.
-pub fn read_key(path: &Path) -> Result<SigningKey, Failure> {
+pub fn read_key(path: &Path) -> Result<SigningKey, CommandError> {
     let text = std::fs::read_to_string(path).map_err(|e| file(path, &e.to_string()))?;
     let bytes = hex::decode(text.trim()).map_err(|e| file(path, &e.to_string()))?;
     let bytes: [u8; 32] =
@@ -33,11 +33,11 @@
 
 /// Proposes a bundle, signed by its author.
 pub async fn propose(
-    store: &Store,
+    store: &BundleStore,
     path: &Path,
     author: Name,
     key: &SigningKey,
-) -> Result<Envelope, Failure> {
+) -> Result<Envelope, CommandError> {
     let text = std::fs::read_to_string(path).map_err(|e| file(path, &e.to_string()))?;
     let bundle = Bundle::parse(&path.display().to_string(), &text)?;
     let mut envelope = Envelope {
@@ -61,15 +61,15 @@
 
 /// Adds a sign-off to a proposed bundle.
 pub async fn sign_off(
-    store: &Store,
+    store: &BundleStore,
     number: u64,
     operator: Name,
     key: &SigningKey,
-) -> Result<Envelope, Failure> {
+) -> Result<Envelope, CommandError> {
     let mut digest = None;
     loop {
         let (found, revision) = store.proposed(number).await?;
-        let mut envelope = found.ok_or_else(|| Failure::NoBundle(number.to_string()))?;
+        let mut envelope = found.ok_or_else(|| CommandError::UnknownBundle(number.to_string()))?;
         envelope.check()?;
         let first = *digest.get_or_insert(envelope.digest());
         envelope.signatures.retain(|s| s.operator != operator);
@@ -77,16 +77,20 @@
         envelope.nonce = rand::random();
         match store.propose(&envelope, revision).await {
             // Another operator signed the same text meanwhile: both sign-offs are to stand.
-            Err(Failure::Conflict { digest, .. }) if digest == hex::encode(first) => {}
+            Err(CommandError::Conflict { digest, .. }) if digest == hex::encode(first) => {}
             done => return done.map(|()| envelope),
         }
     }
 }
 
 /// Puts a signed-off bundle into force.
-pub async fn apply(store: &Store, number: u64, operators: &Operators) -> Result<Envelope, Failure> {
+pub async fn apply(
+    store: &BundleStore,
+    number: u64,
+    operators: &Operators,
+) -> Result<Envelope, CommandError> {
     let (found, _) = store.proposed(number).await?;
-    let mut envelope = found.ok_or_else(|| Failure::NoBundle(number.to_string()))?;
+    let mut envelope = found.ok_or_else(|| CommandError::UnknownBundle(number.to_string()))?;
     envelope.verify(operators)?;
     envelope.nonce = rand::random();
     let (current, revision) = store.current().await?;
@@ -96,12 +100,12 @@
         if current.order() == envelope.order() {
             return Ok(current);
         }
-        return Err(Rejected::Lower { current: current.number, offered: number }.into());
+        return Err(BundleError::NotLater { current: current.number, offered: number }.into());
     }
     store.apply(&envelope, revision).await?;
     Ok(envelope)
 }
 
-fn file(path: &Path, reason: &str) -> Failure {
-    Failure::File { path: path.display().to_string(), reason: reason.to_owned() }
+fn file(path: &Path, reason: &str) -> CommandError {
+    CommandError::File { path: path.display().to_string(), reason: reason.to_owned() }
 }
--- a/src/cli/failure.rs
+++ b/src/cli/failure.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bundle::Rejected;
+use crate::bundle::BundleError;
 use crate::edge::http::JsonClientError;
-use crate::settings::Invalid;
+use crate::settings::SettingsError;
 
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum CommandError {
     /// The input does not check.
     #[error(transparent)]
-    Invalid(#[from] Invalid),
+    Invalid(#[from] SettingsError),
     /// The bundle is not taken.
     #[error(transparent)]
-    Rejected(#[from] Rejected),
+    Rejected(#[from] BundleError),
     /// A file can't be read or written, or holds no key.
     #[error("{path}: {reason}")]
     File {
@@ -25,7 +25,7 @@
     },
     /// There is no such bundle.
     #[error("there is no bundle {0}")]
-    NoBundle(String),
+    UnknownBundle(String),
     /// Another operator was first.
     #[error("conflict: {winner} was first with bundle {number}; difference:\n{difference}")]
     Conflict {
@@ -43,15 +43,15 @@
     Unavailable(String),
     /// A rollout was not done in time.
     #[error("not done in time: {0}")]
-    Late(String),
+    TimedOut(String),
     /// The write may or may not have taken effect.
     #[error("the write may have taken effect; look with `bundle show`: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
 }
 
 /// A failure in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FailureReport {
+pub struct ErrorReport {
     /// Its kind.
     pub error: String,
     /// The exit status.
@@ -69,17 +69,17 @@
     pub difference: Option<String>,
 }
 
-impl Failure {
+impl CommandError {
     /// The exit status: documented in docs/OPERATORS.md.
     pub fn status(&self) -> u8 {
         match self {
             Self::Invalid(_) | Self::File { .. } => 2,
             Self::Rejected(_) => 3,
             Self::Conflict { .. } => 4,
-            Self::NoBundle(_) => 5,
+            Self::UnknownBundle(_) => 5,
             Self::Unavailable(_) => 6,
-            Self::Unknown(_) => 7,
-            Self::Late(_) => 8,
+            Self::OutcomeUnknown(_) => 7,
+            Self::TimedOut(_) => 8,
         }
     }
 
@@ -90,15 +90,15 @@
             Self::File { .. } => "file",
             Self::Rejected(_) => "rejected",
             Self::Conflict { .. } => "conflict",
-            Self::NoBundle(_) => "no_bundle",
+            Self::UnknownBundle(_) => "no_bundle",
             Self::Unavailable(_) => "unavailable",
-            Self::Unknown(_) => "unknown",
-            Self::Late(_) => "late",
+            Self::OutcomeUnknown(_) => "unknown",
+            Self::TimedOut(_) => "late",
         }
     }
 
     /// What `--output json` prints on standard error.
-    pub fn report(&self) -> FailureReport {
+    pub fn report(&self) -> ErrorReport {
         let (winner, number, difference) = match self {
             Self::Conflict { winner, number, difference, .. } => {
                 (Some(winner.clone()), Some(*number), Some(difference.clone()))
@@ -106,12 +106,12 @@
             Self::Invalid(_)
             | Self::Rejected(_)
             | Self::File { .. }
-            | Self::NoBundle(_)
+            | Self::UnknownBundle(_)
             | Self::Unavailable(_)
-            | Self::Unknown(_)
-            | Self::Late(_) => (None, None, None),
+            | Self::OutcomeUnknown(_)
+            | Self::TimedOut(_) => (None, None, None),
         };
-        FailureReport {
+        ErrorReport {
             error: self.kind().to_owned(),
             status: self.status(),
             message: self.to_string(),
@@ -122,7 +122,7 @@
     }
 }
 
-impl From<JsonClientError> for Failure {
+impl From<JsonClientError> for CommandError {
     fn from(e: JsonClientError) -> Self {
         Self::Unavailable(e.to_string())
     }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -7,6 +7,6 @@
 mod rollout;
 mod store;
 
-pub use failure::{Failure, FailureReport};
-pub use rollout::{Rollout, follow};
-pub use store::Store;
+pub use failure::{CommandError, ErrorReport};
+pub use rollout::{RolloutProgress, follow_rollout};
+pub use store::BundleStore;
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 use super::store::difference;
-use super::{Failure, Store};
+use super::{BundleStore, CommandError};
 use crate::bundle::{Bundle, Envelope};
 use crate::edge::http::JsonClient;
 
@@ -15,23 +15,25 @@
 const LIMIT: Duration = Duration::from_secs(5);
 
 /// Checks a bundle file.
-pub fn check(path: &Path) -> Result<Bundle, Failure> {
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Failure::File { path: path.display().to_string(), reason: e.to_string() })?;
+pub fn check(path: &Path) -> Result<Bundle, CommandError> {
+    let text = std::fs::read_to_string(path).map_err(|e| CommandError::File {
+        path: path.display().to_string(),
+        reason: e.to_string(),
+    })?;
     Ok(Bundle::parse(&path.display().to_string(), &text)?)
 }
 
 /// A bundle: the proposed one of a number, or the one in force.
-pub async fn show(store: &Store, number: Option<u64>) -> Result<Envelope, Failure> {
+pub async fn show(store: &BundleStore, number: Option<u64>) -> Result<Envelope, CommandError> {
     let (found, name) = match number {
         Some(number) => (store.proposed(number).await?.0, number.to_string()),
         None => (store.current().await?.0, "in force".to_owned()),
     };
-    found.ok_or(Failure::NoBundle(name))
+    found.ok_or(CommandError::UnknownBundle(name))
 }
 
 /// The lines in which a proposed bundle differs from the one in force.
-pub async fn diff(store: &Store, number: u64) -> Result<String, Failure> {
+pub async fn diff(store: &BundleStore, number: u64) -> Result<String, CommandError> {
     let proposed = show(store, Some(number)).await?;
     let current = store.current().await?.0;
     let text = current.map(|c| c.text).unwrap_or_default();
@@ -39,6 +41,6 @@
 }
 
 /// A state document of a node, from its admin address.
-pub async fn state<T: DeserializeOwned>(node: SocketAddr, what: &str) -> Result<T, Failure> {
+pub async fn state<T: DeserializeOwned>(node: SocketAddr, what: &str) -> Result<T, CommandError> {
     Ok(JsonClient::default().get(node, &format!("/v1/state/{what}"), LIMIT).await?)
 }
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::{Failure, queries};
+use super::{CommandError, queries};
 use crate::edge::peer::NodeInfo;
 use crate::edge::upstream::EngineClient;
 use crate::node::{BundleState, UpstreamState};
@@ -19,7 +19,7 @@
 
 /// How far a rollout has come, as one node and the engines themselves say.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rollout {
+pub struct RolloutProgress {
     /// The bundle that is rolled out.
     pub number: u64,
     /// The nodes that have it.
@@ -34,7 +34,7 @@
     pub behind: Vec<String>,
 }
 
-impl Rollout {
+impl RolloutProgress {
     /// Whether it is done.
     pub fn done(&self) -> bool {
         self.number > 0 && self.behind.is_empty()
@@ -49,12 +49,12 @@
 
 /// Looks until the rollout is done, or `limit` is over. `number` is the bundle to wait for;
 /// without it, the latest that any node has. `show` gets each look.
-pub async fn follow(
+pub async fn follow_rollout(
     node: SocketAddr,
     number: Option<u64>,
     limit: Duration,
-    mut show: impl FnMut(&Rollout),
-) -> Result<Rollout, Failure> {
+    mut show: impl FnMut(&RolloutProgress),
+) -> Result<RolloutProgress, CommandError> {
     let until = Instant::now() + limit;
     let engines = EngineClient::default();
     loop {
@@ -65,7 +65,7 @@
         }
         if Instant::now() >= until {
             let behind = rollout.behind.join(", ");
-            return Err(Failure::Late(format!("{}; behind: {behind}", rollout.line())));
+            return Err(CommandError::TimedOut(format!("{}; behind: {behind}", rollout.line())));
         }
         tokio::time::sleep(PERIOD).await;
     }
@@ -75,7 +75,7 @@
     node: SocketAddr,
     number: Option<u64>,
     engines: &EngineClient,
-) -> Result<Rollout, Failure> {
+) -> Result<RolloutProgress, CommandError> {
     let nodes: Vec<NodeInfo> = queries::state(node, "nodes").await?;
     let upstreams: Vec<UpstreamState> = queries::state(node, "upstreams").await?;
     let stated = queries::state::<BundleState>(node, "bundle").await.map_or(0, |b| b.number);
@@ -101,7 +101,7 @@
     let late: Vec<String> = wanted.iter().zip(loads).filter_map(whole).collect();
     let at_engine = wanted.len() - late.len();
     behind.extend(late);
-    Ok(Rollout {
+    Ok(RolloutProgress {
         number,
         nodes: at_node,
         all_nodes: nodes.len(),
--- a/src/cli/store.rs
+++ b/src/cli/store.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Failure;
+use super::CommandError;
 use crate::bundle::Envelope;
 use crate::edge::platform::{PlatformClient, SwapOutcome, VersionedValue};
-use crate::metrics::{Metrics, PlatformUse};
+use crate::metrics::{Metrics, PlatformPurpose};
 use crate::node::{BUNDLE_HISTORY_PREFIX, CURRENT_BUNDLE_KEY, PROPOSED_BUNDLE_PREFIX};
 
 /// How long one call to the platform may take.
@@ -16,46 +16,46 @@
 
 /// The platform's bundles.
 #[derive(Debug)]
-pub struct Store {
+pub struct BundleStore {
     platform: PlatformClient,
 }
 
-impl Store {
+impl BundleStore {
     /// The bundles of the platform at an address.
     pub fn new(address: std::net::SocketAddr) -> Self {
         Self { platform: PlatformClient::new(address, TIMEOUT, Arc::new(Metrics::default())) }
     }
 
     /// The bundle in force and the revision that wrote it, 0 for none.
-    pub async fn current(&self) -> Result<(Option<Envelope>, u64), Failure> {
+    pub async fn current(&self) -> Result<(Option<Envelope>, u64), CommandError> {
         self.read(CURRENT_BUNDLE_KEY).await
     }
 
     /// A proposed bundle and the revision that wrote it, 0 for none.
-    pub async fn proposed(&self, number: u64) -> Result<(Option<Envelope>, u64), Failure> {
+    pub async fn proposed(&self, number: u64) -> Result<(Option<Envelope>, u64), CommandError> {
         self.read(&key(PROPOSED_BUNDLE_PREFIX, number)).await
     }
 
     /// The bundles that were in force, oldest first.
-    pub async fn history(&self) -> Result<Vec<Envelope>, Failure> {
-        let (kept, _) = self.platform.list(BUNDLE_HISTORY_PREFIX, PlatformUse::Bundle).await?;
+    pub async fn history(&self) -> Result<Vec<Envelope>, CommandError> {
+        let (kept, _) = self.platform.list(BUNDLE_HISTORY_PREFIX, PlatformPurpose::Bundle).await?;
         kept.iter().map(parse).collect()
     }
 
     /// Writes a proposal if the last write was `expected`.
-    pub async fn propose(&self, envelope: &Envelope, expected: u64) -> Result<(), Failure> {
+    pub async fn propose(&self, envelope: &Envelope, expected: u64) -> Result<(), CommandError> {
         self.write(&key(PROPOSED_BUNDLE_PREFIX, envelope.number), envelope, expected, Vec::new())
             .await
     }
 
     /// Puts a bundle into force if the last write was `expected`.
-    pub async fn apply(&self, envelope: &Envelope, expected: u64) -> Result<(), Failure> {
+    pub async fn apply(&self, envelope: &Envelope, expected: u64) -> Result<(), CommandError> {
         let also = vec![(key(BUNDLE_HISTORY_PREFIX, envelope.number), encode(envelope)?)];
         self.write(CURRENT_BUNDLE_KEY, envelope, expected, also).await
     }
 
-    async fn read(&self, key: &str) -> Result<(Option<Envelope>, u64), Failure> {
-        match self.platform.get(key, PlatformUse::Bundle).await? {
+    async fn read(&self, key: &str) -> Result<(Option<Envelope>, u64), CommandError> {
+        match self.platform.get(key, PlatformPurpose::Bundle).await? {
             None => Ok((None, 0)),
             Some(kept) => Ok((Some(parse(&kept)?), kept.revision)),
         }
@@ -69,7 +69,7 @@
         envelope: &Envelope,
         expected: u64,
         also: Vec<(String, Vec<u8>)>,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), CommandError> {
         let value = encode(envelope)?;
         let mut unsure = None;
         for _ in 0..WRITES {
@@ -78,7 +78,7 @@
                 expected,
                 value.clone(),
                 also.clone(),
-                PlatformUse::Bundle,
+                PlatformPurpose::Bundle,
             );
             match write.await {
                 SwapOutcome::Done(_) => return Ok(()),
@@ -88,11 +88,12 @@
                 SwapOutcome::Conflict(kept) => return Err(conflict(kept.as_ref(), envelope)),
                 // Not sent now says nothing of the attempt before.
                 SwapOutcome::Unsent(reason) => {
-                    return Err(unsure.map_or(Failure::Unavailable(reason), Failure::Unknown));
+                    return Err(unsure
+                        .map_or(CommandError::Unavailable(reason), CommandError::OutcomeUnknown));
                 }
                 SwapOutcome::Unknown(reason) => {
-                    let Ok(kept) = self.platform.get(key, PlatformUse::Bundle).await else {
-                        return Err(Failure::Unknown(reason));
+                    let Ok(kept) = self.platform.get(key, PlatformPurpose::Bundle).await else {
+                        return Err(CommandError::OutcomeUnknown(reason));
                     };
                     if kept.as_ref().map_or(0, |k| k.revision) != expected {
                         return self.settled(kept.as_ref(), envelope, &also).await;
@@ -101,7 +102,7 @@
                 }
             }
         }
-        Err(Failure::Unknown(unsure.unwrap_or_default()))
+        Err(CommandError::OutcomeUnknown(unsure.unwrap_or_default()))
     }
 
     /// The reply was lost, and the key was written since: by this write, or by another.
@@ -110,18 +111,18 @@
         kept: Option<&VersionedValue>,
         ours: &Envelope,
         also: &[(String, Vec<u8>)],
-    ) -> Result<(), Failure> {
+    ) -> Result<(), CommandError> {
         if kept.and_then(|k| parse(k).ok()).is_some_and(|theirs| holds(&theirs, ours)) {
             return Ok(());
         }
         // A later write may have covered this one; the history tells.
         for (key, _) in also {
-            match self.platform.get(key, PlatformUse::Bundle).await {
+            match self.platform.get(key, PlatformPurpose::Bundle).await {
                 Ok(Some(kept)) if parse(&kept).is_ok_and(|e| e.nonce == ours.nonce) => {
                     return Ok(());
                 }
                 Ok(_) => {}
-                Err(e) => return Err(Failure::Unknown(e.to_string())),
+                Err(e) => return Err(CommandError::OutcomeUnknown(e.to_string())),
             }
         }
         Err(conflict(kept, ours))
@@ -139,21 +140,23 @@
     format!("{prefix}{number:020}")
 }
 
-fn parse(kept: &VersionedValue) -> Result<Envelope, Failure> {
+fn parse(kept: &VersionedValue) -> Result<Envelope, CommandError> {
     serde_json::from_slice(&kept.value)
-        .map_err(|e| Failure::File { path: kept.key.clone(), reason: e.to_string() })
+        .map_err(|e| CommandError::File { path: kept.key.clone(), reason: e.to_string() })
 }
 
-fn encode(envelope: &Envelope) -> Result<Vec<u8>, Failure> {
-    serde_json::to_vec(envelope)
-        .map_err(|e| Failure::File { path: envelope.number.to_string(), reason: e.to_string() })
+fn encode(envelope: &Envelope) -> Result<Vec<u8>, CommandError> {
+    serde_json::to_vec(envelope).map_err(|e| CommandError::File {
+        path: envelope.number.to_string(),
+        reason: e.to_string(),
+    })
 }
 
-fn conflict(kept: Option<&VersionedValue>, ours: &Envelope) -> Failure {
+fn conflict(kept: Option<&VersionedValue>, ours: &Envelope) -> CommandError {
     let Some(theirs) = kept.and_then(|k| parse(k).ok()) else {
-        return Failure::Unavailable("the key changed under the write; try again".to_owned());
+        return CommandError::Unavailable("the key changed under the write; try again".to_owned());
     };
-    Failure::Conflict {
+    CommandError::Conflict {
         winner: theirs.author.to_string(),
         number: theirs.number,
         digest: hex::encode(theirs.digest()),
--- a/src/client/caller/caller.rs
+++ b/src/client/caller/caller.rs
@@ -20,7 +20,7 @@
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Received {
+pub struct CallerResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its body, or the joined text of a stream.
@@ -31,13 +31,13 @@
 
 /// The client.
 #[derive(Debug)]
-pub struct Caller {
+pub struct CallerClient {
     name: Name,
     book: AddressBook,
     fetch: JsonClient,
 }
 
-impl Caller {
+impl CallerClient {
     /// A caller of that name.
     pub fn new(name: Name, seeds: Vec<SocketAddr>) -> Self {
         Self { name, book: AddressBook::new(seeds), fetch: JsonClient::default() }
@@ -51,7 +51,7 @@
         body: impl Into<Bytes>,
         key: Option<&str>,
         timeout: Duration,
-    ) -> Result<Received, CallerError> {
+    ) -> Result<CallerResponse, CallerError> {
         let path = format!("/v1/services/{service}{path}");
         let mut request = self.request(&path, body.into(), timeout);
         if let Some(key) = key.and_then(|k| k.parse().ok()) {
@@ -106,13 +106,13 @@
     }
 }
 
-pub(super) fn whole(status: StatusCode, body: Bytes) -> Result<Received, CallerError> {
+pub(super) fn whole(status: StatusCode, body: Bytes) -> Result<CallerResponse, CallerError> {
     if status.is_success() {
-        return Ok(Received { status, body, last: None });
+        return Ok(CallerResponse { status, body, last: None });
     }
     match std::str::from_utf8(&body) {
         Ok(text) if text.contains("urn:mulberrycourse:") => Err(CallerError::refused(text)),
         // The upstream's own answer, whatever its status.
-        _ => Ok(Received { status, body, last: None }),
+        _ => Ok(CallerResponse { status, body, last: None }),
     }
 }
--- a/src/client/caller/mod.rs
+++ b/src/client/caller/mod.rs
@@ -4,5 +4,5 @@
 mod error;
 mod stream;
 
-pub use caller::{Caller, Received};
+pub use caller::{CallerClient, CallerResponse};
 pub use error::CallerError;
--- a/src/client/caller/stream.rs
+++ b/src/client/caller/stream.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use tokio::time::Instant;
 
-use super::caller::{Caller, LIMIT, Received, whole};
+use super::caller::{CallerClient, CallerResponse, LIMIT, whole};
 use super::error::CallerError;
 use crate::edge::http::{JsonClientError, read_body};
 use crate::edge::upstream::{CompletionRequest, PriorOutput};
@@ -56,18 +56,18 @@
     /// With the last event of the answer.
     Whole(StatusCode),
     /// With an answer that is no stream.
-    Other(Received),
+    Other(CallerResponse),
     /// The node lets it go, and names others.
     Moved(Addresses),
 }
 
-impl Caller {
+impl CallerClient {
     /// Runs a completion as a stream and returns it when it is whole.
     pub async fn stream(
         &self,
         request: &CompletionRequest,
         timeout: Duration,
-    ) -> Result<Received, CallerError> {
+    ) -> Result<CallerResponse, CallerError> {
         let until = Instant::now() + timeout;
         let prior = request.prior.clone().unwrap_or_default();
         let mut part = Part { begin: prior.text.len(), prior, last: None };
@@ -125,9 +125,9 @@
         (self.prior.tokens > 0).then(|| self.prior.clone())
     }
 
-    fn received(self, status: StatusCode) -> Received {
+    fn received(self, status: StatusCode) -> CallerResponse {
         let text = self.prior.text[self.begin..].to_owned();
-        Received { status, body: text.into(), last: self.last }
+        CallerResponse { status, body: text.into(), last: self.last }
     }
 
     async fn read(&mut self, response: Response<Incoming>) -> Result<End, CallerError> {
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -5,5 +5,5 @@
 mod trainer;
 
 pub use addresses::AddressBook;
-pub use caller::{Caller, CallerError, Received};
-pub use trainer::{Pulling, StepReport, Trainer, TrainerError};
+pub use caller::{CallerClient, CallerError, CallerResponse};
+pub use trainer::{StepPull, StepReport, TrainerClient, TrainerError};
--- a/src/client/trainer.rs
+++ b/src/client/trainer.rs
@@ -56,7 +56,7 @@
 
 /// The client.
 #[derive(Debug)]
-pub struct Trainer {
+pub struct TrainerClient {
     name: Name,
     book: AddressBook,
     fetch: JsonClient,
@@ -65,8 +65,8 @@
 
 /// A step that is being pulled.
 #[derive(Debug)]
-pub struct Pulling<'a> {
-    trainer: &'a Trainer,
+pub struct StepPull<'a> {
+    trainer: &'a TrainerClient,
     number: u64,
     spec: &'a StepSpec,
     report: StepReport,
@@ -77,7 +77,7 @@
     failed: u32,
 }
 
-impl Trainer {
+impl TrainerClient {
     /// A trainer of that name.
     pub fn new(name: Name, seeds: Vec<SocketAddr>) -> Self {
         let book = AddressBook::homed(seeds, name.clone());
@@ -102,10 +102,10 @@
         number: u64,
         spec: &'a StepSpec,
         kept: BTreeMap<u32, Group>,
-    ) -> Pulling<'a> {
+    ) -> StepPull<'a> {
         self.advance(spec.version);
         let report = StepReport { groups: kept, ..StepReport::default() };
-        Pulling { trainer: self, number, spec, report, node: None, parts: Vec::new(), failed: 0 }
+        StepPull { trainer: self, number, spec, report, node: None, parts: Vec::new(), failed: 0 }
     }
 
     fn path(&self, number: u64) -> String {
@@ -113,7 +113,7 @@
     }
 }
 
-impl Pulling<'_> {
+impl StepPull<'_> {
     /// What came so far.
     pub fn report(&self) -> &StepReport {
         &self.report
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Kind, Refusal, Run};
+use crate::error::{Kind, Refusal, RunStatus};
 
 /// The end of one attempt.
 ///
@@ -32,11 +32,11 @@
 
 impl AttemptOutcome {
     /// Whether the request ran in this attempt.
-    pub fn run(self) -> Run {
+    pub fn run(self) -> RunStatus {
         match self {
-            Self::Unsent | Self::Refused => Run::NotRun,
-            Self::Unknown => Run::Unknown,
-            Self::Answered => Run::Ran,
+            Self::Unsent | Self::Refused => RunStatus::NotRun,
+            Self::Unknown => RunStatus::Unknown,
+            Self::Answered => RunStatus::Ran,
         }
     }
 }
@@ -71,8 +71,8 @@
     /// Records an attempt that ended.
     pub fn record(&mut self, outcome: AttemptOutcome) {
         self.may_have_run |= match outcome.run() {
-            Run::NotRun => false,
-            Run::Unknown | Run::Ran => true,
+            RunStatus::NotRun => false,
+            RunStatus::Unknown | RunStatus::Ran => true,
         };
     }
 
@@ -80,8 +80,8 @@
     /// [`Kind::OutcomeUnknown`] if the request may have run.
     pub fn adjust(self, refusal: Refusal) -> Refusal {
         match refusal.run() {
-            Run::NotRun if self.may_have_run => refusal.unsure(Kind::OutcomeUnknown),
-            Run::NotRun | Run::Unknown | Run::Ran => refusal,
+            RunStatus::NotRun if self.may_have_run => refusal.unsure(Kind::OutcomeUnknown),
+            RunStatus::NotRun | RunStatus::Unknown | RunStatus::Ran => refusal,
         }
     }
 }
--- a/src/edge/http/server.rs
+++ b/src/edge/http/server.rs
@@ -21,7 +21,7 @@
 use super::{Body, problem_response};
 use crate::edge::acceptor::Acceptor;
 use crate::error::{Kind, Refusal};
-use crate::settings::Connections;
+use crate::settings::ConnectionSettings;
 
 /// The most connections over the limit that are sent a refusal at the same time. Others are closed
 /// without a response.
@@ -53,7 +53,7 @@
 /// The state that all connections of a listener share.
 struct Shared<H> {
     handler: Arc<H>,
-    limits: Connections,
+    limits: ConnectionSettings,
     cancel: CancellationToken,
 }
 
@@ -74,7 +74,7 @@
     pub fn spawn<H: Handler>(
         self,
         handler: Arc<H>,
-        limits: Connections,
+        limits: ConnectionSettings,
         connections: &TaskTracker,
         cancel: CancellationToken,
     ) {
--- a/src/edge/peer/messages.rs
+++ b/src/edge/peer/messages.rs
@@ -11,7 +11,7 @@
 use crate::decide::claim::{AttemptState, ClaimDecision, ClaimKey, ClaimOutcome, ClaimRequest};
 use crate::decide::members::{Gossip, MemberRecord, NodeState};
 use crate::decide::quarantine::CrashNotice;
-use crate::metrics::Purpose;
+use crate::metrics::ControlPurpose;
 
 /// A request type of the peer protocol.
 pub trait PeerMessage: Serialize + DeserializeOwned + Send + Sync + 'static {
@@ -144,15 +144,15 @@
 
 impl NodeRequest {
     /// The purpose that the bytes of the request and its reply are counted for.
-    pub fn purpose(&self) -> Purpose {
+    pub fn purpose(&self) -> ControlPurpose {
         match self {
-            Self::Gossip(_) | Self::Join(_) | Self::Departures(_) => Purpose::Hello,
-            Self::Bundle | Self::Offer(_) => Purpose::Bundle,
-            Self::Claim(_) | Self::CallEnded { .. } | Self::Attempt(_) => Purpose::Claim,
+            Self::Gossip(_) | Self::Join(_) | Self::Departures(_) => ControlPurpose::Hello,
+            Self::Bundle | Self::Offer(_) => ControlPurpose::Bundle,
+            Self::Claim(_) | Self::CallEnded { .. } | Self::Attempt(_) => ControlPurpose::Claim,
             Self::Suspects(_)
             | Self::ListSuspects
             | Self::Trial { .. }
-            | Self::TrialOver { .. } => Purpose::Quarantine,
+            | Self::TrialOver { .. } => ControlPurpose::Quarantine,
         }
     }
 }
--- a/src/edge/platform/client.rs
+++ b/src/edge/platform/client.rs
@@ -19,7 +19,7 @@
 };
 use super::{SwapOutcome, VersionedValue, Vm};
 use crate::edge::http::{JsonClient, JsonClientError};
-use crate::metrics::{Metrics, PlatformUse, Purpose};
+use crate::metrics::{ControlPurpose, Metrics, PlatformPurpose};
 
 /// The longest line of a watch response: a value of a megabyte in base64, with a margin.
 const MAX_WATCH_LINE_BYTES: usize = 4 << 20;
@@ -48,7 +48,7 @@
 impl PlatformClient {
     /// Creates a client. It sends nothing yet.
     pub fn new(address: SocketAddr, timeout: Duration, metrics: Arc<Metrics>) -> Self {
-        let client = JsonClient::with_traffic(metrics.traffic(Purpose::Platform));
+        let client = JsonClient::with_traffic(metrics.traffic(ControlPurpose::Platform));
         Self { address, timeout, client, metrics, vm_list: Arc::default() }
     }
 
@@ -56,7 +56,7 @@
     pub async fn get(
         &self,
         key: &str,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<Option<VersionedValue>, JsonClientError> {
         let request = RangeRequest { key: key.into(), range_end: Vec::new() };
         let (found, _) = self.range(request, purpose).await?;
@@ -67,7 +67,7 @@
     pub async fn list(
         &self,
         prefix: &str,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<(Vec<VersionedValue>, u64), JsonClientError> {
         let request = RangeRequest { key: prefix.into(), range_end: range_end(prefix) };
         self.range(request, purpose).await
@@ -81,7 +81,7 @@
         expected: u64,
         value: Vec<u8>,
         also: Vec<(String, Vec<u8>)>,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> SwapOutcome {
         let compare =
             Compare { key: key.into(), target: "MOD", result: "EQUAL", mod_revision: expected };
@@ -107,7 +107,7 @@
         key: &str,
         value: Vec<u8>,
         lease: Option<i64>,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<(), JsonClientError> {
         let put = Put { key: key.into(), value, lease };
         let _: serde_json::Value = self.post("/v3/kv/put", &put, purpose).await?;
@@ -118,7 +118,7 @@
     pub async fn grant_lease(
         &self,
         ttl: Duration,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<i64, JsonClientError> {
         let grant = Grant { ttl: ttl.as_secs().max(1) };
         let reply: LeaseReply = self.post("/v3/lease/grant", &grant, purpose).await?;
@@ -129,7 +129,7 @@
     pub async fn renew_lease(
         &self,
         lease: i64,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<bool, JsonClientError> {
         let path = "/v3/lease/keepalive";
         let reply: KeepAliveReply = self.post(path, &KeepAlive { id: lease }, purpose).await?;
@@ -141,7 +141,7 @@
         &self,
         prefix: &str,
         from: u64,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<WatchStream, JsonClientError> {
         self.metrics.platform_call(purpose);
         let to = self.address;
@@ -153,7 +153,7 @@
         let codec = LinesCodec::new_with_max_length(MAX_WATCH_LINE_BYTES);
         let lines = FramedRead::new(StreamReader::new(bytes), codec);
         let interrupted = move |e: String| JsonClientError::Interrupted { to, reason: e };
-        let traffic = self.metrics.traffic(Purpose::Platform);
+        let traffic = self.metrics.traffic(ControlPurpose::Platform);
         let changes = lines.flat_map(move |line| {
             traffic.received(line.as_ref().map_or(0, String::len));
             let message = line
@@ -167,7 +167,7 @@
     /// Reads the list of VMs. The platform sends it only if it has changed, where it supports entity
     /// tags.
     pub async fn vms(&self) -> Result<Vec<Vm>, JsonClientError> {
-        self.metrics.platform_call(PlatformUse::Vms);
+        self.metrics.platform_call(PlatformPurpose::Vms);
         let last = self.vm_list.lock().clone();
         let tag = last.as_ref().map(|l| &l.tag);
         let changed = self.client.get_if_changed(self.address, "/vms", tag, self.timeout).await?;
@@ -185,7 +185,7 @@
     async fn range(
         &self,
         request: RangeRequest,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<(Vec<VersionedValue>, u64), JsonClientError> {
         let reply: RangeReply = self.post("/v3/kv/range", &request, purpose).await?;
         Ok((reply.kvs.into_iter().map(VersionedValue::from).collect(), reply.header.revision))
@@ -196,7 +196,7 @@
         &self,
         path: &str,
         request: &Q,
-        purpose: PlatformUse,
+        purpose: PlatformPurpose,
     ) -> Result<T, JsonClientError> {
         self.metrics.platform_call(purpose);
         self.client.call(self.address, Method::POST, path, request, self.timeout).await
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -29,7 +29,7 @@
 use crate::edge::replica::Replicas;
 use crate::edge::schema::StoreSchema;
 use crate::edge::store::Store;
-use crate::metrics::Tally;
+use crate::metrics::EntryMetrics;
 use crate::settings::EntrySettings;
 use crate::{Moment, Name};
 
@@ -39,7 +39,7 @@
     /// The settings of the node.
     pub settings: EntrySettings,
     /// The counters and gauges of the node.
-    pub tally: Arc<Tally>,
+    pub tally: Arc<EntryMetrics>,
     /// The store, through another node if this node does not reach it. The same as
     /// `fallback_store`.
     pub(super) store: Arc<dyn Store>,
@@ -127,11 +127,11 @@
     pub(super) fn new(
         settings: EntrySettings,
         ports: Ports,
-        peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
+        peers: impl FnOnce(Arc<EntryMetrics>) -> Arc<dyn Peers>,
     ) -> Arc<Self> {
         let Ports { store, replicas, schema, duties, clock } = ports;
         let incarnation = format!("{}.{:08x}", settings.name, rand::random::<u32>()).into();
-        let tally = Arc::new(Tally::default());
+        let tally = Arc::new(EntryMetrics::default());
         let peers = peers(tally.clone());
         let direct = Arc::new(CountedStore::new(store, schema.clone(), tally.clone()));
         let fallback_store =
--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -10,14 +10,14 @@
 use crate::edge::store::{
     KeyValue, RangeResult, Store, StoreError, StoreFuture, Txn, TxnOutcome, WatchBatch,
 };
-use crate::metrics::{StoreCall, StoreEnd, StoreUse, Tally};
+use crate::metrics::{EntryMetrics, StoreCall, StoreEnd, StorePurpose};
 
 /// Passes calls on to a store and counts them by kind, outcome and purpose.
 #[derive(Debug)]
 pub(super) struct CountedStore {
     store: Arc<dyn Store>,
     schema: Arc<dyn StoreSchema>,
-    tally: Arc<Tally>,
+    tally: Arc<EntryMetrics>,
 }
 
 impl CountedStore {
@@ -25,37 +25,37 @@
     pub(super) fn new(
         store: Arc<dyn Store>,
         schema: Arc<dyn StoreSchema>,
-        tally: Arc<Tally>,
+        tally: Arc<EntryMetrics>,
     ) -> Self {
         Self { store, schema, tally }
     }
 
     /// Returns the purpose of a call by its key or prefix.
-    fn purpose(&self, key: &str) -> StoreUse {
+    fn purpose(&self, key: &str) -> StorePurpose {
         let schema = &self.schema;
         match key {
-            MEMBERSHIP_PREFIX => StoreUse::Nodes,
-            key if key.starts_with(schema.replicas_prefix()) => StoreUse::Replicas,
-            key if key.starts_with(schema.versions_prefix()) => StoreUse::Versions,
-            key if key.starts_with(schema.retirements_prefix()) => StoreUse::Retirements,
-            key if key.starts_with(schema.routes_prefix()) => StoreUse::Routes,
+            MEMBERSHIP_PREFIX => StorePurpose::Nodes,
+            key if key.starts_with(schema.replicas_prefix()) => StorePurpose::Replicas,
+            key if key.starts_with(schema.versions_prefix()) => StorePurpose::Versions,
+            key if key.starts_with(schema.retirements_prefix()) => StorePurpose::Retirements,
+            key if key.starts_with(schema.routes_prefix()) => StorePurpose::Routes,
             key => key_use(key),
         }
     }
 
     /// Returns the purpose of a transaction, which is that of the first key it changes. The results
     /// of a job are written before the record of its owner.
-    fn txn_purpose(&self, txn: &Txn) -> StoreUse {
+    fn txn_purpose(&self, txn: &Txn) -> StorePurpose {
         let put = txn.puts.iter().map(|put| &*put.key);
         let mut keys = put.chain(txn.removes.iter().map(|key| &**key));
-        keys.next().map_or(StoreUse::Other, |key| self.purpose(key))
+        keys.next().map_or(StorePurpose::Other, |key| self.purpose(key))
     }
 
     /// Counts a call once it is answered, and measures its duration unless it is a watch or fails.
     fn count<T: Send + 'static>(
         &self,
         call: StoreCall,
-        purpose: StoreUse,
+        purpose: StorePurpose,
         answer: StoreFuture<T>,
     ) -> StoreFuture<T> {
         let tally = self.tally.clone();
@@ -94,14 +94,14 @@
     }
 
     fn grant(&self, ttl: Duration) -> StoreFuture<u64> {
-        self.count(StoreCall::Grant, StoreUse::Lease, self.store.grant(ttl))
+        self.count(StoreCall::Grant, StorePurpose::Lease, self.store.grant(ttl))
     }
 
     fn renew(&self, lease: u64) -> StoreFuture<bool> {
-        self.count(StoreCall::Keep, StoreUse::Lease, self.store.renew(lease))
+        self.count(StoreCall::Keep, StorePurpose::Lease, self.store.renew(lease))
     }
 
     fn revoke(&self, lease: u64) -> StoreFuture<()> {
-        self.count(StoreCall::End, StoreUse::Lease, self.store.revoke(lease))
+        self.count(StoreCall::End, StorePurpose::Lease, self.store.revoke(lease))
     }
 }
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -8,7 +8,7 @@
 use super::membership::Stored;
 use super::read::Lookup;
 use crate::edge::store::{Txn, TxnOutcome};
-use crate::metrics::JobStep;
+use crate::metrics::JobEvent;
 
 /// How long the write that ends a job is retried while the store does not answer.
 const WRITE_RETRY_TIMEOUT: Duration = Duration::from_millis(1_500);
@@ -45,7 +45,7 @@
             let txn = Txn::when(key.clone(), stored.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
                 Ok(TxnOutcome::Done(_)) => {
-                    self.tally.job(JobStep::Ended);
+                    self.tally.job(JobEvent::Ended);
                     tracing::info!(event = "job_ended", job);
                     if let Some(owned) = owned {
                         self.retain_ended(owned);
--- a/src/entry/entry_node.rs
+++ b/src/entry/entry_node.rs
@@ -10,7 +10,7 @@
 use super::ports::Ports;
 use super::usage::share_counts;
 use super::{leader, registration, takeover};
-use crate::metrics::Tally;
+use crate::metrics::EntryMetrics;
 use crate::settings::EntrySettings;
 
 /// How many times the time to live of an address list some clients cache it for.
@@ -34,7 +34,7 @@
     pub fn spawn(
         settings: EntrySettings,
         ports: Ports,
-        peers: impl FnOnce(Arc<Tally>) -> Arc<dyn Peers>,
+        peers: impl FnOnce(Arc<EntryMetrics>) -> Arc<dyn Peers>,
     ) -> Self {
         let app = App::new(settings, ports, peers);
         let (node, life) = (&app.settings.name, &app.incarnation);
--- a/src/entry/keys.rs
+++ b/src/entry/keys.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Name;
-use crate::metrics::StoreUse;
+use crate::metrics::StorePurpose;
 
 /// Prefix of the node records and the leader record; watched by every node.
 pub(super) const MEMBERSHIP_PREFIX: &str = "mulberry/live/";
@@ -92,30 +92,30 @@
 }
 
 /// Classifies a key or prefix of this service for the store call metrics.
-pub(super) fn key_use(key: &str) -> StoreUse {
+pub(super) fn key_use(key: &str) -> StorePurpose {
     if let Some(parsed) = parse_membership_key(key) {
         return match parsed {
-            MembershipKey::Node(_) => StoreUse::Nodes,
-            MembershipKey::Leader => StoreUse::Holder,
+            MembershipKey::Node(_) => StorePurpose::Nodes,
+            MembershipKey::Leader => StorePurpose::Holder,
         };
     }
     match key {
-        USAGE_KEY => return StoreUse::Usage,
-        SCALE_KEY => return StoreUse::Scale,
+        USAGE_KEY => return StorePurpose::Usage,
+        SCALE_KEY => return StorePurpose::Scale,
         _ => {}
     }
     if key.starts_with(JOB_RECORD_PREFIX) {
-        return StoreUse::Homes;
+        return StorePurpose::Homes;
     }
     let Some(part) = key.strip_prefix(JOB_DATA_PREFIX).and_then(|rest| rest.split('/').nth(1))
     else {
-        return StoreUse::Other;
+        return StorePurpose::Other;
     };
     match part {
-        "spec" => StoreUse::Submissions,
-        "results" => StoreUse::Results,
-        "texts" => StoreUse::Texts,
-        _ => StoreUse::Other,
+        "spec" => StorePurpose::Submissions,
+        "results" => StorePurpose::Results,
+        "texts" => StorePurpose::Texts,
+        _ => StorePurpose::Other,
     }
 }
 
--- a/src/entry/peer/http_peers.rs
+++ b/src/entry/peer/http_peers.rs
@@ -9,7 +9,7 @@
 use super::messages::{PeerReply, PeerRequest};
 use super::peers::Peers;
 use crate::edge::peer::{PeerClient, PeerError};
-use crate::metrics::Tally;
+use crate::metrics::EntryMetrics;
 
 /// An HTTP/2 client for requests to other entry nodes.
 #[derive(Debug, Clone)]
@@ -19,7 +19,7 @@
 
 impl HttpPeers {
     /// Creates a client that counts its messages and bytes.
-    pub fn new(tally: Arc<Tally>) -> Self {
+    pub fn new(tally: Arc<EntryMetrics>) -> Self {
         let counts = move |request: &PeerRequest| tally.peer(request.purpose());
         Self { client: PeerClient::new(counts) }
     }
--- a/src/entry/peer/messages.rs
+++ b/src/entry/peer/messages.rs
@@ -14,7 +14,7 @@
 use crate::entry::follow::FeedUpdate;
 use crate::entry::read::ReadResult;
 use crate::entry::submit::SubmitResult;
-use crate::metrics::PeerUse;
+use crate::metrics::PeerPurpose;
 
 /// A request to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -171,13 +171,13 @@
 
 impl PeerRequest {
     /// Returns the purpose under which the bytes of the request and of its reply are counted.
-    pub fn purpose(&self) -> PeerUse {
+    pub fn purpose(&self) -> PeerPurpose {
         match self {
-            Self::Submit(_) => PeerUse::Submit,
-            Self::OwnsJob(_) | Self::Body { .. } | Self::Read { .. } => PeerUse::Read,
-            Self::Snapshot { .. } | Self::Follow { .. } | Self::Demand => PeerUse::Follow,
-            Self::Store(_) | Self::StoreRecovered => PeerUse::Store,
-            Self::Usage { .. } => PeerUse::Usage,
+            Self::Submit(_) => PeerPurpose::Submit,
+            Self::OwnsJob(_) | Self::Body { .. } | Self::Read { .. } => PeerPurpose::Read,
+            Self::Snapshot { .. } | Self::Follow { .. } | Self::Demand => PeerPurpose::Follow,
+            Self::Store(_) | Self::StoreRecovered => PeerPurpose::Store,
+            Self::Usage { .. } => PeerPurpose::Usage,
         }
     }
 }
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -12,7 +12,7 @@
 use super::submit::VALUE_RESERVE_BYTES;
 use crate::Name;
 use crate::edge::store::{KeyValue, StoreError, Txn, TxnOutcome};
-use crate::metrics::JobStep;
+use crate::metrics::JobEvent;
 
 /// How long results are gathered for one write once the trainer may be waiting for them. A
 /// sample takes about a second; a write for each result would cost four times as many calls,
@@ -59,7 +59,7 @@
             return;
         }
         if owned.job.lock().all_written() {
-            app.tally.job(JobStep::Complete);
+            app.tally.job(JobEvent::Complete);
             tracing::info!(event = "job_complete", job = %id);
             break;
         }
@@ -230,7 +230,7 @@
 
 /// Stops a job that another node owns now.
 pub(super) fn drop_lost_job(app: &App, owned: &OwnedJob, id: &Name) {
-    app.tally.job(JobStep::Lost);
+    app.tally.job(JobEvent::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is the owner");
     owned.stop.cancel();
     app.owned_jobs.remove(id);
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -17,7 +17,7 @@
 use crate::Name;
 use crate::decide::job::{ItemResult, Job, JobSpec, SampleText, SavedProgress};
 use crate::edge::store::{Change, KeyValue};
-use crate::metrics::JobStep;
+use crate::metrics::JobEvent;
 
 /// Pause after a failed read of the job's record.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -110,7 +110,7 @@
             async move {
                 flush(&app, &owned, &id, HANDOVER_WRITE_ATTEMPTS).await;
                 app.owned_jobs.remove(&id);
-                app.tally.job(JobStep::HandedOver);
+                app.tally.job(JobEvent::HandedOver);
                 tracing::info!(event = "job_handed_over", job = %id);
             }
         });
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -15,7 +15,7 @@
 use crate::Name;
 use crate::decide::job::JobSpec;
 use crate::edge::store::{StoreError, Txn, TxnOutcome};
-use crate::metrics::JobStep;
+use crate::metrics::JobEvent;
 
 /// Maximum number of parts of a submission. They and the job's record are written in one
 /// transaction.
@@ -65,9 +65,9 @@
     pub(super) async fn accept_here(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let submitted = self.store_job(spec).await;
         self.tally.job(match submitted {
-            SubmitResult::Accepted => JobStep::Accepted,
-            SubmitResult::Refused(_) => JobStep::Refused,
-            SubmitResult::Unknown => JobStep::Unsure,
+            SubmitResult::Accepted => JobEvent::Accepted,
+            SubmitResult::Refused(_) => JobEvent::Refused,
+            SubmitResult::Unknown => JobEvent::Unsure,
         });
         submitted
     }
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -17,7 +17,7 @@
 use crate::decide::job::{ItemResult, JobSpec, SampleText, SavedProgress, TextDelta};
 use crate::decide::rendezvous_rank;
 use crate::edge::store::{RangeResult, StoreError, Txn, TxnOutcome};
-use crate::metrics::JobStep;
+use crate::metrics::JobEvent;
 use crate::{Moment, Name};
 
 /// How much longer each next node in rank waits before it scans: the nodes ahead of it need
@@ -144,7 +144,7 @@
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
     match app.store.txn(txn).await {
         Ok(TxnOutcome::Done(revision)) => {
-            app.tally.job(JobStep::Taken);
+            app.tally.job(JobEvent::Taken);
             tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
             resume_job(app, job, Stored { value, revision }).await
         }
--- a/src/error/kind.rs
+++ b/src/error/kind.rs
@@ -5,7 +5,7 @@
 /// Why a request did not get the answer that it asked for.
 ///
 /// Every refusal that a caller, trainer or operator can receive is one of
-/// these; [`super::Answer`] says how each is told. Metrics count by kind.
+/// these; [`super::ErrorResponse`] says how each is told. Metrics count by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
--- a/src/error/refusal.rs
+++ b/src/error/refusal.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Kind, Run};
+use super::{Kind, RunStatus};
 
 /// A final answer that is not the one asked for.
 ///
@@ -12,21 +12,21 @@
 /// [`Refusal::unsure`]; nothing makes it more certain:
 ///
 /// ```compile_fail
-/// use mulberrycourse::error::{Kind, Refusal, Run};
+/// use mulberrycourse::error::{Kind, Refusal, RunStatus};
 /// let mut refusal = Refusal::new(Kind::OutcomeUnknown, "the connection broke");
-/// refusal.run = Run::NotRun;
+/// refusal.run = RunStatus::NotRun;
 /// ```
 /// ```compile_fail
-/// use mulberrycourse::error::{Kind, Refusal, Run};
+/// use mulberrycourse::error::{Kind, Refusal, RunStatus};
 /// let sure = Refusal::new(Kind::RetriesSpent, "no attempt ran");
-/// let refusal = Refusal { kind: Kind::Truncated, run: Run::NotRun, ..sure };
+/// let refusal = Refusal { kind: Kind::Truncated, run: RunStatus::NotRun, ..sure };
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{kind}: {detail}")]
 pub struct Refusal {
     /// Why.
     pub kind: Kind,
-    run: Run,
+    run: RunStatus,
     /// What exactly, for people.
     pub detail: String,
     /// When to come back, if that helps.
@@ -40,13 +40,13 @@
     }
 
     /// What is known about whether the request ran.
-    pub fn run(&self) -> Run {
+    pub fn run(&self) -> RunStatus {
         self.run
     }
 
     /// The request may have run after all, which the kind is to say.
     pub fn unsure(self, kind: Kind) -> Self {
-        Self { kind, run: Run::Unknown, ..self }
+        Self { kind, run: RunStatus::Unknown, ..self }
     }
 
     /// Says when to come back.
@@ -82,7 +82,7 @@
     /// What exactly.
     pub detail: String,
     /// Whether the request ran.
-    pub run: Run,
+    pub run: RunStatus,
     /// When to come back, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
--- a/src/error/answer.rs
+++ b/src/error/response.rs
@@ -8,7 +8,7 @@
 /// What is known about whether the request ran at an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Run {
+pub enum RunStatus {
     /// It certainly did not run.
     NotRun,
     /// It may or may not have run.
@@ -17,7 +17,7 @@
     Ran,
 }
 
-impl Run {
+impl RunStatus {
     /// The word used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -30,25 +30,30 @@
 
 /// How a kind is told to the one who asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Whether the request ran.
-    pub run: Run,
+    pub run: RunStatus,
     /// Whether it is worth asking again later.
     pub again: bool,
     /// One sentence for people.
     pub title: &'static str,
 }
 
-const fn row(status: StatusCode, run: Run, again: bool, title: &'static str) -> Answer {
-    Answer { status, run, again, title }
+const fn row(
+    status: StatusCode,
+    run: RunStatus,
+    again: bool,
+    title: &'static str,
+) -> ErrorResponse {
+    ErrorResponse { status, run, again, title }
 }
 
 impl Kind {
     /// The answer to this kind.
-    pub fn answer(self) -> Answer {
-        use Run::{NotRun, Ran, Unknown};
+    pub fn answer(self) -> ErrorResponse {
+        use RunStatus::{NotRun, Ran, Unknown};
         use StatusCode as S;
         match self {
             Self::BadRequest => row(S::BAD_REQUEST, NotRun, false, "the request is malformed"),
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -16,7 +16,7 @@
 /// A filter that does not parse.
 #[derive(Debug, thiserror::Error)]
 #[error("log level {level}: {reason}")]
-pub struct BadLevel {
+pub struct InvalidLogFilter {
     /// The filter.
     pub level: String,
     /// What is wrong.
@@ -24,17 +24,17 @@
 }
 
 /// Checks a filter.
-pub fn check(level: &str) -> Result<(), BadLevel> {
+pub fn check(level: &str) -> Result<(), InvalidLogFilter> {
     filter(level).map(drop)
 }
 
 /// Starts logging on standard error at a level, or by a filter such as `mulberrycourse=debug`.
-pub fn start(level: &str) -> Result<(), BadLevel> {
+pub fn start(level: &str) -> Result<(), InvalidLogFilter> {
     start_on(level, std::io::stderr)
 }
 
 /// The same on another writer.
-pub fn start_on<W>(level: &str, writer: W) -> Result<(), BadLevel>
+pub fn start_on<W>(level: &str, writer: W) -> Result<(), InvalidLogFilter>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
@@ -47,8 +47,8 @@
     Ok(())
 }
 
-fn filter(level: &str) -> Result<EnvFilter, BadLevel> {
-    let bad = |reason: String| BadLevel { level: level.to_owned(), reason };
+fn filter(level: &str) -> Result<EnvFilter, InvalidLogFilter> {
+    let bad = |reason: String| InvalidLogFilter { level: level.to_owned(), reason };
     let filter = EnvFilter::try_new(level).map_err(|e| bad(e.to_string()))?;
     // A word that is no level parses as the name of a module, and nothing would be logged.
     let words = level.split(',').map(str::trim);
--- a/src/metrics/tally.rs
+++ b/src/metrics/entry_metrics.rs
@@ -14,7 +14,7 @@
 use super::labels::KindLabel;
 use super::metrics::encoded;
 use super::process::Process;
-use super::{Traffic, Way};
+use super::{Direction, Traffic};
 use crate::edge::duty::DutyOutcome;
 use crate::edge::replica::OrderOutcome;
 use crate::error::Kind;
@@ -51,7 +51,7 @@
 
 /// What a job went through here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum JobStep {
+pub enum JobEvent {
     /// Accepted from a trainer.
     Accepted,
     /// Not kept.
@@ -104,7 +104,7 @@
 
 /// What a call to the store is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum StoreUse {
+pub enum StorePurpose {
     /// The configuration.
     Routes,
     /// The versions that trainers name.
@@ -137,7 +137,7 @@
 
 /// What entry nodes ask each other for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum PeerUse {
+pub enum PeerPurpose {
     /// Submissions.
     Submit,
     /// Reads of results.
@@ -161,27 +161,27 @@
 
 label!(AttemptLabel, end: AttemptEnd);
 label!(SampleLabel, end: SampleEnd);
-label!(JobLabel, step: JobStep);
+label!(JobLabel, step: JobEvent);
 label!(OrderLabel, result: OrderOutcome);
 label!(DutyLabel, result: DutyOutcome);
-label!(UseLabel, purpose: PeerUse);
+label!(UseLabel, purpose: PeerPurpose);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct PeerLabel {
-    purpose: PeerUse,
-    way: Way,
+    purpose: PeerPurpose,
+    way: Direction,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StoreLabel {
     call: StoreCall,
     end: StoreEnd,
-    purpose: StoreUse,
+    purpose: StorePurpose,
 }
 
 /// Everything that an entry process counts.
 #[derive(Debug)]
-pub struct Tally {
+pub struct EntryMetrics {
     registry: Mutex<Registry>,
     refusals: Family<KindLabel, Counter>,
     attempts: Family<AttemptLabel, Counter>,
@@ -205,11 +205,11 @@
     pub lines_dropped: Gauge<i64, AtomicI64>,
 }
 
-impl Default for Tally {
+impl Default for EntryMetrics {
     fn default() -> Self {
         // From 1 ms in steps of two to 16 s: an answer of the store to the longest request.
         let seconds = || Histogram::new(exponential_buckets(0.001, 2.0, 15));
-        let tally = Self {
+        let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("mulberry")),
             refusals: Family::default(),
             attempts: Family::default(),
@@ -229,15 +229,15 @@
             routes: Gauge::default(),
             lines_dropped: Gauge::default(),
         };
-        tally.register();
+        metrics.register();
         for kind in Kind::ALL.iter().copied() {
-            drop(tally.refusals.get_or_create(&KindLabel { kind }));
+            drop(metrics.refusals.get_or_create(&KindLabel { kind }));
         }
-        tally
+        metrics
     }
 }
 
-impl Tally {
+impl EntryMetrics {
     fn register(&self) {
         let mut all = self.registry.lock();
         all.register("refusals", "Requests refused, by kind", self.refusals.clone());
@@ -288,7 +288,7 @@
     }
 
     /// Counts a step of a job.
-    pub fn job(&self, step: JobStep) {
+    pub fn job(&self, step: JobEvent) {
         self.jobs.get_or_create(&JobLabel { step }).inc();
     }
 
@@ -308,7 +308,13 @@
     }
 
     /// Counts a call to the store; `took` for one that was to be answered at once.
-    pub fn store(&self, call: StoreCall, end: StoreEnd, purpose: StoreUse, took: Option<Duration>) {
+    pub fn store(
+        &self,
+        call: StoreCall,
+        end: StoreEnd,
+        purpose: StorePurpose,
+        took: Option<Duration>,
+    ) {
         self.store.get_or_create(&StoreLabel { call, end, purpose }).inc();
         if let Some(took) = took {
             self.store_seconds.observe(took.as_secs_f64());
@@ -316,14 +322,14 @@
     }
 
     /// The counters of what nodes ask each other for.
-    pub fn peer(&self, purpose: PeerUse) -> Traffic {
+    pub fn peer(&self, purpose: PeerPurpose) -> Traffic {
         let bytes = |way| self.peer_bytes.get_or_create(&PeerLabel { purpose, way }).clone();
         let messages = |way| self.peer_messages.get_or_create(&PeerLabel { purpose, way }).clone();
         Traffic::new(bytes, messages)
     }
 
     /// Counts a request to another node that ended without a reply.
-    pub fn peer_given_up(&self, purpose: PeerUse) {
+    pub fn peer_given_up(&self, purpose: PeerPurpose) {
         self.peer_given_up.get_or_create(&UseLabel { purpose }).inc();
     }
 
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -23,7 +23,7 @@
 
 /// What a call to the platform was for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum PlatformUse {
+pub enum PlatformPurpose {
     /// Reading or watching the bundle.
     Bundle,
     /// Claims of requests that run at most once.
@@ -34,7 +34,7 @@
     Node,
 }
 
-impl PlatformUse {
+impl PlatformPurpose {
     /// Every purpose.
     pub const ALL: &[Self] = &[Self::Bundle, Self::Claim, Self::Vms, Self::Node];
 }
@@ -69,7 +69,7 @@
 
 /// What control traffic was for. Peer messages have a purpose each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Purpose {
+pub enum ControlPurpose {
     /// Requests to the platform and its answers.
     Platform,
     /// Load reports of engines, and orders to them.
@@ -84,7 +84,7 @@
     Quarantine,
 }
 
-impl Purpose {
+impl ControlPurpose {
     /// Every purpose.
     pub const ALL: &[Self] =
         &[Self::Platform, Self::Order, Self::Hello, Self::Bundle, Self::Claim, Self::Quarantine];
@@ -92,7 +92,7 @@
 
 /// Which way bytes went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Way {
+pub enum Direction {
     /// To this node.
     In,
     /// From this node.
@@ -101,7 +101,7 @@
 
 /// What a control task does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Task {
+pub enum ControlTask {
     /// Follows the bundle.
     Bundle,
     /// Talks with the other nodes.
@@ -120,7 +120,7 @@
     Suspects,
 }
 
-impl Task {
+impl ControlTask {
     /// Every task.
     pub const ALL: &[Self] = &[
         Self::Bundle,
@@ -136,7 +136,7 @@
 
 /// State that a node holds, by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Entry {
+pub enum StateKind {
     /// Other nodes.
     Member,
     /// Upstream VMs.
@@ -159,7 +159,7 @@
     Quarantined,
 }
 
-impl Entry {
+impl StateKind {
     /// Every kind.
     pub const ALL: &[Self] = &[
         Self::Member,
@@ -193,23 +193,23 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct UseLabel {
-    pub(super) purpose: PlatformUse,
+    pub(super) purpose: PlatformPurpose,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct TrafficLabel {
-    pub(super) purpose: Purpose,
-    pub(super) way: Way,
+    pub(super) purpose: ControlPurpose,
+    pub(super) way: Direction,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct TaskLabel {
-    pub(super) task: Task,
+    pub(super) task: ControlTask,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct EntryLabel {
-    pub(super) kind: Entry,
+    pub(super) kind: StateKind,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -14,7 +14,10 @@
 };
 use super::process::Process;
 use super::timed::Seconds;
-use super::{Entry, OrderCause, PlatformUse, Purpose, RetryReason, Task, Timed, Traffic, Way};
+use super::{
+    ControlPurpose, ControlTask, Direction, OrderCause, PlatformPurpose, RetryReason, StateKind,
+    Timed, Traffic,
+};
 use crate::error::Kind;
 
 /// Everything that the node counts.
@@ -93,22 +96,22 @@
         for reason in RetryReason::ALL.iter().copied() {
             drop(self.retries.get_or_create(&ReasonLabel { reason }));
         }
-        for purpose in PlatformUse::ALL.iter().copied() {
+        for purpose in PlatformPurpose::ALL.iter().copied() {
             drop(self.platform.get_or_create(&UseLabel { purpose }));
         }
         for cause in OrderCause::ALL.iter().copied() {
             drop(self.orders.get_or_create(&CauseLabel { cause }));
         }
-        for purpose in Purpose::ALL.iter().copied() {
-            for way in [Way::In, Way::Out] {
+        for purpose in ControlPurpose::ALL.iter().copied() {
+            for way in [Direction::In, Direction::Out] {
                 drop(self.traffic.get_or_create(&TrafficLabel { purpose, way }));
                 drop(self.messages.get_or_create(&TrafficLabel { purpose, way }));
             }
         }
-        for task in Task::ALL.iter().copied() {
+        for task in ControlTask::ALL.iter().copied() {
             drop(self.control.get_or_create(&TaskLabel { task }));
         }
-        for kind in Entry::ALL.iter().copied() {
+        for kind in StateKind::ALL.iter().copied() {
             drop(self.entries.get_or_create(&EntryLabel { kind }));
         }
     }
@@ -124,7 +127,7 @@
     }
 
     /// Counts a call to the platform.
-    pub fn platform_call(&self, purpose: PlatformUse) {
+    pub fn platform_call(&self, purpose: PlatformPurpose) {
         self.platform.get_or_create(&UseLabel { purpose }).inc();
     }
 
@@ -134,19 +137,19 @@
     }
 
     /// The counters of one purpose of control traffic.
-    pub fn traffic(&self, purpose: Purpose) -> Traffic {
+    pub fn traffic(&self, purpose: ControlPurpose) -> Traffic {
         let bytes = |way| self.traffic.get_or_create(&TrafficLabel { purpose, way }).clone();
         let messages = |way| self.messages.get_or_create(&TrafficLabel { purpose, way }).clone();
         Traffic::new(bytes, messages)
     }
 
     /// Counts the processor time of a control task.
-    pub fn timed<F: Future>(&self, task: Task, future: F) -> Timed<F> {
+    pub fn timed<F: Future>(&self, task: ControlTask, future: F) -> Timed<F> {
         Timed::new(future, self.control.get_or_create(&TaskLabel { task }).clone())
     }
 
     /// Sets how many entries of a kind are held.
-    pub fn held(&self, kind: Entry, count: usize) {
+    pub fn held(&self, kind: StateKind, count: usize) {
         self.entries.get_or_create(&EntryLabel { kind }).set(count as i64);
     }
 
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,14 +1,18 @@
 //! What the node counts.
 
+mod entry_metrics;
 mod labels;
 mod metrics;
 mod process;
-mod tally;
 mod timed;
 mod traffic;
 
-pub use labels::{Entry, OrderCause, PlatformUse, Purpose, RetryReason, Task, Way};
+pub use entry_metrics::{
+    AttemptEnd, EntryMetrics, JobEvent, PeerPurpose, SampleEnd, StoreCall, StoreEnd, StorePurpose,
+};
+pub use labels::{
+    ControlPurpose, ControlTask, Direction, OrderCause, PlatformPurpose, RetryReason, StateKind,
+};
 pub use metrics::Metrics;
-pub use tally::{AttemptEnd, JobStep, PeerUse, SampleEnd, StoreCall, StoreEnd, StoreUse, Tally};
 pub use timed::Timed;
 pub use traffic::Traffic;
--- a/src/metrics/traffic.rs
+++ b/src/metrics/traffic.rs
@@ -2,7 +2,7 @@
 
 use prometheus_client::metrics::counter::Counter;
 
-use super::Way;
+use super::Direction;
 
 /// Counts messages and bytes of bodies and messages; heads and framing are not counted.
 #[derive(Debug, Clone, Default)]
@@ -15,12 +15,15 @@
 
 impl Traffic {
     /// The counters of bytes and of messages, by way.
-    pub(super) fn new(bytes: impl Fn(Way) -> Counter, messages: impl Fn(Way) -> Counter) -> Self {
+    pub(super) fn new(
+        bytes: impl Fn(Direction) -> Counter,
+        messages: impl Fn(Direction) -> Counter,
+    ) -> Self {
         Self {
-            sent: bytes(Way::Out),
-            received: bytes(Way::In),
-            messages_out: messages(Way::Out),
-            messages_in: messages(Way::In),
+            sent: bytes(Direction::Out),
+            received: bytes(Direction::In),
+            messages_out: messages(Direction::Out),
+            messages_in: messages(Direction::In),
         }
     }
 
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -17,7 +17,7 @@
 use crate::edge::http::{Body, Handler, full_body, json_response, problem_response};
 use crate::edge::peer::NodeInfo;
 use crate::error::{Kind, Refusal};
-use crate::metrics::Entry;
+use crate::metrics::StateKind;
 
 /// The active bundle of a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -76,7 +76,7 @@
             "/metrics" => {
                 // The tracker also counts the task of the listener itself.
                 let open = self.connections.len().saturating_sub(1);
-                app.metrics.held(Entry::Connection, open);
+                app.metrics.held(StateKind::Connection, open);
                 metrics_response(app)
             }
             "/v1/state/bundle" => match app.bundles.current() {
@@ -100,18 +100,18 @@
 
 fn metrics_response(app: &App) -> Response<Body> {
     let set_entries = |kind, count| app.metrics.held(kind, count);
-    set_entries(Entry::Member, app.members.count());
-    set_entries(Entry::Upstream, app.upstreams.list().len());
-    set_entries(Entry::Step, app.steps.count());
+    set_entries(StateKind::Member, app.members.count());
+    set_entries(StateKind::Upstream, app.upstreams.list().len());
+    set_entries(StateKind::Step, app.steps.count());
     let (suspects, quarantined) = app.quarantine.counts();
-    set_entries(Entry::Suspect, suspects);
-    set_entries(Entry::Quarantined, quarantined);
-    set_entries(Entry::Claim, app.claims.key_count());
-    set_entries(Entry::Attempt, app.claims.attempt_count());
+    set_entries(StateKind::Suspect, suspects);
+    set_entries(StateKind::Quarantined, quarantined);
+    set_entries(StateKind::Claim, app.claims.key_count());
+    set_entries(StateKind::Attempt, app.claims.attempt_count());
     let counts = app.dispatchers().into_iter().map(|(_, d)| d.counts());
     let (waiting, running) = counts.fold((0, 0), |sum, d| (sum.0 + d.0, sum.1 + d.1));
-    set_entries(Entry::Waiting, waiting);
-    set_entries(Entry::Running, running);
+    set_entries(StateKind::Waiting, waiting);
+    set_entries(StateKind::Running, running);
     let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
     let mut response = text_response(StatusCode::OK, app.metrics.text());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -17,13 +17,13 @@
 use super::upstreams::Upstreams;
 use super::{Clock, identity};
 use crate::Name;
-use crate::bundle::Adopted;
+use crate::bundle::AdoptedBundle;
 use crate::decide::{EngineVersions, rendezvous_rank};
 use crate::edge::peer::{NodeInfo, NodeRequest, NodeState, PeerClient};
 use crate::edge::platform::PlatformClient;
 use crate::edge::upstream::{EngineClient, PlainClient};
 use crate::error::{Kind, Refusal};
-use crate::metrics::{Metrics, Purpose};
+use crate::metrics::{ControlPurpose, Metrics};
 use crate::settings::Settings;
 
 /// The shared state of a node.
@@ -61,7 +61,7 @@
             clock: Clock::default(),
             platform,
             peers: counting_peer_client(metrics.clone()),
-            engines: EngineClient::with_traffic(metrics.traffic(Purpose::Order)),
+            engines: EngineClient::with_traffic(metrics.traffic(ControlPurpose::Order)),
             plain: PlainClient,
             bundles: Bundles::new(settings.operators.clone()),
             members: Members::new(&settings.node, &identity),
@@ -119,7 +119,7 @@
     }
 
     /// Returns the active bundle. Refuses the request if there is none yet.
-    pub(super) fn bundle(&self) -> Result<Adopted, Refusal> {
+    pub(super) fn bundle(&self) -> Result<AdoptedBundle, Refusal> {
         let wait = self.settings.platform.timeout;
         self.bundles.current().ok_or_else(|| {
             Refusal::new(Kind::NoBundle, "this node has no active bundle yet").after(wait)
@@ -139,7 +139,7 @@
     }
 
     /// Updates the dispatchers to a bundle that becomes active.
-    pub(super) fn apply_bundle(&self, adopted: &Adopted) {
+    pub(super) fn apply_bundle(&self, adopted: &AdoptedBundle) {
         self.metrics.bundle.set(adopted.bundle.number as i64);
         self.members.set_bundle(adopted.bundle.number);
         let mut dispatchers = self.dispatchers.write();
--- a/src/node/bundles.rs
+++ b/src/node/bundles.rs
@@ -10,10 +10,10 @@
 
 use super::app::App;
 use super::lifecycle::LifecycleEvent;
-use crate::bundle::{Adopted, Adoption, Ahead, Envelope, Operators, Rejected};
+use crate::bundle::{AdoptedBundle, Adoption, BundleError, Envelope, OfferOrder, Operators};
 use crate::edge::http::JsonClientError;
 use crate::edge::platform::VersionedValue;
-use crate::metrics::PlatformUse;
+use crate::metrics::PlatformPurpose;
 
 /// The platform key of the active bundle.
 pub const CURRENT_BUNDLE_KEY: &str = "bundle/current";
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub(super) struct Bundles {
     adoption: Mutex<Adoption>,
-    current: watch::Sender<Option<Adopted>>,
+    current: watch::Sender<Option<AdoptedBundle>>,
     operators: Operators,
 }
 
@@ -49,7 +49,7 @@
     }
 
     /// Returns the active bundle.
-    pub(super) fn current(&self) -> Option<Adopted> {
+    pub(super) fn current(&self) -> Option<AdoptedBundle> {
         self.current.borrow().clone()
     }
 
@@ -59,19 +59,19 @@
     }
 
     /// Returns a receiver that is notified of each bundle that becomes active.
-    pub(super) fn subscribe(&self) -> watch::Receiver<Option<Adopted>> {
+    pub(super) fn subscribe(&self) -> watch::Receiver<Option<AdoptedBundle>> {
         self.current.subscribe()
     }
 
     /// Adopts a bundle if it is newer than the active one. Fails if its signatures or its text are
     /// not valid.
-    pub(super) fn offer(&self, app: &App, envelope: Envelope) -> Result<Ahead, Rejected> {
+    pub(super) fn offer(&self, app: &App, envelope: Envelope) -> Result<OfferOrder, BundleError> {
         let ahead = self.adoption.lock().compare(&envelope);
-        if ahead != Ahead::Later {
+        if ahead != OfferOrder::Later {
             return Ok(ahead);
         }
         let bundle = Arc::new(envelope.verify(&self.operators)?);
-        let adopted = Adopted { bundle, envelope: Arc::new(envelope) };
+        let adopted = AdoptedBundle { bundle, envelope: Arc::new(envelope) };
         let mut adoption = self.adoption.lock();
         let activated = adoption.offer(adopted);
         self.activate(app, activated);
@@ -88,7 +88,7 @@
 
     /// Makes a bundle active. The caller holds the lock of the adoption, so that bundles become
     /// active in order.
-    fn activate(&self, app: &App, activated: Option<Adopted>) {
+    fn activate(&self, app: &App, activated: Option<AdoptedBundle>) {
         let Some(adopted) = activated else { return };
         tracing::info!(event = "bundle_adopted", number = adopted.bundle.number);
         // The dispatchers must exist before the subscribers are notified, which pass the upstreams
@@ -131,13 +131,13 @@
 /// Reads the bundle. If this node is one of the watchers, it then watches the bundle until the
 /// watch ends or this node is no longer a watcher.
 async fn read_and_watch(app: &App) -> Result<(), JsonClientError> {
-    let (values, revision) = app.platform.list(CURRENT_BUNDLE_KEY, PlatformUse::Bundle).await?;
+    let (values, revision) = app.platform.list(CURRENT_BUNDLE_KEY, PlatformPurpose::Bundle).await?;
     values.iter().for_each(|value| offer_stored(app, value));
     if !is_watcher(app) {
         return Ok(());
     }
     let mut watch =
-        app.platform.watch(CURRENT_BUNDLE_KEY, revision + 1, PlatformUse::Bundle).await?;
+        app.platform.watch(CURRENT_BUNDLE_KEY, revision + 1, PlatformPurpose::Bundle).await?;
     loop {
         let change = tokio::select! {
             change = watch.next() => change,
@@ -173,8 +173,10 @@
         }
     };
     match app.bundles.offer(app, envelope) {
-        Ok(Ahead::Earlier) => tracing::warn!(event = "bundle_older", revision = value.revision),
-        Ok(Ahead::Later | Ahead::Same) => {}
+        Ok(OfferOrder::Earlier) => {
+            tracing::warn!(event = "bundle_older", revision = value.revision)
+        }
+        Ok(OfferOrder::Later | OfferOrder::Same) => {}
         Err(e) => tracing::error!(event = "bundle_rejected", error = %e),
     }
 }
--- a/src/node/claims/claims.rs
+++ b/src/node/claims/claims.rs
@@ -9,7 +9,7 @@
 use super::partition::{Partition, run_partition};
 use crate::Name;
 use crate::decide::claim::{Attempts, ClaimKey, PARTITION_COUNT};
-use crate::metrics::Task;
+use crate::metrics::ControlTask;
 use crate::node::app::App;
 
 /// How long a stopping node waits for its last commits: the response time of a slow platform.
@@ -76,6 +76,6 @@
 pub(in crate::node) fn spawn_partitions(app: &Arc<App>) {
     for number in 0..PARTITION_COUNT {
         let task = run_partition(app.clone(), number);
-        tokio::spawn(app.metrics.timed(Task::Claims, task));
+        tokio::spawn(app.metrics.timed(ControlTask::Claims, task));
     }
 }
--- a/src/node/claims/journal_store.rs
+++ b/src/node/claims/journal_store.rs
@@ -5,7 +5,7 @@
 use crate::decide::claim::{FORMAT_VERSION, PartitionHead, SEGMENT_SLOTS, Segment, SwapResult};
 use crate::edge::peer::{decode, encode};
 use crate::edge::platform::{PlatformClient, SwapOutcome, VersionedValue};
-use crate::metrics::PlatformUse;
+use crate::metrics::PlatformPurpose;
 
 fn head_key(partition: u16) -> String {
     format!("claims/{partition:02x}/head")
@@ -22,7 +22,7 @@
     platform: &PlatformClient,
     partition: u16,
 ) -> Result<Option<(PartitionHead, u64)>, ()> {
-    match platform.get(&head_key(partition), PlatformUse::Claim).await {
+    match platform.get(&head_key(partition), PlatformPurpose::Claim).await {
         Ok(None) => Ok(None),
         Ok(Some(value)) => parse_head(&value).map(|head| Some((head, value.revision))),
         Err(e) => {
@@ -42,7 +42,7 @@
     // Without the last digit, the key is a prefix of the keys of 16 neighbouring segments.
     let mut prefix = segment_key(partition, range.start);
     prefix.pop();
-    let listed = platform.list(&prefix, PlatformUse::Claim).await;
+    let listed = platform.list(&prefix, PlatformPurpose::Claim).await;
     let (values, _) = listed.map_err(|e| {
         tracing::warn!(event = "claim_segments_unread", partition, error = %e);
     })?;
@@ -69,7 +69,7 @@
         return SwapResult::Unsent;
     };
     let key = head_key(partition);
-    match platform.compare_and_swap(&key, expected, value, also, PlatformUse::Claim).await {
+    match platform.compare_and_swap(&key, expected, value, also, PlatformPurpose::Claim).await {
         SwapOutcome::Done(revision) => SwapResult::Done(revision),
         SwapOutcome::Conflict(None) => SwapResult::Conflict(None),
         SwapOutcome::Conflict(Some(value)) => {
--- a/src/node/claims/partition.rs
+++ b/src/node/claims/partition.rs
@@ -11,7 +11,7 @@
 use crate::decide::claim::{
     ClaimDecision, ClaimJournal, ClaimKey, ClaimOutcome, ClaimRequest, JournalAction,
 };
-use crate::metrics::Task;
+use crate::metrics::ControlTask;
 use crate::node::app::App;
 use crate::{Moment, Name};
 
@@ -121,7 +121,7 @@
         let (actions, next_tick) = partition.advance(app.clock.now());
         for action in actions {
             let task = execute_action(app.clone(), number, action);
-            tokio::spawn(app.metrics.timed(Task::Claims, task));
+            tokio::spawn(app.metrics.timed(ControlTask::Claims, task));
         }
         let due = async {
             match next_tick {
--- a/src/node/claims/run_once.rs
+++ b/src/node/claims/run_once.rs
@@ -12,7 +12,7 @@
 use crate::decide::Call;
 use crate::decide::claim::{CachedAnswer, ClaimKey};
 use crate::edge::upstream::PlainResponse;
-use crate::error::{Kind, Refusal, Run};
+use crate::error::{Kind, Refusal, RunStatus};
 use crate::node::app::App;
 use crate::node::dispatcher::Dispatcher;
 use crate::node::plain_call;
@@ -60,8 +60,8 @@
     match &result {
         Ok(response) => claim.ran(cached_answer(response)),
         Err(refusal) => match refusal.run() {
-            Run::NotRun => claim.not_run(),
-            Run::Unknown | Run::Ran => claim.unknown(),
+            RunStatus::NotRun => claim.not_run(),
+            RunStatus::Unknown | RunStatus::Ran => claim.unknown(),
         },
     }
     result
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -16,8 +16,8 @@
 use super::{bundles, claims, orders, peers, quarantine, upstreams};
 use crate::edge::http::Listener;
 use crate::edge::peer::PeerListener;
-use crate::metrics::Task;
-use crate::settings::{Connections, Settings};
+use crate::metrics::ControlTask;
+use crate::settings::{ConnectionSettings, Settings};
 
 /// The time between two ticks of the dispatchers.
 const DISPATCHER_TICK_INTERVAL: Duration = Duration::from_millis(20);
@@ -75,21 +75,25 @@
         // drains.
         let other_connections = TaskTracker::new();
         let handler = Arc::new(AdminHandler { app: app.clone(), connections: connections.clone() });
-        admin.spawn(handler, Connections::default(), &other_connections, app.cancel.clone());
+        admin.spawn(handler, ConnectionSettings::default(), &other_connections, app.cancel.clone());
         peer.spawn(
             Arc::new(PeerRequestHandler { app: app.clone() }),
             &other_connections,
             app.cancel.clone(),
         );
         let metrics = &app.metrics;
-        tokio::spawn(metrics.timed(Task::Bundle, bundles::follow_platform(app.clone())));
-        tokio::spawn(metrics.timed(Task::Members, peers::run_gossip(app.clone())));
-        tokio::spawn(metrics.timed(Task::Announce, peers::maintain_registration(app.clone())));
-        tokio::spawn(metrics.timed(Task::Upstreams, upstreams::run_updates(app.clone())));
-        tokio::spawn(metrics.timed(Task::Orders, orders::run_rollouts(app.clone())));
-        tokio::spawn(metrics.timed(Task::Tick, tick_dispatchers(app.clone())));
+        tokio::spawn(metrics.timed(ControlTask::Bundle, bundles::follow_platform(app.clone())));
+        tokio::spawn(metrics.timed(ControlTask::Members, peers::run_gossip(app.clone())));
+        tokio::spawn(
+            metrics.timed(ControlTask::Announce, peers::maintain_registration(app.clone())),
+        );
+        tokio::spawn(metrics.timed(ControlTask::Upstreams, upstreams::run_updates(app.clone())));
+        tokio::spawn(metrics.timed(ControlTask::Orders, orders::run_rollouts(app.clone())));
+        tokio::spawn(metrics.timed(ControlTask::Tick, tick_dispatchers(app.clone())));
         claims::spawn_partitions(&app);
-        tokio::spawn(metrics.timed(Task::Suspects, quarantine::sync_with_peers(app.clone())));
+        tokio::spawn(
+            metrics.timed(ControlTask::Suspects, quarantine::sync_with_peers(app.clone())),
+        );
         Ok(Self { app, admin_address, accept, connections })
     }
 
--- a/src/node/orders/rollout_loop.rs
+++ b/src/node/orders/rollout_loop.rs
@@ -13,7 +13,7 @@
 use crate::decide::{EngineObservation, OrderDecision, Rollout, RolloutStage};
 use crate::edge::http::JsonClientError;
 use crate::edge::upstream::{EngineOrder, EngineOrderReply, EngineStatus};
-use crate::metrics::{OrderCause, Task};
+use crate::metrics::{ControlTask, OrderCause};
 use crate::node::app::App;
 
 /// The time between two rounds, which start the polls and orders that are due.
@@ -113,7 +113,7 @@
         return;
     }
     let (engines, service) = (app.engines.clone(), service.clone());
-    calls.spawn(app.metrics.timed(Task::Orders, async move {
+    calls.spawn(app.metrics.timed(ControlTask::Orders, async move {
         let result = engines.status(address, ENGINE_CALL_TIMEOUT).await;
         CallResult::Status { service, engine, result }
     }));
@@ -122,7 +122,7 @@
 fn send_order(app: &Arc<App>, engine: Name, order: EngineOrder, calls: &mut JoinSet<CallResult>) {
     let Some(address) = engine_address(app, &engine) else { return };
     let engines = app.engines.clone();
-    calls.spawn(app.metrics.timed(Task::Orders, async move {
+    calls.spawn(app.metrics.timed(ControlTask::Orders, async move {
         let result = engines.order(address, order, ENGINE_CALL_TIMEOUT).await;
         CallResult::Order { engine, result }
     }));
--- a/src/node/orders/rollouts.rs
+++ b/src/node/orders/rollouts.rs
@@ -6,7 +6,7 @@
 use parking_lot::Mutex;
 
 use crate::Name;
-use crate::bundle::{Bundle, Engine, ServiceSpec};
+use crate::bundle::{Bundle, EngineSpec, ServiceSpec};
 use crate::decide::{Rollout, SwapChains, TargetWeights, rendezvous_score};
 use crate::node::app::App;
 
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(super) struct EngineFleet {
     pub(super) service: Name,
-    pub(super) engine: Engine,
+    pub(super) engine: EngineSpec,
     /// The names of the engines.
     pub(super) names: Vec<Name>,
     /// The owner of each engine: the node that sends it orders.
@@ -99,6 +99,6 @@
 }
 
 /// Returns the weights that the bundle asks for at a service's engines.
-pub(super) fn target_weights(bundle: &Bundle, engine: &Engine) -> TargetWeights {
+pub(super) fn target_weights(bundle: &Bundle, engine: &EngineSpec) -> TargetWeights {
     TargetWeights { generation: bundle.number, version: engine.version }
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -14,7 +14,7 @@
 use crate::bundle::Envelope;
 use crate::decide::members::{GossipEffect, MemberRecord};
 use crate::edge::peer::{NodeInfo, NodeLocation, NodeReply, NodeRequest, PeerError, PeerHandler};
-use crate::metrics::{PlatformUse, Task, Traffic};
+use crate::metrics::{ControlTask, PlatformPurpose, Traffic};
 
 /// The time between two gossip rounds.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(500);
@@ -119,7 +119,7 @@
             }
         };
         for to in targets {
-            tokio::spawn(app.metrics.timed(Task::Members, exchange_gossip(app.clone(), to)));
+            tokio::spawn(app.metrics.timed(ControlTask::Members, exchange_gossip(app.clone(), to)));
         }
     }
 }
@@ -246,7 +246,8 @@
 }
 
 async fn load_registered_nodes(app: &App) {
-    let Ok((values, _)) = app.platform.list(REGISTRATION_PREFIX, PlatformUse::Node).await else {
+    let Ok((values, _)) = app.platform.list(REGISTRATION_PREFIX, PlatformPurpose::Node).await
+    else {
         return;
     };
     let infos = values.iter().filter_map(|v| serde_json::from_slice::<NodeInfo>(&v.value).ok());
@@ -259,15 +260,15 @@
 /// it. Returns the lease, if there is one.
 async fn renew_registration(app: &App, lease: Option<i64>) -> Option<i64> {
     if let Some(id) = lease
-        && app.platform.renew_lease(id, PlatformUse::Node).await.unwrap_or(true)
+        && app.platform.renew_lease(id, PlatformPurpose::Node).await.unwrap_or(true)
     {
         return lease;
     }
-    let id = app.platform.grant_lease(REGISTRATION_TTL, PlatformUse::Node).await.ok()?;
+    let id = app.platform.grant_lease(REGISTRATION_TTL, PlatformPurpose::Node).await.ok()?;
     let info = app.own_info();
     let value = serde_json::to_vec(&info).ok()?;
     let key = format!("{REGISTRATION_PREFIX}{}", info.name);
-    app.platform.put(&key, value, Some(id), PlatformUse::Node).await.ok()?;
+    app.platform.put(&key, value, Some(id), PlatformPurpose::Node).await.ok()?;
     Some(id)
 }
 
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use super::{Document, Invalid};
+use super::{Document, SettingsError};
 use crate::Name;
 use crate::decide::usage::Windows;
 
@@ -84,13 +84,13 @@
 
 impl EntrySettings {
     /// Reads and validates a settings file.
-    pub fn open(path: &Path) -> Result<Self, Invalid> {
+    pub fn open(path: &Path) -> Result<Self, SettingsError> {
         Self::read(&Document::open(path)?)
     }
 
     /// Validates a parsed document. An unknown section or key, a missing key, or a value out of
     /// bounds is an error.
-    pub fn read(doc: &Document) -> Result<Self, Invalid> {
+    pub fn read(doc: &Document) -> Result<Self, SettingsError> {
         doc.only(&SECTIONS, &[])?;
         let node = doc.section("node")?;
         let store = doc.section("store")?;
@@ -156,7 +156,7 @@
 }
 
 /// Reads the `[usage]` section. `late` defaults to the length of the window.
-fn usage_windows(section: &super::Section<'_>) -> Result<Windows, Invalid> {
+fn usage_windows(section: &super::Section<'_>) -> Result<Windows, SettingsError> {
     let length = section.duration("window", MIN_USAGE_WINDOW)?;
     if length < MIN_USAGE_WINDOW {
         let text = section.text("window").unwrap_or_default();
@@ -169,7 +169,7 @@
 fn optional_address(
     section: &super::Section<'_>,
     key: &str,
-) -> Result<Option<SocketAddr>, Invalid> {
+) -> Result<Option<SocketAddr>, SettingsError> {
     match section.text(key) {
         None | Some("") => Ok(None),
         Some(_) => section.value(key).map(Some),
--- a/src/settings/invalid.rs
+++ b/src/settings/error.rs
@@ -6,7 +6,7 @@
 
 /// Why an INI text was not taken. Each names the file, the section and the key.
 #[derive(Debug, thiserror::Error)]
-pub enum Invalid {
+pub enum SettingsError {
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
@@ -27,7 +27,7 @@
     },
     /// A section that has to be there is not.
     #[error("{file}: section [{section}] is missing")]
-    NoSection {
+    MissingSection {
         /// The file.
         file: Name,
         /// The section.
@@ -45,7 +45,7 @@
     },
     /// A key that has to be there is not.
     #[error("{file}: [{section}] {key} is missing")]
-    NoKey {
+    MissingKey {
         /// The file.
         file: Name,
         /// The section.
@@ -55,7 +55,7 @@
     },
     /// A section with free keys has too few of them.
     #[error("{file}: [{section}] has {found} entries; at least {needed} are needed")]
-    Few {
+    TooFewEntries {
         /// The file.
         file: Name,
         /// The section.
@@ -79,7 +79,7 @@
     },
     /// A value that does not do.
     #[error("{file}: [{section}] {key} = {value}: {reason}")]
-    BadValue {
+    InvalidValue {
         /// The file.
         file: Name,
         /// The section.
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use super::{Document, Invalid, Section};
+use super::{Document, Section, SettingsError};
 use crate::Name;
 use crate::bundle::Operators;
 
@@ -36,11 +36,11 @@
     /// Section `[platform]`.
     pub platform: PlatformSettings,
     /// Section `[peers]`.
-    pub peers: Peers,
+    pub peers: PeerSettings,
     /// Section `[drain]`.
-    pub drain: Drain,
+    pub drain: DrainSettings,
     /// Section `[connections]`.
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
     /// Section `[operators]`: who may sign a bundle.
     pub operators: Operators,
     /// `[log] level`: a filter such as `info` or `mulberrycourse=debug`.
@@ -75,14 +75,14 @@
 
 /// How this node finds the others.
 #[derive(Debug, Clone, Default)]
-pub struct Peers {
+pub struct PeerSettings {
     /// Peer addresses to ask when the platform does not answer.
     pub seeds: Vec<SocketAddr>,
 }
 
 /// How this node stops.
 #[derive(Debug, Clone, Copy)]
-pub struct Drain {
+pub struct DrainSettings {
     /// How long callers keep an address answer.
     pub ttl: Duration,
     /// How much longer the node serves than that.
@@ -93,7 +93,7 @@
 
 /// What callers' connections may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Connections {
+pub struct ConnectionSettings {
     /// The most that are open at the callers' listener; more are refused.
     pub most: usize,
     /// How long a caller may take to send the head of a request.
@@ -102,41 +102,41 @@
 
 impl Settings {
     /// Reads and checks a file.
-    pub fn open(path: &Path) -> Result<Self, Invalid> {
+    pub fn open(path: &Path) -> Result<Self, SettingsError> {
         Self::read(&Document::open(path)?)
     }
 
     /// Checks a parsed text.
-    pub fn read(doc: &Document) -> Result<Self, Invalid> {
+    pub fn read(doc: &Document) -> Result<Self, SettingsError> {
         let known = ["node", "platform", "peers", "drain", "connections", "operators", "log"];
         doc.only(&known, &[])?;
         Ok(Self {
             node: node(doc.section("node")?)?,
             platform: platform(doc.section("platform")?)?,
             peers: doc.optional("peers").map(peers).transpose()?.unwrap_or_default(),
-            drain: doc.optional("drain").map_or(Ok(Drain::default()), drain)?,
+            drain: doc.optional("drain").map_or(Ok(DrainSettings::default()), drain)?,
             connections: doc
                 .optional("connections")
-                .map_or(Ok(Connections::default()), connections)?,
+                .map_or(Ok(ConnectionSettings::default()), connections)?,
             operators: operators(doc.section("operators")?)?,
             level: doc.optional("log").map_or(Ok("info".to_owned()), level)?,
         })
     }
 }
 
-impl Default for Connections {
+impl Default for ConnectionSettings {
     fn default() -> Self {
         Self { most: CONNECTIONS, head: HEAD }
     }
 }
 
-impl Default for Drain {
+impl Default for DrainSettings {
     fn default() -> Self {
         Self { ttl: ANSWER_TTL, margin: DRAIN_MARGIN, grace: DRAIN_GRACE }
     }
 }
 
-fn node(section: Section<'_>) -> Result<NodeSettings, Invalid> {
+fn node(section: Section<'_>) -> Result<NodeSettings, SettingsError> {
     let settings = NodeSettings {
         name: section.required("name")?.into(),
         region: section.required("region")?.into(),
@@ -151,7 +151,7 @@
 }
 
 /// An address that is also told to others, so it has to be one that they can connect to.
-fn told(section: &Section<'_>, key: &str) -> Result<SocketAddr, Invalid> {
+fn told(section: &Section<'_>, key: &str) -> Result<SocketAddr, SettingsError> {
     let address: SocketAddr = section.value(key)?;
     if address.ip().is_unspecified() {
         let reason = "expected the address that others connect to, not every interface";
@@ -161,7 +161,7 @@
 }
 
 /// Two listeners can't share a port; port 0 takes a free one.
-fn distinct(section: &Section<'_>, node: &NodeSettings) -> Result<(), Invalid> {
+fn distinct(section: &Section<'_>, node: &NodeSettings) -> Result<(), SettingsError> {
     let pairs = [
         ("peers", node.peers, "callers", node.callers),
         ("admin", node.admin, "callers", node.callers),
@@ -178,15 +178,16 @@
     Ok(())
 }
 
-fn connections(section: Section<'_>) -> Result<Connections, Invalid> {
+fn connections(section: Section<'_>) -> Result<ConnectionSettings, SettingsError> {
     let head = section.duration("head", HEAD)?;
-    let settings = Connections { most: section.within("most", 1..=100_000, CONNECTIONS)?, head };
+    let settings =
+        ConnectionSettings { most: section.within("most", 1..=100_000, CONNECTIONS)?, head };
     positive(&section, "head", head)?;
     section.finish()?;
     Ok(settings)
 }
 
-fn operators(section: Section<'_>) -> Result<Operators, Invalid> {
+fn operators(section: Section<'_>) -> Result<Operators, SettingsError> {
     let found = section.all().len();
     if found < SIGNERS {
         return Err(section.few(found, SIGNERS));
@@ -194,7 +195,7 @@
     Operators::read(section)
 }
 
-fn positive(section: &Section<'_>, key: &str, value: Duration) -> Result<(), Invalid> {
+fn positive(section: &Section<'_>, key: &str, value: Duration) -> Result<(), SettingsError> {
     if value.is_zero() || value > LONGEST {
         let reason = format!("expected more than 0s and at most {}s", LONGEST.as_secs());
         return Err(section.bad(key, &format!("{value:?}"), reason));
@@ -202,7 +203,7 @@
     Ok(())
 }
 
-fn platform(section: Section<'_>) -> Result<PlatformSettings, Invalid> {
+fn platform(section: Section<'_>) -> Result<PlatformSettings, SettingsError> {
     let settings = PlatformSettings {
         address: section.value("address")?,
         timeout: section.duration("timeout", PLATFORM_TIMEOUT)?,
@@ -212,14 +213,14 @@
     Ok(settings)
 }
 
-fn peers(section: Section<'_>) -> Result<Peers, Invalid> {
-    let settings = Peers { seeds: section.list("seeds")? };
+fn peers(section: Section<'_>) -> Result<PeerSettings, SettingsError> {
+    let settings = PeerSettings { seeds: section.list("seeds")? };
     section.finish()?;
     Ok(settings)
 }
 
-fn drain(section: Section<'_>) -> Result<Drain, Invalid> {
-    let settings = Drain {
+fn drain(section: Section<'_>) -> Result<DrainSettings, SettingsError> {
+    let settings = DrainSettings {
         ttl: section.duration("ttl", ANSWER_TTL)?,
         margin: section.duration("margin", DRAIN_MARGIN)?,
         grace: section.duration("grace", DRAIN_GRACE)?,
@@ -228,7 +229,7 @@
     Ok(settings)
 }
 
-fn level(section: Section<'_>) -> Result<String, Invalid> {
+fn level(section: Section<'_>) -> Result<String, SettingsError> {
     let level = section.text("level").unwrap_or("info").to_owned();
     crate::logs::check(&level).map_err(|e| section.bad("level", &level, e.reason))?;
     section.finish()?;
--- a/src/settings/section.rs
+++ b/src/settings/section.rs
@@ -10,7 +10,7 @@
 
 use ini::{Ini, ParseOption, Properties};
 
-use super::{Invalid, lines};
+use super::{SettingsError, syntax};
 use crate::Name;
 
 /// A parsed INI text.
@@ -22,20 +22,20 @@
 
 impl Document {
     /// Reads a file.
-    pub fn open(path: &Path) -> Result<Self, Invalid> {
+    pub fn open(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|source| Invalid::Unreadable { path: path.to_owned(), source })?;
+            .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
         Self::parse(&path.display().to_string(), &text)
     }
 
     /// Parses a text; `file` names it in errors.
-    pub fn parse(file: &str, text: &str) -> Result<Self, Invalid> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let file: Name = file.into();
-        lines::check(&file, text)?;
+        syntax::check(&file, text)?;
         // Quotes and backslashes are text: a path or a name means what it says.
         let literal =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
-        let ini = Ini::load_from_str_opt(text, literal).map_err(|e| Invalid::Syntax {
+        let ini = Ini::load_from_str_opt(text, literal).map_err(|e| SettingsError::Syntax {
             file: file.clone(),
             line: e.line,
             reason: e.msg.to_string(),
@@ -44,9 +44,11 @@
     }
 
     /// The section of that name.
-    pub fn section(&self, name: &str) -> Result<Section<'_>, Invalid> {
-        self.optional(name)
-            .ok_or_else(|| Invalid::NoSection { file: self.file.clone(), section: name.to_owned() })
+    pub fn section(&self, name: &str) -> Result<Section<'_>, SettingsError> {
+        self.optional(name).ok_or_else(|| SettingsError::MissingSection {
+            file: self.file.clone(),
+            section: name.to_owned(),
+        })
     }
 
     /// The section of that name, if it is there.
@@ -69,14 +71,14 @@
     }
 
     /// Checks that each section is one of `single`, or starts with a word of `many`.
-    pub fn only(&self, single: &[&str], many: &[&str]) -> Result<(), Invalid> {
+    pub fn only(&self, single: &[&str], many: &[&str]) -> Result<(), SettingsError> {
         for title in self.ini.sections().flatten() {
             let word = title.split_once(' ').map(|(word, _)| word);
             let known = single.contains(&title) || word.is_some_and(|w| many.contains(&w));
             if !known {
                 let mut names: Vec<String> = single.iter().map(|s| (*s).to_owned()).collect();
                 names.extend(many.iter().map(|m| format!("{m} NAME")));
-                return Err(Invalid::UnknownSection {
+                return Err(SettingsError::UnknownSection {
                     file: self.file.clone(),
                     section: title.to_owned(),
                     known: names.join(", "),
@@ -104,8 +106,8 @@
     }
 
     /// The value of a key that has to be there.
-    pub fn required(&self, key: &str) -> Result<&str, Invalid> {
-        self.text(key).filter(|v| !v.is_empty()).ok_or_else(|| Invalid::NoKey {
+    pub fn required(&self, key: &str) -> Result<&str, SettingsError> {
+        self.text(key).filter(|v| !v.is_empty()).ok_or_else(|| SettingsError::MissingKey {
             file: self.file.clone(),
             section: self.name.clone(),
             key: key.to_owned(),
@@ -113,7 +115,7 @@
     }
 
     /// A value of any type that parses from text.
-    pub fn value<T>(&self, key: &str) -> Result<T, Invalid>
+    pub fn value<T>(&self, key: &str) -> Result<T, SettingsError>
     where
         T: FromStr,
         T::Err: Display,
@@ -123,7 +125,7 @@
     }
 
     /// The same, with a default.
-    pub fn value_or<T>(&self, key: &str, default: T) -> Result<T, Invalid>
+    pub fn value_or<T>(&self, key: &str, default: T) -> Result<T, SettingsError>
     where
         T: FromStr,
         T::Err: Display,
@@ -135,7 +137,12 @@
     }
 
     /// A number within a range.
-    pub fn within<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> Result<T, Invalid>
+    pub fn within<T>(
+        &self,
+        key: &str,
+        range: RangeInclusive<T>,
+        default: T,
+    ) -> Result<T, SettingsError>
     where
         T: FromStr + PartialOrd + Display,
         T::Err: Display,
@@ -149,7 +156,7 @@
     }
 
     /// A duration with a unit, such as `250ms` or `5s`.
-    pub fn duration(&self, key: &str, default: Duration) -> Result<Duration, Invalid> {
+    pub fn duration(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
         let Some(text) = self.text(key) else { return Ok(default) };
         humantime::parse_duration(text).map_err(|e| {
             self.bad(key, text, format!("{e}; expected a number with a unit, such as 250ms or 5s"))
@@ -157,7 +164,7 @@
     }
 
     /// A list, separated by commas.
-    pub fn list<T>(&self, key: &str) -> Result<Vec<T>, Invalid>
+    pub fn list<T>(&self, key: &str) -> Result<Vec<T>, SettingsError>
     where
         T: FromStr,
         T::Err: Display,
@@ -168,7 +175,12 @@
     }
 
     /// A choice of a closed set.
-    pub fn choice<T: Copy>(&self, key: &str, set: &[(&str, T)], default: T) -> Result<T, Invalid> {
+    pub fn choice<T: Copy>(
+        &self,
+        key: &str,
+        set: &[(&str, T)],
+        default: T,
+    ) -> Result<T, SettingsError> {
         let Some(text) = self.text(key) else { return Ok(default) };
         let found = set.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
         found.ok_or_else(|| {
@@ -184,13 +196,18 @@
     }
 
     /// The error for a section with too few entries.
-    pub fn few(&self, found: usize, needed: usize) -> Invalid {
-        Invalid::Few { file: self.file.clone(), section: self.name.clone(), found, needed }
+    pub fn few(&self, found: usize, needed: usize) -> SettingsError {
+        SettingsError::TooFewEntries {
+            file: self.file.clone(),
+            section: self.name.clone(),
+            found,
+            needed,
+        }
     }
 
     /// The error for a value that does not do.
-    pub fn bad(&self, key: &str, value: &str, reason: String) -> Invalid {
-        Invalid::BadValue {
+    pub fn bad(&self, key: &str, value: &str, reason: String) -> SettingsError {
+        SettingsError::InvalidValue {
             file: self.file.clone(),
             section: self.name.clone(),
             key: key.to_owned(),
@@ -200,12 +217,12 @@
     }
 
     /// Fails if the section has a key that nothing took.
-    pub fn finish(self) -> Result<(), Invalid> {
+    pub fn finish(self) -> Result<(), SettingsError> {
         let taken = self.taken.into_inner();
         let unknown = self.keys.iter().map(|(key, _)| key).find(|key| !taken.contains(*key));
         match unknown {
             None => Ok(()),
-            Some(key) => Err(Invalid::UnknownKey {
+            Some(key) => Err(SettingsError::UnknownKey {
                 file: self.file,
                 section: self.name,
                 key: key.to_owned(),
--- a/src/settings/lines.rs
+++ b/src/settings/syntax.rs
@@ -7,16 +7,17 @@
 
 use std::collections::BTreeSet;
 
-use super::Invalid;
+use super::SettingsError;
 use crate::Name;
 
 /// Checks every line of a text.
-pub(super) fn check(file: &Name, text: &str) -> Result<(), Invalid> {
+pub(super) fn check(file: &Name, text: &str) -> Result<(), SettingsError> {
     let mut sections = BTreeSet::new();
     let mut keys = BTreeSet::new();
     let mut section = String::new();
     for (index, line) in text.lines().enumerate() {
-        let fail = |reason: String| Invalid::Syntax { file: file.clone(), line: index + 1, reason };
+        let fail =
+            |reason: String| SettingsError::Syntax { file: file.clone(), line: index + 1, reason };
         plain(line).map_err(fail)?;
         let trimmed = line.trim();
         if trimmed.is_empty() || line.starts_with([';', '#']) {
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use mulberrycourse::client::Trainer;
+use mulberrycourse::client::TrainerClient;
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
@@ -52,7 +52,7 @@
     let fleet = Fleet::spawn(2, 2, settings).await?;
     fleet.apply(2, &weighed(2, 1, weight)).await?;
     fleet.settled(2).await;
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let began = Instant::now();
     let (mut idle, mut behind, mut samples, mut doubled) = (Duration::ZERO, 0, 0_u64, 0);
     let mut specs: Vec<StepSpec> = (1..=STEPS + 1).map(spec).collect();
--- a/standins/src/bin/mulberry-demo.rs
+++ b/standins/src/bin/mulberry-demo.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use mulberrycourse::client::{Caller, Trainer};
+use mulberrycourse::client::{CallerClient, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::caller::{completion, expected};
 use standins::engine::EngineSettings;
@@ -42,7 +42,7 @@
         EngineSettings { token_time: Duration::from_millis(20), ..EngineSettings::default() };
     let fleet = Fleet::spawn(3, 4, settings).await?;
     println!("3 nodes serve bundle 1, with 4 engines and 2 plain services");
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let answer = shop.call("stock", "/items/7", "", None, WAIT).await?;
     check(answer.body == "ran /items/7 ", "the stock answer is not whole".to_owned())?;
     println!("shop, stock lookup: {}", String::from_utf8_lossy(&answer.body));
@@ -51,7 +51,7 @@
     let ran: usize = fleet.sync.iter().map(|p| p.ledger().len()).sum();
     check(ran == 1, format!("the sync ran {ran} times"))?;
 
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let prompt = |g| GroupSpec { prompt: format!("force card {g}"), samples: 4, max_tokens: 64 };
     let spec = StepSpec { version: 1, groups: (0..8).map(prompt).collect() };
     let request = completion("patter for a double lift", 7, 96);
--- a/standins/src/bin/standin.rs
+++ b/standins/src/bin/standin.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use mulberrycourse::Name;
-use mulberrycourse::client::{Caller, Received, Trainer};
+use mulberrycourse::client::{CallerClient, CallerResponse, TrainerClient};
 use mulberrycourse::decide::GroupSpec;
 use mulberrycourse::edge::platform::{Vm, VmState};
 use standins::caller::completion;
@@ -175,7 +175,7 @@
             serve(store.address()).await
         }
         Command::Call { name, nodes, service, path, key } => {
-            let caller = Caller::new(name, nodes);
+            let caller = CallerClient::new(name, nodes);
             let answer = match service.as_str() {
                 "patter" => caller.stream(&completion(&path, 1, 24), WAIT).await?,
                 plain => caller.call(plain, &path, "", key.as_deref(), WAIT).await?,
@@ -185,7 +185,7 @@
         }
         Command::Trainer { name, nodes, first, steps, groups, samples } => {
             let prompt = GroupSpec { prompt: format!("{name} practises"), samples, max_tokens: 32 };
-            let client = Trainer::new(name, nodes);
+            let client = TrainerClient::new(name, nodes);
             let train = Duration::from_millis(100);
             let tally = trainer::run(&client, first, steps, &prompt, groups, train).await?;
             print(&tally);
@@ -203,7 +203,7 @@
 }
 
 #[allow(clippy::print_stdout)]
-fn say(answer: &Received) {
+fn say(answer: &CallerResponse) {
     println!("{} {}", answer.status.as_u16(), String::from_utf8_lossy(&answer.body));
 }
 
--- a/standins/src/experiment/scenario.rs
+++ b/standins/src/experiment/scenario.rs
@@ -5,7 +5,7 @@
 
 use mulberrycourse::Name;
 use mulberrycourse::decide::{CallerWeights, Class, Repeat, ServiceLimits};
-use mulberrycourse::settings::{Document, Invalid, Section};
+use mulberrycourse::settings::{Document, Section, SettingsError};
 
 use super::Model;
 
@@ -143,18 +143,18 @@
 
 impl Scenario {
     /// Reads a file.
-    pub fn open(path: &Path) -> Result<Self, Invalid> {
+    pub fn open(path: &Path) -> Result<Self, SettingsError> {
         let doc = Document::open(path)?;
         let name = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
         Self::read(&name, &doc)
     }
 
     /// Reads a text.
-    pub fn parse(name: &str, text: &str) -> Result<Self, Invalid> {
+    pub fn parse(name: &str, text: &str) -> Result<Self, SettingsError> {
         Self::read(name, &Document::parse(name, text)?)
     }
 
-    fn read(name: &str, doc: &Document) -> Result<Self, Invalid> {
+    fn read(name: &str, doc: &Document) -> Result<Self, SettingsError> {
         doc.only(&["scenario"], &["flow", "trainer", "change"])?;
         let head = doc.section("scenario")?;
         let kinds = [("engine", true), ("plain", false)];
@@ -201,7 +201,7 @@
 
 impl Deployment {
     /// Reads the deployments of a file.
-    pub fn open(path: &Path) -> Result<Vec<Self>, Invalid> {
+    pub fn open(path: &Path) -> Result<Vec<Self>, SettingsError> {
         let doc = Document::open(path)?;
         doc.only(&[], &["deployment"])?;
         all(&doc, "deployment", |name, section| {
@@ -223,8 +223,8 @@
 fn all<T>(
     doc: &Document,
     kind: &str,
-    one: impl Fn(Name, &Section<'_>) -> Result<T, Invalid>,
-) -> Result<Vec<T>, Invalid> {
+    one: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
+) -> Result<Vec<T>, SettingsError> {
     let mut items = Vec::new();
     for (name, section) in doc.named(kind) {
         items.push(one(name, &section)?);
@@ -233,7 +233,7 @@
     Ok(items)
 }
 
-fn flow(name: Name, section: &Section<'_>) -> Result<Flow, Invalid> {
+fn flow(name: Name, section: &Section<'_>) -> Result<Flow, SettingsError> {
     let classes = [("live", Class::Live), ("training", Class::Training)];
     let repeats = [("idempotent", Repeat::Idempotent), ("once", Repeat::Once)];
     Ok(Flow {
@@ -253,7 +253,7 @@
     })
 }
 
-fn trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, Invalid> {
+fn trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, SettingsError> {
     Ok(TrainerFlow {
         name,
         samples: section.within("samples", 1..=100_000, 256)?,
@@ -266,7 +266,7 @@
     })
 }
 
-fn change(section: &Section<'_>) -> Result<Change, Invalid> {
+fn change(section: &Section<'_>) -> Result<Change, SettingsError> {
     let kinds = [
         ("slow", ChangeKind::Slow),
         ("frozen", ChangeKind::Frozen),
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -6,12 +6,12 @@
 use ed25519_dalek::SigningKey;
 use mulberrycourse::Name;
 use mulberrycourse::bundle::{Envelope, Operators, sign};
-use mulberrycourse::cli::{Failure, Store};
+use mulberrycourse::cli::{BundleStore, CommandError};
 use mulberrycourse::edge::http::{JsonClient, empty_body, read_body};
 use mulberrycourse::edge::platform::{Vm, VmState};
 use mulberrycourse::node::{Node, Phase, StartError};
 use mulberrycourse::settings::{
-    Connections, Drain, NodeSettings, Peers, PlatformSettings, Settings,
+    ConnectionSettings, DrainSettings, NodeSettings, PeerSettings, PlatformSettings, Settings,
 };
 
 use crate::engine::{Engine, EngineSettings};
@@ -35,7 +35,7 @@
     Start(#[from] StartError),
     /// A bundle was not taken.
     #[error(transparent)]
-    Bundle(#[from] Failure),
+    Bundle(#[from] CommandError),
 }
 
 /// Two operators with their keys.
@@ -153,13 +153,13 @@
                 address: self.platform.address(),
                 timeout: Duration::from_secs(1),
             },
-            peers: Peers { seeds: self.nodes.iter().map(Node::peer_address).collect() },
-            drain: Drain {
+            peers: PeerSettings { seeds: self.nodes.iter().map(Node::peer_address).collect() },
+            drain: DrainSettings {
                 ttl: Duration::from_millis(300),
                 margin: Duration::from_millis(200),
                 grace: Duration::from_secs(20),
             },
-            connections: Connections::default(),
+            connections: ConnectionSettings::default(),
             operators: self.signers.operators(),
             level: "info".to_owned(),
         }
@@ -203,7 +203,7 @@
 
     /// Puts a bundle into force at the platform.
     pub async fn apply(&self, number: u64, text: &str) -> Result<(), FleetError> {
-        let store = Store::new(self.platform.address());
+        let store = BundleStore::new(self.platform.address());
         let (_, revision) = store.current().await?;
         store.apply(&self.signers.signed(number, text), revision).await?;
         Ok(())
--- a/standins/src/slope/serving.rs
+++ b/standins/src/slope/serving.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_util::StreamExt;
-use mulberrycourse::client::{Caller, Trainer};
+use mulberrycourse::client::{CallerClient, TrainerClient};
 use mulberrycourse::decide::GroupSpec;
 use mulberrycourse::edge::http::JsonClient;
 use tokio::time::Instant;
@@ -47,8 +47,8 @@
         Ok(one)
     }
 
-    fn caller(&self) -> Caller {
-        Caller::new("shop".into(), vec![self.daemon.callers])
+    fn caller(&self) -> CallerClient {
+        CallerClient::new("shop".into(), vec![self.daemon.callers])
     }
 
     /// Processor time of the node so far, in seconds, and its memory, in bytes.
@@ -138,7 +138,7 @@
     };
     let one = One::spawn(exe, 16, engines).await?;
     let (before, at_rest) = one.spent().await?;
-    let client = Trainer::new("coach".into(), vec![one.daemon.callers]);
+    let client = TrainerClient::new("coach".into(), vec![one.daemon.callers]);
     let prompt = GroupSpec { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
     let began = Instant::now();
     let run = trainer::run(&client, 1, 1, &prompt, size / GROUP, Duration::ZERO);
--- a/standins/src/trainer/mod.rs
+++ b/standins/src/trainer/mod.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::client::{Trainer, TrainerError};
+use mulberrycourse::client::{TrainerClient, TrainerError};
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use tokio::time::Instant;
 
@@ -32,7 +32,7 @@
 /// Runs `steps` steps of `groups` groups; each step trains for `train`, after
 /// which the trainer is one version on.
 pub async fn run(
-    trainer: &Trainer,
+    trainer: &TrainerClient,
     first: u64,
     steps: u64,
     prompt: &GroupSpec,
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -4,22 +4,22 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, LazyLock};
 
-use mulberrycourse::bundle::{Adopted, Adoption, Ahead};
+use mulberrycourse::bundle::{AdoptedBundle, Adoption, OfferOrder};
 use proptest::prelude::*;
 use standins::fleet::{Signers, bundle};
 
 /// Verified bundles by number and version, created once: signing is slow without optimisation.
-static BUNDLES: LazyLock<BTreeMap<(u64, u64), Adopted>> = LazyLock::new(|| {
+static BUNDLES: LazyLock<BTreeMap<(u64, u64), AdoptedBundle>> = LazyLock::new(|| {
     let signers = Signers::default();
     let one = |(number, version)| {
         let envelope = signers.signed(number, &bundle(number, version));
         let bundle = Arc::new(envelope.verify(&signers.operators()).unwrap());
-        ((number, version), Adopted { bundle, envelope: Arc::new(envelope) })
+        ((number, version), AdoptedBundle { bundle, envelope: Arc::new(envelope) })
     };
     (1..8).flat_map(|n| (1..3).map(move |v| (n, v))).map(one).collect()
 });
 
-fn adopted(number: u64, version: u64) -> Adopted {
+fn adopted(number: u64, version: u64) -> AdoptedBundle {
     BUNDLES[&(number, version)].clone()
 }
 
@@ -33,8 +33,8 @@
     assert!(adoption.current().is_none());
     assert_eq!(adoption.asked().unwrap().bundle.number, 7);
     assert!(adoption.offer(adopted(6, 1)).is_none());
-    assert_eq!(adoption.compare(&adopted(6, 1).envelope), Ahead::Earlier);
-    assert_eq!(adoption.compare(&adopted(7, 1).envelope), Ahead::Same);
+    assert_eq!(adoption.compare(&adopted(6, 1).envelope), OfferOrder::Earlier);
+    assert_eq!(adoption.compare(&adopted(7, 1).envelope), OfferOrder::Same);
 }
 
 proptest! {
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
 use standins::caller::{completion, expected};
 use standins::engine::{EngineSettings, Faults, token};
@@ -14,7 +14,7 @@
 async fn faulty(faults: &Faults, request: &CompletionRequest) -> String {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let answer = shop.stream(request, WAIT).await.unwrap();
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
@@ -62,7 +62,7 @@
 async fn event_is_garbled() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { garbled_at: 7, ..Faults::default() });
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     for seed in 0..4 {
         let request = completion("pass", seed, 40);
         let answer = shop.stream(&request, WAIT).await.unwrap();
@@ -77,7 +77,7 @@
     let ask = |prompt, seed| {
         let request =
             CompletionRequest { request_id: "one".into(), ..completion(prompt, seed, 60) };
-        let shop = Caller::new("shop".into(), fleet.callers());
+        let shop = CallerClient::new("shop".into(), fleet.callers());
         async move {
             let answer = shop.stream(&request, WAIT).await.unwrap();
             assert_eq!(answer.body, expected(&request));
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -7,7 +7,7 @@
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
-use mulberrycourse::client::Trainer;
+use mulberrycourse::client::TrainerClient;
 use mulberrycourse::decide::{Group, GroupSpec, Sample, Span, StepSpec};
 use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse};
@@ -74,7 +74,7 @@
     let node = Arc::new(Node { pulls, pulled: AtomicU64::new(0), address: Default::default() });
     let server = Server::bind(ANY, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
-    let trainer = Trainer::new("coach".into(), vec![server.address()]);
+    let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
     let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
     let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
     trainer.advance(5);
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 use mulberrycourse::bundle::{Envelope, sign};
-use mulberrycourse::cli::Store;
-use mulberrycourse::client::Caller;
+use mulberrycourse::cli::BundleStore;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::platform::PlatformClient;
 use mulberrycourse::error::{Kind, Problem};
-use mulberrycourse::metrics::{Metrics, PlatformUse};
+use mulberrycourse::metrics::{Metrics, PlatformPurpose};
 use mulberrycourse::node::{CURRENT_BUNDLE_KEY, Node};
-use mulberrycourse::settings::Connections;
+use mulberrycourse::settings::ConnectionSettings;
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -37,7 +37,7 @@
 }
 
 async fn answers(fleet: &Fleet) {
-    let caller = Caller::new("shop".into(), fleet.callers());
+    let caller = CallerClient::new("shop".into(), fleet.callers());
     let answer = caller.call("stock", "/items/1", "", None, WAIT).await.unwrap();
     assert_eq!(answer.body, "ran /items/1 ");
 }
@@ -120,7 +120,7 @@
 async fn connections_are_bounded() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let mut settings = fleet.settings(0);
-    settings.connections = Connections { most: 2, ..Connections::default() };
+    settings.connections = ConnectionSettings { most: 2, ..ConnectionSettings::default() };
     let node = Node::spawn(settings).await.unwrap();
     let ask = "GET /v1/addresses HTTP/1.1\r\nhost: x\r\n";
     let mut held = Vec::new();
@@ -179,7 +179,7 @@
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     fleet.apply(5, &bundle(5, 1)).await.unwrap();
     fleet.settled(5).await;
-    let store = Store::new(fleet.platform.address());
+    let store = BundleStore::new(fleet.platform.address());
     let good = |number| fleet.signers.signed(number, &bundle(number, 1));
     let (ada, ada_key) = &fleet.signers.keys()[0];
     let mut unsigned = good(10);
@@ -199,7 +199,7 @@
     let platform =
         PlatformClient::new(fleet.platform.address(), WAIT, Arc::new(Metrics::default()));
     for garbage in ["", "{", "[1,2]", "\u{0}\u{1}", "{\"number\":20}"] {
-        let put = platform.put(CURRENT_BUNDLE_KEY, garbage.into(), None, PlatformUse::Bundle);
+        let put = platform.put(CURRENT_BUNDLE_KEY, garbage.into(), None, PlatformPurpose::Bundle);
         put.await.unwrap();
     }
     assert!(fleet.nodes.iter().all(|n| n.bundle_number() == 5));
@@ -211,14 +211,14 @@
     answers(&fleet).await;
 }
 
-async fn write(store: &Store, envelope: &Envelope) {
+async fn write(store: &BundleStore, envelope: &Envelope) {
     let (_, revision) = store.current().await.unwrap();
     store.apply(envelope, revision).await.unwrap();
 }
 
 async fn write_over(platform: &PlatformClient, envelope: &Envelope) {
     let value = serde_json::to_vec(envelope).unwrap();
-    platform.put(CURRENT_BUNDLE_KEY, value, None, PlatformUse::Bundle).await.unwrap();
+    platform.put(CURRENT_BUNDLE_KEY, value, None, PlatformPurpose::Bundle).await.unwrap();
 }
 
 /// A connection to the peer port that never says anything is closed by the node.
--- a/tests/claims/parts.rs
+++ b/tests/claims/parts.rs
@@ -7,7 +7,7 @@
     ClaimKey, ClaimOutcome, ClaimRequest, JournalAction, JournalEntry, MAX_SEGMENT_ENTRIES,
     Segment, SwapResult, partition_owner,
 };
-use mulberrycourse::error::{Kind, Run};
+use mulberrycourse::error::{Kind, RunStatus};
 
 fn request(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
@@ -210,9 +210,9 @@
 #[test]
 fn only_unrecorded_claims_are_not_run() {
     let run = |kind: Kind| kind.answer().run;
-    assert_eq!(run(Kind::ClaimUnavailable), Run::NotRun);
-    assert_eq!(run(Kind::KeyReused), Run::NotRun);
-    assert_eq!(run(Kind::InProgress), Run::Unknown);
-    assert_eq!(run(Kind::OutcomeUnknown), Run::Unknown);
-    assert_eq!(run(Kind::AlreadyRan), Run::Ran);
+    assert_eq!(run(Kind::ClaimUnavailable), RunStatus::NotRun);
+    assert_eq!(run(Kind::KeyReused), RunStatus::NotRun);
+    assert_eq!(run(Kind::InProgress), RunStatus::Unknown);
+    assert_eq!(run(Kind::OutcomeUnknown), RunStatus::Unknown);
+    assert_eq!(run(Kind::AlreadyRan), RunStatus::Ran);
 }
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -7,7 +7,7 @@
 
 use http::StatusCode;
 use mulberrycourse::edge::http::JsonClient;
-use mulberrycourse::error::Run;
+use mulberrycourse::error::RunStatus;
 use mulberrycourse::node::{Addresses, Node};
 use standins::caller::{Answered, send, send_within};
 use standins::engine::EngineSettings;
@@ -94,7 +94,7 @@
         assert_eq!((again.body.as_str(), again.replayed), ("ran /count 7 wands", true));
         let other = ask(&fleet, node, "sync-1", "8 wands").await;
         assert_eq!(kind(&other), "key_reused");
-        assert_eq!(other.problem.unwrap().run, Run::NotRun);
+        assert_eq!(other.problem.unwrap().run, RunStatus::NotRun);
     }
     assert_eq!((runs(&fleet, "7 wands"), runs(&fleet, "8 wands")), (1, 0));
 }
@@ -125,7 +125,7 @@
     let refused = ask(&fleet, 0, "early", "early").await;
     let problem = refused.problem.unwrap();
     assert!(problem.kind.ends_with("claim_unavailable"), "{problem:?}");
-    assert_eq!((problem.run, runs(&fleet, "early")), (Run::NotRun, 0));
+    assert_eq!((problem.run, runs(&fleet, "early")), (RunStatus::NotRun, 0));
     assert!(problem.retry_after_ms.is_some());
     fleet.platform.set_faults(Faults::default());
     assert_eq!(settled(&fleet, 1, "early", "early").await.body, "ran /count early");
@@ -182,7 +182,7 @@
         cut(at);
         let key = format!("key-{round}");
         let broken = ask(&fleet, 0, &key, &key).await;
-        assert_eq!(broken.problem.map(|p| p.run), Some(Run::Unknown), "{at:?}");
+        assert_eq!(broken.problem.map(|p| p.run), Some(RunStatus::Unknown), "{at:?}");
         cut(CutAt::Never);
         for node in 0..3 {
             assert_eq!(kind(&ask(&fleet, node, &key, &key).await), "outcome_unknown");
@@ -202,7 +202,7 @@
     }
     let node = fleet.nodes[0].client_address();
     let refused = send_within(node, "/sync/count", Some("key"), "count", Some(200)).await.unwrap();
-    assert_eq!(refused.problem.map(|p| p.run), Some(Run::NotRun));
+    assert_eq!(refused.problem.map(|p| p.run), Some(RunStatus::NotRun));
     fleet.platform.set_vms(fleet.vms());
     let answer = settled(&fleet, 1, "key", "count").await;
     assert_eq!((answer.body.as_str(), runs(&fleet, "count")), ("ran /count count", 1));
@@ -269,7 +269,7 @@
             for call in asked {
                 let answer = call.await.unwrap().unwrap();
                 let told = answer.problem.map(|p| p.run);
-                assert!(told == Some(Run::NotRun) || answer.status == StatusCode::OK);
+                assert!(told == Some(RunStatus::NotRun) || answer.status == StatusCode::OK);
             }
             for key in &keys {
                 let again = send(old, "/sync/count", Some(key), key).await.unwrap();
--- a/tests/claims_processes.rs
+++ b/tests/claims_processes.rs
@@ -144,7 +144,7 @@
     test.daemons[0].freeze().unwrap();
     for node in [1, 2] {
         let told = test.ask(node, &keys[0]).await.problem.unwrap();
-        assert_eq!(told.run, mulberrycourse::error::Run::Unknown, "{told:?}");
+        assert_eq!(told.run, mulberrycourse::error::RunStatus::Unknown, "{told:?}");
     }
     test.daemons[0].thaw().unwrap();
     assert!(asked.await.unwrap().problem.is_none());
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::decide::{Departure, Departures};
 use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::edge::platform::VmState;
@@ -53,7 +53,7 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for node in &fleet.nodes {
-        let shop = Caller::new("shop".into(), vec![node.client_address()]);
+        let shop = CallerClient::new("shop".into(), vec![node.client_address()]);
         for item in 0..4 {
             shop.call("stock", &format!("/items/{item}"), "", None, REQUEST_TIMEOUT).await.unwrap();
         }
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -2,7 +2,7 @@
 
 use futures_util::StreamExt;
 use mulberrycourse::entry::RelayResponse;
-use mulberrycourse::error::{Kind, Run};
+use mulberrycourse::error::{Kind, RunStatus};
 use standins::replicas::{Mood, ReplicaFleet};
 
 use crate::world::{HOST, Node, World, relay_request, sleep_ms};
@@ -45,7 +45,7 @@
         world.replicas.mood(id, Mood::Breaks(0));
     }
     let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
-    assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, Run::Unknown));
+    assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, RunStatus::Unknown));
     sleep_ms(5_000).await;
     assert_eq!(runs(&world, "r1"), 1);
 }
@@ -59,7 +59,7 @@
     }
     let begun = tokio::time::Instant::now();
     let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
-    assert_eq!(refusal.run(), Run::NotRun);
+    assert_eq!(refusal.run(), RunStatus::NotRun);
     assert!(refusal.after.is_some());
     assert!(begun.elapsed().as_millis() < 100);
     assert_eq!(runs(&world, "r1"), 0);
@@ -75,7 +75,7 @@
         let id = format!("r{i}");
         let response = relayed(&node, &id, "/plain/x").await;
         let RelayResponse::Refused(refusal) = response else { panic!("{response:?}") };
-        assert_eq!(refusal.run() == Run::NotRun, runs(&world, &id) == 0);
+        assert_eq!(refusal.run() == RunStatus::NotRun, runs(&world, &id) == 0);
     }
 }
 
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use mulberrycourse::client::{StepReport, Trainer};
+use mulberrycourse::client::{StepReport, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use mulberrycourse::edge::upstream::{EngineClient, EngineOrder};
 use standins::engine::{Engine, EngineSettings, Faults};
@@ -27,7 +27,7 @@
 /// Pulls the step while `disturb` runs, and checks each label against the ledgers.
 /// Returns the versions that the labels name.
 async fn disturbed(fleet: &Fleet, disturb: impl Future<Output = ()>) -> BTreeSet<u64> {
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(1);
     let (report, ()) =
         tokio::time::timeout(GUARD, async { tokio::join!(trainer.step(1, &spec), disturb) })
--- a/tests/load_invariants.rs
+++ b/tests/load_invariants.rs
@@ -8,7 +8,7 @@
     AttemptOutcome, AttemptReport, Call, Class, Dispatch, DispatchAction, LoadReport, Repeat,
     ServiceLimits, Ticket, UpstreamView,
 };
-use mulberrycourse::error::Run;
+use mulberrycourse::error::RunStatus;
 use proptest::prelude::*;
 
 const CEILING: u32 = 3;
@@ -201,7 +201,7 @@
                     assert_eq!(state, Some(State::Waiting), "refused while it ran, or twice");
                     assert!(refusal.after.is_some());
                     if self.unsure.contains(&ticket) {
-                        assert_ne!(refusal.run(), Run::NotRun, "an attempt may have run");
+                        assert_ne!(refusal.run(), RunStatus::NotRun, "an attempt may have run");
                     }
                 }
             }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -5,10 +5,12 @@
 
 use bytes::Bytes;
 use http::{Request, StatusCode};
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::http::{JsonClient, empty_body, read_body};
 use mulberrycourse::error::Kind;
-use mulberrycourse::metrics::{Entry, Metrics, PlatformUse, Purpose, RetryReason, Task};
+use mulberrycourse::metrics::{
+    ControlPurpose, ControlTask, Metrics, PlatformPurpose, RetryReason, StateKind,
+};
 use mulberrycourse::node::Node;
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
@@ -38,22 +40,22 @@
         let series = format!("mulberry_retries_total{{reason=\"{reason:?}\"}}");
         assert_eq!(value(&text, &series), 0.0);
     }
-    for purpose in PlatformUse::ALL {
+    for purpose in PlatformPurpose::ALL {
         let series = format!("mulberry_platform_calls_total{{purpose=\"{purpose:?}\"}}");
         assert_eq!(value(&text, &series), 0.0);
     }
-    for purpose in Purpose::ALL {
+    for purpose in ControlPurpose::ALL {
         for way in ["In", "Out"] {
             let labels = format!("{{purpose=\"{purpose:?}\",way=\"{way}\"}}");
             assert_eq!(value(&text, &format!("mulberry_control_bytes_total{labels}")), 0.0);
             assert_eq!(value(&text, &format!("mulberry_control_messages_total{labels}")), 0.0);
         }
     }
-    for task in Task::ALL {
+    for task in ControlTask::ALL {
         let series = format!("mulberry_control_seconds_total{{task=\"{task:?}\"}}");
         assert_eq!(value(&text, &series), 0.0);
     }
-    for kind in Entry::ALL {
+    for kind in StateKind::ALL {
         assert_eq!(value(&text, &format!("mulberry_state_entries{{kind=\"{kind:?}\"}}")), 0.0);
     }
     assert!(value(&text, "mulberry_resident_bytes") > 1e6);
@@ -65,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_running_node_counts() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let caller = Caller::new("shop".into(), fleet.callers());
+    let caller = CallerClient::new("shop".into(), fleet.callers());
     caller.call("nowhere", "/", "", None, Duration::from_secs(5)).await.unwrap_err();
     let mut refusals = 0.0;
     for node in &fleet.nodes {
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -6,7 +6,7 @@
 
 use mulberrycourse::decide::{AttemptHistory, AttemptOutcome};
 use mulberrycourse::edge::platform::{Vm, VmState};
-use mulberrycourse::error::{Kind, Refusal, Run};
+use mulberrycourse::error::{Kind, Refusal, RunStatus};
 use standins::caller::{Answered, complete, send, send_within};
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::{ANY, Fleet};
@@ -35,8 +35,8 @@
     (fleet, cutter)
 }
 
-fn reported_run(answer: &Answered) -> Run {
-    answer.problem.as_ref().map_or(Run::Ran, |p| p.run)
+fn reported_run(answer: &Answered) -> RunStatus {
+    answer.problem.as_ref().map_or(RunStatus::Ran, |p| p.run)
 }
 
 /// A call that may not be repeated is cut at each point, with and without a key: it is reported as
@@ -61,15 +61,15 @@
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
     let (told, ran) = (reported_run(&answer), cutter.ran());
     assert!(ran <= 1, "{point:?} {key:?}: ran {ran} times");
-    assert!(told != Run::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
+    assert!(told != RunStatus::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
     let certain = match point {
-        Point::Connect => Some(Run::NotRun),
+        Point::Connect => Some(RunStatus::NotRun),
         // Bytes may have been sent before the close was seen or not, so both answers are right.
         Point::Accept => None,
-        Point::Head | Point::Headers | Point::Body | Point::Read => Some(Run::Unknown),
-        Point::Ran | Point::AnswerHead => Some(Run::Unknown),
-        Point::AnswerHeaders | Point::AnswerBody => Some(Run::Unknown),
-        Point::Nowhere => Some(Run::Ran),
+        Point::Head | Point::Headers | Point::Body | Point::Read => Some(RunStatus::Unknown),
+        Point::Ran | Point::AnswerHead => Some(RunStatus::Unknown),
+        Point::AnswerHeaders | Point::AnswerBody => Some(RunStatus::Unknown),
+        Point::Nowhere => Some(RunStatus::Ran),
     };
     assert!(certain.is_none_or(|c| c == told), "{point:?} {key:?}: {answer:?}");
 }
@@ -85,7 +85,7 @@
         let answer = send_within(node, "/stock/items", None, "x", Some(2_000)).await.unwrap();
         assert_eq!(
             (reported_run(&answer), cutter.ran()),
-            (Run::Unknown, 1),
+            (RunStatus::Unknown, 1),
             "{point:?}: {answer:?}"
         );
     }
@@ -103,7 +103,7 @@
     let body = r#"{"model":"patter","prompt":"palm","max_tokens":8}"#;
     let answer = complete(fleet.nodes[0].client_address(), body, 2_000).await.unwrap();
     assert_eq!(fleet.engines[0].started(), 1);
-    assert_eq!(reported_run(&answer), Run::Unknown, "{answer:?}");
+    assert_eq!(reported_run(&answer), RunStatus::Unknown, "{answer:?}");
 }
 
 /// The deadline passes during an attempt that continues to run: the outcome is unknown.
@@ -118,7 +118,7 @@
     for (answer, replicas) in [(sync, &fleet.sync), (stock, &fleet.stock)] {
         let ran: usize = replicas.iter().map(|p| p.ledger().len()).sum();
         let answer = answer.unwrap();
-        assert_eq!((reported_run(&answer), ran), (Run::Unknown, 1), "{answer:?}");
+        assert_eq!((reported_run(&answer), ran), (RunStatus::Unknown, 1), "{answer:?}");
     }
 }
 
@@ -149,13 +149,16 @@
             let mut history = AttemptHistory::new();
             history.record(first);
             history.record(second);
-            let certain = [first, second].iter().all(|o| o.run() == Run::NotRun);
+            let certain = [first, second].iter().all(|o| o.run() == RunStatus::NotRun);
             for kind in Kind::ALL.iter().copied() {
                 let refusal = history.adjust(Refusal::new(kind, "x"));
-                assert!(certain || refusal.run() != Run::NotRun, "{kind} {first:?} {second:?}");
+                assert!(
+                    certain || refusal.run() != RunStatus::NotRun,
+                    "{kind} {first:?} {second:?}"
+                );
             }
         }
     }
     let untouched = AttemptHistory::new().adjust(Refusal::new(Kind::QueueFull, "x"));
-    assert_eq!((untouched.kind, untouched.run()), (Kind::QueueFull, Run::NotRun));
+    assert_eq!((untouched.kind, untouched.run()), (Kind::QueueFull, RunStatus::NotRun));
 }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-use mulberrycourse::bundle::Rejected;
-use mulberrycourse::cli::{Failure, FailureReport, Rollout, Store, commands};
+use mulberrycourse::bundle::BundleError;
+use mulberrycourse::cli::{BundleStore, CommandError, ErrorReport, RolloutProgress, commands};
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, bundle};
 use standins::platform::Faults;
@@ -73,8 +73,8 @@
     output.status.code()
 }
 
-fn failure(output: &Output) -> FailureReport {
-    let report: FailureReport = serde_json::from_slice(&output.stderr).unwrap();
+fn failure(output: &Output) -> ErrorReport {
+    let report: ErrorReport = serde_json::from_slice(&output.stderr).unwrap();
     assert_eq!(status(output), Some(i32::from(report.status)));
     report
 }
@@ -107,7 +107,7 @@
 
     let node = fleet.nodes[0].admin_address().to_string();
     let done = ctl(&["rollout", "--node", &node, "--number", "2", "--output", "json"]);
-    let rollout: Rollout = serde_json::from_str(&stdout(&done)).unwrap();
+    let rollout: RolloutProgress = serde_json::from_str(&stdout(&done)).unwrap();
     assert_eq!((rollout.nodes, rollout.engines, rollout.all_engines), (2, 2, 2));
     assert!(fleet.engines.iter().all(|e| e.version() == Some(7)));
     let late = ctl(&["rollout", "--node", &node, "--number", "3", "--wait", "0s"]);
@@ -182,7 +182,7 @@
         let report = failure(&lost);
         assert_eq!((report.winner.as_deref(), report.number), (Some(winner), Some(number)));
         assert!(report.difference.unwrap().contains(&format!("-version = {version}\n")));
-        let store = Store::new(fleet.platform.address());
+        let store = BundleStore::new(fleet.platform.address());
         let kept = store.proposed(number).await.unwrap().0.unwrap();
         assert_eq!(&*kept.author, winner);
         assert!(kept.text.contains(&format!("version = {version}\n")));
@@ -194,7 +194,7 @@
 async fn sign_offs_race() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let [(ada, ada_key), (ben, ben_key)] = fleet.signers.keys();
-    let store = Store::new(fleet.platform.address());
+    let store = BundleStore::new(fleet.platform.address());
     for number in 2..12 {
         let mut bare = fleet.signers.signed(number, &bundle(number, 1));
         bare.signatures.clear();
@@ -214,7 +214,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn lost_replies_are_settled() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
-    let store = Store::new(fleet.platform.address());
+    let store = BundleStore::new(fleet.platform.address());
     let lose = |unreadable| {
         let faults = Faults { lose_replies: 1, unreadable, ..Faults::default() };
         fleet.platform.set_faults(faults);
@@ -229,7 +229,7 @@
     let three = fleet.signers.signed(3, &bundle(3, 1));
     lose(true);
     let unsure = store.propose(&three, 0).await.unwrap_err();
-    assert!(matches!(unsure, Failure::Unknown(_)), "{unsure}");
+    assert!(matches!(unsure, CommandError::OutcomeUnknown(_)), "{unsure}");
     assert_eq!(unsure.status(), 7);
     fleet.platform.set_faults(Faults::default());
     // It did take effect, and the same proposal made again is settled as done.
@@ -246,11 +246,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lower_bundle_is_refused() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
-    let store = Store::new(fleet.platform.address());
+    let store = BundleStore::new(fleet.platform.address());
     fleet.apply(3, &bundle(3, 1)).await.unwrap();
     store.propose(&fleet.signers.signed(2, &bundle(2, 1)), 0).await.unwrap();
     let refused = commands::apply(&store, 2, &fleet.signers.operators()).await.unwrap_err();
-    let lower = Rejected::Lower { current: 3, offered: 2 }.to_string();
+    let lower = BundleError::NotLater { current: 3, offered: 2 }.to_string();
     assert_eq!(refused.to_string(), lower);
     assert_eq!(store.current().await.unwrap().0.unwrap().number, 3);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -3,10 +3,10 @@
 
 use std::time::Duration;
 
-use mulberrycourse::client::{Caller, CallerError, Trainer};
+use mulberrycourse::client::{CallerClient, CallerError, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use mulberrycourse::edge::http::JsonClient;
-use mulberrycourse::error::Run;
+use mulberrycourse::error::RunStatus;
 use mulberrycourse::node::Addresses;
 use standins::caller::{completion, expected};
 use standins::engine::EngineSettings;
@@ -25,7 +25,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_path() {
     let fleet = Fleet::spawn(3, 3, EngineSettings::default()).await.unwrap();
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
 
     let answer = shop.call("stock", "/items/7?size=s", "", None, WAIT).await.unwrap();
     assert_eq!(answer.body, "ran /items/7?size=s ");
@@ -34,7 +34,7 @@
     let answer = shop.stream(&request, WAIT).await.unwrap();
     assert_eq!(answer.body, expected(&request));
 
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let prompt = GroupSpec { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
     let spec = StepSpec { version: 1, groups: vec![prompt; 5] };
     let report = trainer.step(1, &spec).await.unwrap();
@@ -63,10 +63,10 @@
         plain.kill();
         gone(plain.address()).await;
     }
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let refused = shop.call("sync", "/count", "1", None, WAIT).await.unwrap_err();
     let CallerError::Refused(problem) = refused else { panic!("{refused}") };
-    assert_eq!(problem.run, Run::NotRun);
+    assert_eq!(problem.run, RunStatus::NotRun);
     assert!(problem.retry_after_ms.is_some());
     assert!(fleet.sync.iter().all(|p| p.ledger().is_empty()));
 }
@@ -81,7 +81,7 @@
     while fetch.get::<Addresses>(first, "/v1/addresses", WAIT).await.unwrap().addresses.len() < 2 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let shop = Caller::new("shop".into(), vec![first]);
+    let shop = CallerClient::new("shop".into(), vec![first]);
     shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
     let dead = fleet.nodes.pop().unwrap();
     let address = dead.client_address();
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use standins::daemon::{Daemon, Folder};
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
@@ -44,7 +44,7 @@
         }
     }
     drop(daemons.remove(0));
-    let shop = Caller::new("shop".into(), daemons.iter().map(|d| d.callers).collect());
+    let shop = CallerClient::new("shop".into(), daemons.iter().map(|d| d.callers).collect());
     let answer = shop.call("stock", "/items/1", "", None, WAIT).await.unwrap();
     assert_eq!(answer.body, "ran /items/1 ");
     tokio::time::timeout(GUARD, settle(&daemons, &["b", "c"])).await.unwrap();
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::upstream::CompletionRequest;
 use standins::caller::{Answered, complete, completion, expected};
 use standins::engine::{EngineSettings, Faults};
@@ -44,7 +44,7 @@
     let mut harmless = Vec::new();
     for request in &requests {
         let request = request.clone();
-        let shop = Caller::new("shop".into(), fleet.callers());
+        let shop = CallerClient::new("shop".into(), fleet.callers());
         harmless.push(tokio::spawn(async move { shop.stream(&request, WAIT).await }));
     }
     while fleet.engines.iter().any(|e| e.started() == 0) {
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -5,7 +5,7 @@
 
 use http::Method;
 use http::StatusCode;
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::http::{JsonClient, full_body, read_body};
 use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
 use standins::caller::{completion, expected};
@@ -39,7 +39,7 @@
     // Slow until the nodes are replaced: 400 ms a token.
     let crawl = Faults { slowdown: 200, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(crawl.clone()));
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let request = completion("long con", 11, 800);
     let total = expected(&request).split_whitespace().count();
     let running = tokio::spawn({
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_stream_is_cancelled() {
     let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 100_000);
     let gone = async {
         tokio::select! {
@@ -173,7 +173,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn last_node_keeps_its_streams() {
     let fleet = Fleet::spawn(1, 1, slow()).await.unwrap();
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 300);
     let stop = async {
         streamed(&fleet.engines, 5).await;
@@ -191,7 +191,7 @@
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let cut = Faults { cut_after: 3, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(cut.clone()));
-    let shop = Caller::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.callers());
     let request = completion("long con", 3, 100);
     let answer = shop.stream(&request, GUARD).await;
     assert_eq!(answer.unwrap().body, expected(&request));
--- a/tests/sessions_processes.rs
+++ b/tests/sessions_processes.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use mulberrycourse::client::{Caller, StepReport, Trainer};
+use mulberrycourse::client::{CallerClient, StepReport, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec, rendezvous_rank};
 use mulberrycourse::edge::peer::NodeState;
 use standins::caller::{completion, expected};
@@ -75,8 +75,8 @@
         NAMES.iter().position(|n| *n == home).unwrap()
     }
 
-    fn trainer(&self) -> Trainer {
-        Trainer::new("coach".into(), self.callers())
+    fn trainer(&self) -> TrainerClient {
+        TrainerClient::new("coach".into(), self.callers())
     }
 }
 
@@ -104,7 +104,7 @@
     let mut test = Deployment::spawn("killed-streams").await;
     let streams: Vec<_> = (0..8)
         .map(|seed| {
-            let shop = Caller::new("shop".into(), test.callers());
+            let shop = CallerClient::new("shop".into(), test.callers());
             tokio::spawn(async move {
                 let request = completion("long con", seed, 120);
                 let answer = shop.stream(&request, GUARD).await.unwrap();
@@ -165,7 +165,7 @@
     let request = |seed| completion("long con", seed, 120);
     let streams: Vec<_> = (0..8)
         .map(|seed| {
-            let shop = Caller::new("shop".into(), test.callers());
+            let shop = CallerClient::new("shop".into(), test.callers());
             tokio::spawn(async move { shop.stream(&request(seed), GUARD).await })
         })
         .collect();
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use http::Method;
-use mulberrycourse::client::{AddressBook, StepReport, Trainer};
+use mulberrycourse::client::{AddressBook, StepReport, TrainerClient};
 use mulberrycourse::decide::{Group, GroupSpec, Ranges, StepSpec};
 use mulberrycourse::edge::http::{JsonClient, JsonClientError};
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
@@ -132,7 +132,7 @@
 async fn home_dies_after_handover() {
     let mut fleet = Fleet::spawn(3, 2, slow()).await.unwrap();
     let at = home(&fleet).await;
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(6, 2, 60);
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     let first = pulling.next().await.unwrap();
@@ -175,12 +175,12 @@
     home(&fleet).await;
     let spec = spec(6, 2, 60);
     let kept = {
-        let trainer = Trainer::new("coach".into(), fleet.callers());
+        let trainer = TrainerClient::new("coach".into(), fleet.callers());
         let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
         let groups = pulling.next().await.unwrap();
         groups.into_iter().map(|g| (g.group, g)).collect::<BTreeMap<u32, Group>>()
     };
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let mut pulling = trainer.resume(1, &spec, kept.clone());
     while !pulling.next().await.unwrap().is_empty() {}
     whole(pulling.report(), &spec);
@@ -195,7 +195,7 @@
 async fn home_drains() {
     let fleet = Fleet::spawn(3, 2, slow()).await.unwrap();
     let at = home(&fleet).await;
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     // One long sample in each group: most of a group is finished long before it is whole.
     let spec = spec(4, 6, 120);
     let node = fleet.nodes.iter().find(|n| n.client_address() == at).unwrap();
@@ -308,7 +308,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_under_way() {
     let fleet = Fleet::spawn(2, 2, slow()).await.unwrap();
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(2, 2, 200);
     let moves = async {
         while !fleet.engines.iter().all(|e| e.ledger().values().any(|l| l.len() > 10)) {
@@ -360,7 +360,7 @@
 async fn samples_leave_a_slow_engine() {
     let fleet = Fleet::spawn(1, 3, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { slowdown: 200, ..Faults::default() });
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(8, 4, 400);
     let report = tokio::time::timeout(GUARD, trainer.step(1, &spec)).await.unwrap().unwrap();
     whole(&report, &spec);
@@ -383,7 +383,7 @@
 async fn next_step_is_begun_early_in_part() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let spec = spec(4, 3, 8);
-    let trainer = Trainer::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     pulling.prepare().await.unwrap();
     let made = async {
--- a/tests/stop.rs
+++ b/tests/stop.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::Duration;
 
-use mulberrycourse::client::Caller;
+use mulberrycourse::client::CallerClient;
 use standins::caller::{completion, expected};
 use standins::daemon::{Daemon, Folder};
 use standins::engine::EngineSettings;
@@ -24,7 +24,7 @@
     let answered = Arc::new(AtomicUsize::new(0));
     let mut callers = Vec::new();
     for index in 0..6_u64 {
-        let shop = Caller::new("shop".into(), fleet.callers());
+        let shop = CallerClient::new("shop".into(), fleet.callers());
         let (over, answered) = (over.clone(), answered.clone());
         callers.push(tokio::spawn(async move {
             while !over.load(Ordering::Relaxed) {
@@ -69,7 +69,7 @@
     daemon.sees(&["a"]).await;
     let slow = Faults { slow_ms: 2000, ..Faults::default() };
     fleet.stock.iter().for_each(|p| p.set_faults(slow.clone()));
-    let shop = Caller::new("shop".into(), vec![daemon.callers]);
+    let shop = CallerClient::new("shop".into(), vec![daemon.callers]);
     let call = tokio::spawn(async move { shop.call("stock", "/items/1", "", None, WAIT).await });
     while fleet.stock.iter().all(|p| p.ledger().is_empty()) {
         tokio::time::sleep(Duration::from_millis(5)).await;
--- a/tests/vms_list.rs
+++ b/tests/vms_list.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::edge::platform::{PlatformClient, VmState};
-use mulberrycourse::metrics::{Metrics, Purpose};
+use mulberrycourse::metrics::{ControlPurpose, Metrics};
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
 use standins::platform::Faults;
@@ -19,7 +19,7 @@
     let fleet = Fleet::spawn(0, 4, EngineSettings::default()).await.unwrap();
     let metrics = Arc::new(Metrics::default());
     let platform = PlatformClient::new(fleet.platform.address(), WAIT, metrics.clone());
-    let bytes = || metrics.traffic(Purpose::Platform).bytes_received();
+    let bytes = || metrics.traffic(ControlPurpose::Platform).bytes_received();
     let first = platform.vms().await.unwrap();
     assert_eq!(first, fleet.vms());
     let once = bytes();
