--- a/tests/claims_processes.rs
+++ b/tests/claims_processes.rs
@@ -144,7 +144,7 @@
     test.daemons[0].freeze().unwrap();
     for node in [1, 2] {
         let problem = test.ask(node, &keys[0]).await.problem.unwrap();
-        assert_eq!(problem.run, mulberrycourse::error::Run::Unknown, "{problem:?}");
+        assert_eq!(problem.run, mulberrycourse::error::RunStatus::Unknown, "{problem:?}");
     }
     test.daemons[0].thaw().unwrap();
     assert!(asked.await.unwrap().problem.is_none());
