--- a/tests/vms_list.rs
+++ b/tests/vms_list.rs
@@ -1,4 +1,4 @@
-//! The list of VMs is read whole only when it has changed.
+//! The platform sends the list of VMs only when it has changed.
 #![allow(clippy::unwrap_used)]
 
 use std::sync::Arc;
@@ -10,24 +10,25 @@
 use standins::fleet::Fleet;
 use standins::platform::Faults;
 
-const WAIT: Duration = Duration::from_secs(20);
+/// The timeout of the calls to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Many looks at a list that stays cost its bytes once; a change is seen at the next look,
-/// also after looks that failed.
+/// Repeated reads of an unchanged list transfer it once. A change is seen at the next read, also
+/// after a read that failed.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_unchanged_list_is_not_sent_again() {
+async fn unchanged_list_is_sent_once() {
     let fleet = Fleet::spawn(0, 4, EngineSettings::default()).await.unwrap();
     let metrics = Arc::new(Metrics::default());
-    let platform = PlatformClient::new(fleet.platform.address(), WAIT, metrics.clone());
-    let bytes = || metrics.traffic(ControlPurpose::Platform).bytes_received();
+    let platform = PlatformClient::new(fleet.platform.address(), PLATFORM_TIMEOUT, metrics.clone());
+    let received = || metrics.traffic(ControlPurpose::Platform).bytes_received();
     let first = platform.vms().await.unwrap();
     assert_eq!(first, fleet.vms());
-    let once = bytes();
-    assert!(once > 0);
+    let bytes_once = received();
+    assert!(bytes_once > 0);
     for _ in 0..10 {
         assert_eq!(platform.vms().await.unwrap(), first);
     }
-    assert_eq!(bytes(), once);
+    assert_eq!(received(), bytes_once);
 
     fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
     platform.vms().await.unwrap_err();
