--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Callers receive the whole answer to their own request, over real sockets.
+//! Callers receive the complete answer to their own request over sockets, although engines break,
+//! repeat or omit parts of their streams.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -9,9 +10,11 @@
 use standins::engine::{EngineSettings, Faults, token};
 use standins::fleet::Fleet;
 
+/// The timeout of a caller for an answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-async fn faulty(faults: &Faults, request: &CompletionRequest) -> String {
+/// Returns the answer to a request on a new fleet of two engines that all have these faults.
+async fn answer_with_faults(faults: &Faults, request: &CompletionRequest) -> String {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
     let shop = CallerClient::new("shop".into(), fleet.callers());
@@ -19,20 +22,20 @@
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
 
-/// Every chunk is sent twice.
+/// Engines send every chunk twice: the answer has each token once.
 #[tokio::test(flavor = "multi_thread")]
-async fn chunks_come_twice() {
+async fn chunks_are_repeated() {
     let request = completion("double lift", 1, 40);
     let faults = Faults { doubled: true, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(answer_with_faults(&faults, &request).await, expected(&request));
 }
 
-/// The last chunk arrives and the end of the stream is lost: the answer is complete nevertheless.
+/// The last chunk arrives but the end of the stream does not: the answer is complete nevertheless.
 #[tokio::test(flavor = "multi_thread")]
-async fn end_of_stream_is_lost() {
+async fn end_of_stream_is_missing() {
     let request = completion("false cut", 2, 40);
     let faults = Faults { endless: true, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(answer_with_faults(&faults, &request).await, expected(&request));
 }
 
 /// The upstream body is cut after every 15 tokens: each engine continues where the last stopped.
@@ -40,26 +43,26 @@
 async fn body_is_truncated() {
     let request = completion("top change", 3, 60);
     let faults = Faults { cut_after: 15, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(answer_with_faults(&faults, &request).await, expected(&request));
 }
 
 /// A caller that has a part of the answer requests the rest, and the stream of the engine that
-/// continues it is cut: no token is lost or doubled.
+/// continues it is cut: no token is lost or repeated.
 #[tokio::test(flavor = "multi_thread")]
-async fn rest_of_an_answer_is_cut() {
+async fn continued_answer_is_truncated() {
     let request = completion("side steal", 4, 60);
     let prior: String = (0..5).map(|i| token(&request.prompt, request.seed, i)).collect();
     let rest = expected(&request).strip_prefix(&prior).unwrap().to_owned();
     let request =
         CompletionRequest { prior: Some(PriorOutput { text: prior, tokens: 5 }), ..request };
     let faults = Faults { cut_after: 15, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, rest);
+    assert_eq!(answer_with_faults(&faults, &request).await, rest);
 }
 
-/// An event of the engine is not JSON: the tokens before it are kept, and another attempt
+/// An event of an engine is not JSON: the tokens before it are kept, and another attempt
 /// continues.
 #[tokio::test(flavor = "multi_thread")]
-async fn event_is_garbled() {
+async fn event_is_malformed() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { garbled_at: 7, ..Faults::default() });
     let shop = CallerClient::new("shop".into(), fleet.callers());
@@ -72,9 +75,9 @@
 
 /// Two callers use the same request id at the same time: each gets its own answer.
 #[tokio::test(flavor = "multi_thread")]
-async fn same_request_id_twice() {
+async fn request_id_is_used_by_two_callers() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    let ask = |prompt, seed| {
+    let check_answer = |prompt, seed| {
         let request =
             CompletionRequest { request_id: "one".into(), ..completion(prompt, seed, 60) };
         let shop = CallerClient::new("shop".into(), fleet.callers());
@@ -83,8 +86,8 @@
             assert_eq!(answer.body, expected(&request));
         }
     };
-    tokio::join!(ask("riffle", 1), ask("overhand", 2));
-    // The engine received two ids, neither of which is the one of the callers.
+    tokio::join!(check_answer("riffle", 1), check_answer("overhand", 2));
+    // The engine received two ids, neither of which is the callers' id.
     let ids: Vec<String> = fleet.engines[0].ledger().into_keys().collect();
     assert!(ids.len() == 2 && ids.iter().all(|id| !id.starts_with("one")), "{ids:?}");
 }
@@ -92,8 +95,8 @@
 /// The upstream body is cut after every 2 tokens, far more often than a request without progress
 /// has attempts: each attempt makes progress, and the answer is completed.
 #[tokio::test(flavor = "multi_thread")]
-async fn body_is_truncated_again_and_again() {
+async fn body_is_truncated_repeatedly() {
     let request = completion("color change", 3, 80);
     let faults = Faults { cut_after: 2, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(answer_with_faults(&faults, &request).await, expected(&request));
 }
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -14,10 +14,11 @@
 use tokio::task::JoinSet;
 
 /// Larger than a socket buffer, so that the connection can be cut within the body.
-const BODY: usize = 300_000;
+const BODY_BYTES: usize = 300_000;
 
-/// One node, with a server that cuts connections as the only upstream of both plain services.
-async fn cut_at(point: Point, once: bool) -> (Fleet, Cutter) {
+/// Starts one node with a server that cuts connections at this point, only once if `once` is set, as
+/// the only upstream of both plain services.
+async fn start_with_cutter(point: Point, once: bool) -> (Fleet, Cutter) {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let cutter = Cutter::bind(ANY, point, once).await.unwrap();
     let vm = |service: &str| Vm {
@@ -35,6 +36,7 @@
     (fleet, cutter)
 }
 
+/// Returns what an answer reports about whether the request ran.
 fn reported_run(answer: &Answered) -> RunStatus {
     answer.problem.as_ref().map_or(RunStatus::Ran, |p| p.run)
 }
@@ -42,11 +44,11 @@
 /// A call that may not be repeated is cut at each point, with and without a key: it is reported as
 /// not run only if it did not run, and never runs twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn cut_at_each_point() {
+async fn connection_is_cut_at_each_point() {
     let mut cases = JoinSet::new();
     for point in Point::ALL {
         for key in [None, Some("key")] {
-            cases.spawn(one_cut(point, key));
+            cases.spawn(check_cut(point, key));
         }
     }
     while let Some(case) = cases.join_next().await {
@@ -54,9 +56,10 @@
     }
 }
 
-async fn one_cut(point: Point, key: Option<&str>) {
-    let body = "x".repeat(BODY);
-    let (fleet, cutter) = cut_at(point, false).await;
+/// Checks one point of [`connection_is_cut_at_each_point`].
+async fn check_cut(point: Point, key: Option<&str>) {
+    let body = "x".repeat(BODY_BYTES);
+    let (fleet, cutter) = start_with_cutter(point, false).await;
     let node = fleet.nodes[0].client_address();
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
     let (reported, ran) = (reported_run(&answer), cutter.ran());
@@ -78,9 +81,9 @@
 /// operating system refuses every retry. The last attempts did not run but the first did, so the
 /// refusal must not report "not run".
 #[tokio::test(flavor = "multi_thread")]
-async fn earlier_attempt_counts() {
+async fn earlier_attempt_makes_the_outcome_unknown() {
     for point in [Point::Ran, Point::AnswerHead, Point::AnswerBody] {
-        let (fleet, cutter) = cut_at(point, true).await;
+        let (fleet, cutter) = start_with_cutter(point, true).await;
         let node = fleet.nodes[0].client_address();
         let answer = send_within(node, "/stock/items", None, "x", Some(2_000)).await.unwrap();
         assert_eq!(
@@ -91,10 +94,10 @@
     }
 }
 
-/// The same for a completion: the engine accepts it and dies before its first token; the retries
-/// find no engine.
+/// The same for a completion: the engine accepts it and crashes before its first token, and the
+/// retries find no engine.
 #[tokio::test(flavor = "multi_thread")]
-async fn earlier_attempt_counts_for_completions() {
+async fn earlier_completion_attempt_makes_the_outcome_unknown() {
     let restart = Duration::from_secs(3_600);
     let settings = EngineSettings { restart, ..EngineSettings::default() };
     let fleet = Fleet::spawn(1, 1, settings).await.unwrap();
@@ -108,13 +111,13 @@
 
 /// The deadline passes during an attempt that continues to run: the outcome is unknown.
 #[tokio::test(flavor = "multi_thread")]
-async fn deadline_passes_in_the_attempt() {
+async fn deadline_passes_during_an_attempt() {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let slow = standins::plain::Faults { slow_ms: 600_000, ..Default::default() };
     fleet.sync.iter().chain(&fleet.stock).for_each(|p| p.set_faults(slow.clone()));
     let node = fleet.nodes[0].client_address();
-    let one = |path| send_within(node, path, None, "x", Some(4_000));
-    let (sync, stock) = tokio::join!(one("/sync/count"), one("/stock/items"));
+    let send_to = |path| send_within(node, path, None, "x", Some(4_000));
+    let (sync, stock) = tokio::join!(send_to("/sync/count"), send_to("/stock/items"));
     for (answer, replicas) in [(sync, &fleet.sync), (stock, &fleet.stock)] {
         let ran: usize = replicas.iter().map(|p| p.ledger().len()).sum();
         let answer = answer.unwrap();
@@ -124,7 +127,7 @@
 
 /// A 503 of the upstream itself is its answer, and is forwarded unchanged.
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_of_upstreams_are_passed_on() {
+async fn error_status_of_an_upstream_is_forwarded() {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let busy = standins::plain::Faults { status: 503, ..Default::default() };
     fleet.sync.iter().for_each(|p| p.set_faults(busy.clone()));
@@ -137,7 +140,7 @@
 /// Whatever the order of the attempts, after one that may have run, no refusal of any kind reports
 /// "not run".
 #[test]
-fn history_never_forgets() {
+fn no_refusal_reports_not_run_after_a_possible_run() {
     let all = [
         AttemptOutcome::Unsent,
         AttemptOutcome::Refused,
@@ -159,6 +162,9 @@
             }
         }
     }
-    let untouched = AttemptHistory::new().adjust(Refusal::new(Kind::QueueFull, "x"));
-    assert_eq!((untouched.kind, untouched.run()), (Kind::QueueFull, RunStatus::NotRun));
+    let without_attempts = AttemptHistory::new().adjust(Refusal::new(Kind::QueueFull, "x"));
+    assert_eq!(
+        (without_attempts.kind, without_attempts.run()),
+        (Kind::QueueFull, RunStatus::NotRun)
+    );
 }
