--- a/standins/src/bin/experiment.rs
+++ b/standins/src/bin/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs scenarios of load against the decisions: `experiment SCENARIO...`.
+//! Simulates load scenarios: `experiment SCENARIO...`.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -6,40 +6,40 @@
 
 use clap::Parser;
 use standins::experiment::{
-    Deployment, PolicyKind, Row, Scenario, plot_frontier, plot_goodput, rows, run, write_csv,
-    write_table,
+    Deployment, PolicyKind, ResultRow, Scenario, plot_frontier, plot_goodput, result_rows,
+    run_scenario, write_csv, write_table,
 };
 
-type Failed = Box<dyn std::error::Error + Send + Sync>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Runs the decisions under load, on virtual time, against a model of upstreams and callers.
+/// Simulates request dispatch under load, on virtual time, with modelled upstreams and callers.
 #[derive(Debug, Parser)]
 struct Args {
-    /// Scenarios: files, or names of files in the folder `bench`.
+    /// Scenario files, or names of scenarios in the folder `bench`.
     #[arg(required = true)]
     scenarios: Vec<PathBuf>,
-    /// How many seeds, from 1 on.
+    /// Number of seeds; they are numbered from 1.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
-    /// One policy only.
+    /// Run only this policy; without it, all run.
     #[arg(long, value_enum)]
     policy: Option<PolicyKind>,
-    /// The deployments.
+    /// File with the deployments.
     #[arg(long, default_value = "bench/deployments.ini")]
     deployments: PathBuf,
-    /// Where every run is written.
+    /// CSV file for the results of every run.
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// Where the plot of live answers is written.
+    /// SVG file for the plot of answered live requests.
     #[arg(long)]
     plot: Option<PathBuf>,
-    /// Where the plot of idle time against staleness is written.
+    /// SVG file for the plot of idle time against staleness.
     #[arg(long)]
     frontier: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    match measure(&Args::parse()) {
+    match run_scenarios(&Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             let _ = writeln!(std::io::stderr(), "experiment: {e}");
@@ -48,22 +48,24 @@
     }
 }
 
-fn measure(args: &Args) -> Result<(), Failed> {
-    let deployments = Deployment::open(&args.deployments)?;
+fn run_scenarios(args: &Args) -> Result<(), BoxError> {
+    let deployments = Deployment::read_file(&args.deployments)?;
     let policies = match args.policy {
         Some(one) => vec![one],
         None => vec![PolicyKind::Ours, PolicyKind::Naive],
     };
-    let mut all: Vec<Row> = Vec::new();
+    let mut all: Vec<ResultRow> = Vec::new();
     for path in &args.scenarios {
-        let scenario = Scenario::open(&located(path))?;
+        let scenario = Scenario::read_file(&scenario_path(path))?;
         for deployment in &deployments {
             for scale in &scenario.scales {
                 for policy in &policies {
                     for seed in 1..=args.seeds {
-                        let result = run(&scenario, deployment, *scale, *policy, seed);
-                        let (name, place) = (&scenario.name, &deployment.name);
-                        all.extend(rows(&result, name, place, *scale, *policy, seed));
+                        let result = run_scenario(&scenario, deployment, *scale, *policy, seed);
+                        let (scenario, deployment) = (&scenario.name, &deployment.name);
+                        all.extend(result_rows(
+                            &result, scenario, deployment, *scale, *policy, seed,
+                        ));
                     }
                 }
             }
@@ -82,7 +84,8 @@
     Ok(())
 }
 
-fn located(path: &Path) -> PathBuf {
+/// Resolves the name of a scenario to its file in the folder `bench`.
+fn scenario_path(path: &Path) -> PathBuf {
     if path.exists() {
         return path.to_owned();
     }
--- a/standins/src/experiment/faults.rs
+++ b/standins/src/experiment/faults.rs
@@ -1,62 +1,74 @@
-//! What goes wrong, or changes, in the course of a run.
+//! Faults and other changes in the course of a simulation.
 
 use std::time::Duration;
 
-use super::event::{Ending, Event};
-use super::run::Run;
+use super::event::{Event, OrderedOutcome};
+use super::simulation::Simulation;
 use super::{Change, ChangeKind};
 
-/// Time between two upstreams of a rolling replacement, and how long one is away.
-pub(super) const REPLACE: Duration = Duration::from_secs(4);
+/// How long a replaced upstream drains before it goes down, and then how long it is away. A
+/// rolling replacement begins the next upstream when the last one is back.
+pub(super) const REPLACE_INTERVAL: Duration = Duration::from_secs(4);
 /// How long an upstream takes to load weights.
-const SWAP: Duration = Duration::from_secs(3);
-/// How long the list of VMs lags.
-pub(super) const LAG: Duration = Duration::from_secs(2);
+const WEIGHT_SWAP_TIME: Duration = Duration::from_secs(3);
+/// Delay until the list of VMs shows that an upstream is down or back.
+pub(super) const LISTING_LAG: Duration = Duration::from_secs(2);
 
-impl Run<'_> {
-    pub(super) fn down(&mut self, upstream: usize) {
-        let over = self.upstreams[upstream].crash(self.now);
+impl Simulation<'_> {
+    /// Crashes an upstream: every attempt on it ends with an unknown outcome.
+    pub(super) fn take_down(&mut self, upstream: usize) {
+        let aborted = self.upstreams[upstream].crash(self.now);
         self.upstreams[upstream].down = true;
-        for f in over {
-            let (ticket, attempt) = f.job;
-            if let Some(asked) = self.asked.get_mut(&ticket) {
-                asked.spent += f.work;
-                asked.ran += u32::from(f.work > 0.0);
+        for f in aborted {
+            let (ticket, attempt) = f.attempt;
+            if let Some(request) = self.requests.get_mut(&ticket) {
+                request.spent += f.work;
+                request.runs += u32::from(f.work > 0.0);
             }
-            self.at(self.now, Event::Deliver { ticket, attempt, outcome: Ending::Unknown });
+            self.schedule(
+                self.now,
+                Event::Deliver { ticket, attempt, outcome: OrderedOutcome::Unknown },
+            );
         }
-        self.look(upstream);
+        self.schedule_check(upstream);
     }
 
-    pub(super) fn change(&mut self, index: usize, begin: bool) {
+    /// Applies a change of the scenario when it begins, and undoes it when it ends.
+    pub(super) fn apply_change(&mut self, index: usize, begin: bool) {
         let change = self.scenario.changes[index].clone();
         let now = self.now;
-        for upstream in self.touched(&change) {
+        for upstream in self.affected_upstreams(&change) {
             match change.kind {
                 ChangeKind::Slow => {
                     self.upstreams[upstream].advance(now);
-                    self.upstreams[upstream].slowness = if begin { change.factor } else { 1.0 };
-                    self.look(upstream);
+                    self.upstreams[upstream].slowdown = if begin { change.factor } else { 1.0 };
+                    self.schedule_check(upstream);
                 }
-                ChangeKind::Frozen => self.at(now, Event::Freeze(upstream, begin)),
+                ChangeKind::Frozen => self.schedule(now, Event::SetFrozen(upstream, begin)),
                 ChangeKind::Down => {
-                    self.at(now, if begin { Event::Down(upstream) } else { Event::Up(upstream) });
-                    self.at(now + LAG, Event::Listed(upstream, !begin));
+                    self.schedule(
+                        now,
+                        if begin { Event::Down(upstream) } else { Event::Up(upstream) },
+                    );
+                    self.schedule(now + LISTING_LAG, Event::SetListed(upstream, !begin));
                 }
                 ChangeKind::Load => {}
                 ChangeKind::Replace => {
                     if begin {
-                        self.at(now + REPLACE * 2 * upstream as u32, Event::Leave(upstream));
+                        self.schedule(
+                            now + REPLACE_INTERVAL * 2 * upstream as u32,
+                            Event::Replace(upstream),
+                        );
                     }
                 }
                 ChangeKind::Swap => {
                     if begin {
                         let wave = (upstream * 3 / self.upstreams.len()) as u32;
-                        let from = now + SWAP * wave;
-                        self.at(from, Event::Listed(upstream, false));
-                        self.at(from, Event::Freeze(upstream, true));
-                        self.at(from + SWAP, Event::Freeze(upstream, false));
-                        self.at(from + SWAP, Event::Listed(upstream, true));
+                        let from = now + WEIGHT_SWAP_TIME * wave;
+                        self.schedule(from, Event::SetListed(upstream, false));
+                        self.schedule(from, Event::SetFrozen(upstream, true));
+                        self.schedule(from + WEIGHT_SWAP_TIME, Event::SetFrozen(upstream, false));
+                        self.schedule(from + WEIGHT_SWAP_TIME, Event::SetListed(upstream, true));
                     }
                 }
             }
@@ -64,12 +76,12 @@
         if change.kind == ChangeKind::Load {
             let flows = self.scenario.flows.iter().enumerate();
             for (flow, _) in flows.filter(|(_, f)| f.name == change.flow) {
-                self.factors[flow] = if begin { change.factor } else { 1.0 };
+                self.load_factors[flow] = if begin { change.factor } else { 1.0 };
             }
         }
     }
 
-    fn touched(&self, change: &Change) -> Vec<usize> {
+    fn affected_upstreams(&self, change: &Change) -> Vec<usize> {
         let zone = |i: usize, zone: usize| *self.views[i].zone == *format!("zone{zone}");
         match change.zone {
             Some(wanted) => (0..self.upstreams.len()).filter(|i| zone(*i, wanted)).collect(),
--- a/standins/src/experiment/naive.rs
+++ b/standins/src/experiment/naive.rs
@@ -1,4 +1,4 @@
-//! The naive version: round robin, no limits, three retries, first in, first out.
+//! The naive baseline: round robin without limits, three retries, first in, first out.
 
 use mulberrycourse::decide::{
     AttemptOutcome, AttemptReport, Call, DispatchAction, Ticket, UpstreamView,
@@ -7,62 +7,63 @@
 use mulberrycourse::{Moment, Name};
 use slotmap::SlotMap;
 
-/// Attempts of one request.
-const ATTEMPTS: u32 = 4;
+/// Largest number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// Its state.
+/// Naive counterpart of `Dispatch`, which results are compared with.
 #[derive(Debug, Default)]
-pub struct Naive {
+pub struct NaiveDispatch {
     upstreams: Vec<Name>,
-    turn: usize,
+    /// Requests sent so far, which selects the next upstream.
+    sent_count: usize,
     attempts: SlotMap<Ticket, u32>,
     actions: Vec<DispatchAction>,
 }
 
-impl Naive {
-    /// Takes in a request.
-    pub fn offer(&mut self, _: Call, _: Moment) -> Ticket {
+impl NaiveDispatch {
+    /// Submits a request.
+    pub fn submit(&mut self, _: Call, _: Moment) -> Ticket {
         let ticket = self.attempts.insert(0);
         self.send(ticket);
         ticket
     }
 
-    /// The one who asked has gone.
-    pub fn withdraw(&mut self, ticket: Ticket) {
+    /// Cancels a request whose caller no longer waits.
+    pub fn cancel(&mut self, ticket: Ticket) {
         self.attempts.remove(ticket);
     }
 
-    /// An attempt ended.
-    pub fn ended(&mut self, ticket: Ticket, report: AttemptReport) {
+    /// Records the end of an attempt, and retries unless the request was answered.
+    pub fn attempt_ended(&mut self, ticket: Ticket, report: AttemptReport) {
         match report.outcome {
-            AttemptOutcome::Answered => self.withdraw(ticket),
+            AttemptOutcome::Answered => self.cancel(ticket),
             AttemptOutcome::Unsent | AttemptOutcome::Refused | AttemptOutcome::Unknown => {
                 self.send(ticket)
             }
         }
     }
 
-    /// The set of upstreams changed.
+    /// Sets the upstreams.
     pub fn set_upstreams(&mut self, views: &[UpstreamView]) {
         self.upstreams = views.iter().filter(|v| v.accepting).map(|v| v.name.clone()).collect();
     }
 
-    /// Takes the actions that have come up.
-    pub fn actions(&mut self) -> Vec<DispatchAction> {
+    /// Returns and clears the pending actions.
+    pub fn take_actions(&mut self) -> Vec<DispatchAction> {
         std::mem::take(&mut self.actions)
     }
 
     fn send(&mut self, ticket: Ticket) {
         let Some(attempts) = self.attempts.get_mut(ticket) else { return };
-        if *attempts == ATTEMPTS || self.upstreams.is_empty() {
+        if *attempts == MAX_ATTEMPTS || self.upstreams.is_empty() {
             let refusal = Refusal::new(Kind::RetriesSpent, "every attempt failed");
             self.actions.push(DispatchAction::Refuse { ticket, refusal });
             self.attempts.remove(ticket);
             return;
         }
         *attempts += 1;
-        self.turn += 1;
-        let upstream = self.upstreams[self.turn % self.upstreams.len()].clone();
+        self.sent_count += 1;
+        let upstream = self.upstreams[self.sent_count % self.upstreams.len()].clone();
         self.actions.push(DispatchAction::Send { ticket, upstream });
     }
 }
--- a/standins/src/experiment/output.rs
+++ b/standins/src/experiment/output.rs
@@ -1,4 +1,4 @@
-//! Results as rows: CSV for programs, a table for people.
+//! Results as rows of a CSV file or of a Markdown table.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -8,77 +8,78 @@
 
 use super::{FlowResult, PolicyKind, RunResult};
 
-/// What one caller or trainer received in one run.
+/// The result of one flow or trainer in one run. The field names are the columns of the CSV
+/// file.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Row {
+pub struct ResultRow {
     /// The scenario.
     pub scenario: String,
     /// The deployment.
     pub deployment: String,
-    /// The multiple of the loads.
+    /// The factor of the scaled loads.
     pub scale: f64,
     /// The policy.
     pub policy: &'static str,
     /// The seed.
     pub seed: u64,
-    /// The caller or trainer.
+    /// The flow or trainer.
     pub flow: String,
-    /// Its class.
+    /// The class of its requests.
     pub class: &'static str,
-    /// Requests sent.
+    /// Requests sent, including retries after a refusal.
     pub offered: u64,
-    /// Answers a second, by the deadline.
+    /// Requests answered by their deadline, per second.
     pub goodput: f64,
-    /// Part of the requests that were answered by the deadline.
+    /// Fraction of the requests that were answered by their deadline.
     pub answered: f64,
-    /// Part of the service's capacity that its answers are worth.
+    /// Fraction of the capacity of the service that its answered requests used.
     pub share: f64,
-    /// Latency quantiles of the answers, in milliseconds.
+    /// Median latency of the answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99%.
+    /// 99% quantile of the latency, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9%.
+    /// 99.9% quantile of the latency, in milliseconds.
     pub p999_ms: f64,
-    /// Part of the requests that were refused.
+    /// Fraction of the requests that were refused.
     pub refused: f64,
-    /// Refusals by kind.
+    /// Refusals by kind, as `kind:count` separated by spaces.
     pub reasons: String,
-    /// Part of the requests with neither answer nor refusal at the deadline.
+    /// Fraction of the requests that were neither answered nor refused by their deadline.
     pub late: f64,
-    /// Part of the capacity spent on what was not answered in time.
+    /// Fraction of the capacity spent on work that did not contribute to an answer in time.
     pub wasted: f64,
-    /// Attempts beyond the first, for each request that was tried.
+    /// Attempts beyond the first, per request with at least one attempt.
     pub extra: f64,
-    /// Requests that came back when told to.
+    /// Requests sent again after the time that a refusal named.
     pub returned: u64,
-    /// Part of those that were answered.
+    /// Fraction of the retries that were answered.
     pub kept: f64,
-    /// Requests that may not be repeated, and ran more than once.
+    /// Requests that may not be repeated but ran more than once.
     pub doubled: u64,
-    /// For trainers: part of the time that it did not train.
+    /// For trainers: fraction of the measured time in which it did not train.
     pub idle: Option<f64>,
-    /// For trainers: mean staleness of its samples, in versions.
+    /// For trainers: mean staleness of the samples at the start of their step, in versions.
     pub staleness: Option<f64>,
-    /// For trainers: samples handed over twice.
+    /// For trainers: samples delivered more than once.
     pub samples_doubled: Option<u64>,
 }
 
-/// The rows of a run.
-pub fn rows(
+/// Returns the rows of a run.
+pub fn result_rows(
     result: &RunResult,
     scenario: &str,
     deployment: &str,
     scale: f64,
     policy: PolicyKind,
     seed: u64,
-) -> Vec<Row> {
-    let seconds = result.counted.as_secs_f64();
-    let part = |count: u64, of: u64| count as f64 / of.max(1) as f64;
+) -> Vec<ResultRow> {
+    let seconds = result.measured_time.as_secs_f64();
+    let fraction = |count: u64, of: u64| count as f64 / of.max(1) as f64;
     let row = |f: &FlowResult| {
         let trainer = result.trainers.iter().find(|t| t.name == f.name);
         let refused: u64 = f.refused.values().sum();
         let reasons: Vec<String> = f.refused.iter().map(|(k, n)| format!("{k}:{n}")).collect();
-        Row {
+        ResultRow {
             scenario: scenario.to_owned(),
             deployment: deployment.to_owned(),
             scale,
@@ -88,29 +89,29 @@
             class: f.class.as_str(),
             offered: f.offered,
             goodput: f.answered as f64 / seconds,
-            answered: part(f.answered, f.offered),
+            answered: fraction(f.answered, f.offered),
             share: f.work / seconds / result.capacity,
-            p50_ms: f.quantile(0.5),
-            p99_ms: f.quantile(0.99),
-            p999_ms: f.quantile(0.999),
-            refused: part(refused, f.offered),
+            p50_ms: f.quantile_ms(0.5),
+            p99_ms: f.quantile_ms(0.99),
+            p999_ms: f.quantile_ms(0.999),
+            refused: fraction(refused, f.offered),
             reasons: reasons.join(" "),
-            late: part(f.late, f.offered),
+            late: fraction(f.timed_out, f.offered),
             wasted: f.wasted / seconds / result.capacity,
-            extra: part(f.attempts - f.tried, f.tried),
-            returned: f.returned,
-            kept: part(f.kept, f.returned),
-            doubled: f.doubled,
-            idle: trainer.map(|t| t.idle),
-            staleness: trainer.map(|t| t.staleness),
-            samples_doubled: trainer.map(|t| t.doubled),
+            extra: fraction(f.attempts - f.attempted, f.attempted),
+            returned: f.retries,
+            kept: fraction(f.retries_answered, f.retries),
+            doubled: f.duplicate_runs,
+            idle: trainer.map(|t| t.idle_fraction),
+            staleness: trainer.map(|t| t.mean_staleness),
+            samples_doubled: trainer.map(|t| t.duplicate_samples),
         }
     };
     result.flows.iter().map(row).collect()
 }
 
-/// Writes all rows.
-pub fn write_csv(path: &Path, rows: &[Row]) -> Result<(), csv::Error> {
+/// Writes all rows as CSV.
+pub fn write_csv(path: &Path, rows: &[ResultRow]) -> Result<(), csv::Error> {
     let mut writer = csv::Writer::from_path(path)?;
     for row in rows {
         writer.serialize(row)?;
@@ -119,24 +120,25 @@
     Ok(())
 }
 
-/// Writes a Markdown table with the means over seeds.
-pub fn write_table(out: &mut dyn Write, rows: &[Row]) -> io::Result<()> {
+/// Writes a Markdown table with the means over all seeds.
+pub fn write_table(out: &mut dyn Write, rows: &[ResultRow]) -> io::Result<()> {
     writeln!(
         out,
         "| scenario | deployment | scale | policy | flow | goodput/s | answered | share | \
          p50 ms | p99 ms | p99.9 ms | refused | late | wasted | extra | kept | idle | stale |"
     )?;
     writeln!(out, "|{}", " --- |".repeat(18))?;
-    let mut seen: Vec<&Row> = Vec::new();
+    let mut seen: Vec<&ResultRow> = Vec::new();
     for row in rows {
-        if seen.iter().any(|r| same(r, row)) {
+        if seen.iter().any(|r| same_series(r, row)) {
             continue;
         }
         seen.push(row);
-        let all: Vec<&Row> = rows.iter().filter(|r| same(r, row)).collect();
-        let mean =
-            |of: &dyn Fn(&Row) -> f64| all.iter().map(|r| of(r)).sum::<f64>() / all.len() as f64;
-        let optional = |of: &dyn Fn(&Row) -> Option<f64>| match of(row) {
+        let all: Vec<&ResultRow> = rows.iter().filter(|r| same_series(r, row)).collect();
+        let mean = |of: &dyn Fn(&ResultRow) -> f64| {
+            all.iter().map(|r| of(r)).sum::<f64>() / all.len() as f64
+        };
+        let optional = |of: &dyn Fn(&ResultRow) -> Option<f64>| match of(row) {
             None => "".to_owned(),
             Some(_) => format!("{:.3}", mean(&|r| of(r).unwrap_or_default())),
         };
@@ -168,12 +170,13 @@
     Ok(())
 }
 
-/// The class whose answers a plot shows first.
-pub(super) fn live(row: &Row) -> bool {
+/// Whether a row is that of a live flow.
+pub(super) fn is_live(row: &ResultRow) -> bool {
     row.class == Class::Live.as_str()
 }
 
-fn same(a: &Row, b: &Row) -> bool {
+/// Whether two rows differ only in their seed and their results.
+fn same_series(a: &ResultRow, b: &ResultRow) -> bool {
     a.scenario == b.scenario
         && a.deployment == b.deployment
         && a.scale == b.scale
--- a/standins/src/experiment/policy.rs
+++ b/standins/src/experiment/policy.rs
@@ -1,4 +1,4 @@
-//! The policy under test.
+//! The dispatch policies that are compared.
 
 use mulberrycourse::Moment;
 use mulberrycourse::decide::{
@@ -6,19 +6,19 @@
     Ticket, UpstreamView,
 };
 
-use super::Naive;
+use super::NaiveDispatch;
 
-/// Which policy.
+/// Selects a dispatch policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum PolicyKind {
-    /// The decisions of this project.
+    /// The `Dispatch` of mulberrycourse.
     Ours,
-    /// Round robin, no limits, three retries, first in, first out.
+    /// Round robin without limits, three retries, first in, first out.
     Naive,
 }
 
 impl PolicyKind {
-    /// Its name in tables.
+    /// The name in results.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Ours => "ours",
@@ -27,53 +27,53 @@
     }
 }
 
-/// A policy at work.
+/// The state of a dispatch policy.
 #[derive(Debug)]
 pub enum Policy {
-    /// The decisions of this project.
+    /// The `Dispatch` of mulberrycourse.
     Ours(Box<Dispatch>),
-    /// The naive version.
-    Naive(Naive),
+    /// The naive baseline.
+    Naive(NaiveDispatch),
 }
 
 impl Policy {
-    /// A policy without upstreams. The node is in zone 0.
-    pub fn new(kind: PolicyKind, limits: ServiceLimits, shares: CallerWeights, seed: u64) -> Self {
+    /// Creates a policy without upstreams, for a node in zone 0.
+    pub fn new(kind: PolicyKind, limits: ServiceLimits, weights: CallerWeights, seed: u64) -> Self {
         match kind {
-            PolicyKind::Naive => Self::Naive(Naive::default()),
+            PolicyKind::Naive => Self::Naive(NaiveDispatch::default()),
             PolicyKind::Ours => {
                 let mut dispatch = Dispatch::new(limits, "zone0".into(), seed);
-                dispatch.set_weights(shares);
+                dispatch.set_weights(weights);
                 Self::Ours(Box::new(dispatch))
             }
         }
     }
 
-    /// Takes in a request.
-    pub fn offer(&mut self, call: Call, now: Moment) -> Ticket {
+    /// Submits a request.
+    pub fn submit(&mut self, call: Call, now: Moment) -> Ticket {
         match self {
             Self::Ours(dispatch) => dispatch.submit(call, now),
-            Self::Naive(naive) => naive.offer(call, now),
+            Self::Naive(naive) => naive.submit(call, now),
         }
     }
 
-    /// The one who asked has gone.
-    pub fn withdraw(&mut self, ticket: Ticket, now: Moment) {
+    /// Cancels a request whose caller no longer waits.
+    pub fn cancel(&mut self, ticket: Ticket, now: Moment) {
         match self {
             Self::Ours(dispatch) => dispatch.cancel(ticket, now),
-            Self::Naive(naive) => naive.withdraw(ticket),
+            Self::Naive(naive) => naive.cancel(ticket),
         }
     }
 
-    /// An attempt ended.
-    pub fn ended(&mut self, ticket: Ticket, report: AttemptReport, now: Moment) {
+    /// Records the end of an attempt.
+    pub fn attempt_ended(&mut self, ticket: Ticket, report: AttemptReport, now: Moment) {
         match self {
             Self::Ours(dispatch) => dispatch.attempt_ended(ticket, report, now),
-            Self::Naive(naive) => naive.ended(ticket, report),
+            Self::Naive(naive) => naive.attempt_ended(ticket, report),
         }
     }
 
-    /// The set of upstreams changed.
+    /// Sets the upstreams.
     pub fn set_upstreams(&mut self, views: &[UpstreamView], now: Moment) {
         match self {
             Self::Ours(dispatch) => dispatch.set_upstreams(views, now),
@@ -81,7 +81,7 @@
         }
     }
 
-    /// An upstream said how loaded it is.
+    /// Records the load that an upstream reports; the naive policy ignores it.
     pub fn load_report(&mut self, upstream: &str, report: LoadReport) {
         match self {
             Self::Ours(dispatch) => dispatch.load_report(upstream, report),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Time passed.
+    /// Lets time-dependent decisions run; the naive policy has none.
     pub fn tick(&mut self, now: Moment) {
         match self {
             Self::Ours(dispatch) => dispatch.tick(now),
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Takes the actions that have come up.
-    pub fn actions(&mut self) -> Vec<DispatchAction> {
+    /// Returns and clears the pending actions.
+    pub fn take_actions(&mut self) -> Vec<DispatchAction> {
         match self {
             Self::Ours(dispatch) => dispatch.take_actions(),
-            Self::Naive(naive) => naive.actions(),
+            Self::Naive(naive) => naive.take_actions(),
         }
     }
 }
--- a/standins/src/experiment/scenario.rs
+++ b/standins/src/experiment/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario, read from INI.
+//! Scenarios and deployments, which are read from INI files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -7,154 +7,155 @@
 use mulberrycourse::decide::{CallerWeights, Class, Repeat, ServiceLimits};
 use mulberrycourse::settings::{Document, Invalid, Section};
 
-use super::Model;
+use super::UpstreamProfile;
 
-/// The size of a deployment.
+/// The size of a deployment, a `[deployment NAME]` section.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Deployment {
-    /// Its name.
+    /// The name of the deployment.
     pub name: Name,
-    /// Availability zones.
+    /// The number of availability zones.
     pub zones: usize,
-    /// Model engines.
+    /// The number of model engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// The number of replicas of the plain service.
     pub plain: usize,
 }
 
-/// Requests that arrive at random.
+/// Requests that arrive at random, a `[flow NAME]` section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flow {
-    /// Its name in results.
+    /// The name in results.
     pub name: Name,
-    /// The caller; its own name if nothing else is said.
+    /// The caller that sends the requests; by default, the name of the flow.
     pub caller: Name,
-    /// Its class.
+    /// The class of the requests.
     pub class: Class,
-    /// Whether its requests may be repeated.
+    /// Whether the requests may be repeated.
     pub repeat: Repeat,
-    /// Work that it asks for, as a part of the service's capacity.
+    /// Requested work, as a fraction of the capacity of the service.
     pub load: f64,
-    /// Whether the scenario's scale multiplies its load.
+    /// Whether the scale of the scenario multiplies the load.
     pub scaled: bool,
-    /// Mean cost of a request.
-    pub cost: u32,
-    /// How long it waits for an answer.
+    /// Mean cost of a request, in units of work.
+    pub mean_cost: u32,
+    /// How long the caller waits for an answer.
     pub deadline: Duration,
-    /// Its weight.
-    pub share: u32,
-    /// Prompt prefixes that it uses.
-    pub keys: u64,
-    /// Part of its requests that use the first prefix.
-    pub hot: f64,
-    /// Times that a refused request is sent again.
-    pub returns: u32,
-    /// Whether its requests crash the upstream that runs them.
-    pub poison: bool,
+    /// The weight of the caller.
+    pub weight: u32,
+    /// The number of prompt prefixes in use; without any, requests have no prefix.
+    pub prefix_count: u64,
+    /// Fraction of the requests that always use the first prefix.
+    pub hot_fraction: f64,
+    /// Largest number of times that a refused request is sent again.
+    pub max_retries: u32,
+    /// Whether the requests crash the upstream that runs them.
+    pub crashes_upstream: bool,
 }
 
-/// A trainer: steps of samples, one after the other.
+/// A trainer, which requests the samples of one step after another; a `[trainer NAME]`
+/// section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrainerFlow {
-    /// Its name.
+    /// The name of the trainer.
     pub name: Name,
     /// Samples in a step.
     pub samples: u32,
-    /// Samples in a group; they share a prefix.
-    pub group: u32,
-    /// Mean cost of a sample.
-    pub cost: u32,
-    /// How long the trainer works on a step.
-    pub train: Duration,
-    /// Its weight.
-    pub share: u32,
-    /// Part of the next step that is started before the weights that it is for.
-    pub ahead: f64,
-    /// Whether the scenario's scale takes the place of `ahead`.
+    /// Samples in a group, which share a prompt prefix.
+    pub group_size: u32,
+    /// Mean cost of a sample, in units of work.
+    pub mean_cost: u32,
+    /// How long the trainer trains on a step.
+    pub training_time: Duration,
+    /// The weight of the trainer.
+    pub weight: u32,
+    /// Fraction of the next step that is started before its weights are ready.
+    pub early_fraction: f64,
+    /// Whether the scale of the scenario replaces `early_fraction`.
     pub scaled: bool,
 }
 
 impl TrainerFlow {
-    /// The trainer at a scale of the scenario.
-    pub fn at(&self, scale: f64) -> Self {
-        let ahead = if self.scaled { scale } else { self.ahead };
-        Self { ahead, ..self.clone() }
+    /// Returns the trainer at a scale of the scenario.
+    pub fn at_scale(&self, scale: f64) -> Self {
+        let early_fraction = if self.scaled { scale } else { self.early_fraction };
+        Self { early_fraction, ..self.clone() }
     }
 }
 
-/// What changes in the course of a run.
+/// A kind of change in the course of a simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeKind {
-    /// Upstreams take `factor` times as long.
+    /// Upstreams are `factor` times slower.
     Slow,
-    /// Upstreams take requests and run nothing.
+    /// Upstreams accept requests and make no progress on them.
     Frozen,
-    /// Upstreams die; the list says so two seconds later.
+    /// Upstreams crash; the list of VMs shows it two seconds later.
     Down,
-    /// A flow's load is multiplied by `factor`.
+    /// The load of a flow is multiplied by `factor`.
     Load,
-    /// One upstream after the other leaves, is replaced and comes back.
+    /// Upstreams are replaced one after another.
     Replace,
-    /// A third of the upstreams after the other stops to load weights.
+    /// Upstreams pause to load weights, one third after another.
     Swap,
 }
 
-/// A change.
+/// A change in the course of a simulation, a `[change NAME]` section.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    /// What.
+    /// The kind of change.
     pub kind: ChangeKind,
-    /// From when.
-    pub at: Duration,
-    /// Until when.
-    pub until: Duration,
-    /// How many upstreams.
+    /// When it starts.
+    pub start: Duration,
+    /// When it ends.
+    pub end: Duration,
+    /// The number of affected upstreams.
     pub upstreams: usize,
-    /// All upstreams of this zone, in place of a number.
+    /// If set, all upstreams of this zone are affected, and `upstreams` is ignored.
     pub zone: Option<usize>,
-    /// By how much.
+    /// The factor of `Slow` and `Load`.
     pub factor: f64,
-    /// Which flow.
+    /// The flow of `Load`.
     pub flow: Name,
 }
 
-/// A scenario.
+/// A load scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Scenario {
-    /// Its name: that of its file.
+    /// The name, which is the file name without extension.
     pub name: Name,
-    /// How long requests arrive.
+    /// How long requests keep arriving.
     pub length: Duration,
-    /// What arrives before is not counted.
+    /// Requests that arrive earlier are not counted.
     pub warmup: Duration,
-    /// Whether the upstreams are engines.
-    pub engine: bool,
-    /// The loads are run at each of these multiples.
+    /// Whether the upstreams are model engines, not replicas of the plain service.
+    pub uses_engines: bool,
+    /// Factors of the scaled loads; the scenario runs once for each.
     pub scales: Vec<f64>,
-    /// What the bundle would say.
+    /// The limits that the bundle would set for the service.
     pub limits: ServiceLimits,
-    /// Flows.
+    /// The flows.
     pub flows: Vec<Flow>,
-    /// Trainers.
+    /// The trainers.
     pub trainers: Vec<TrainerFlow>,
-    /// Changes.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
 impl Scenario {
-    /// Reads a file.
-    pub fn open(path: &Path) -> Result<Self, Invalid> {
+    /// Reads a scenario from a file.
+    pub fn read_file(path: &Path) -> Result<Self, Invalid> {
         let doc = Document::open(path)?;
         let name = path.file_stem().map(|s| s.to_string_lossy().into_owned()).unwrap_or_default();
-        Self::read(&name, &doc)
+        Self::from_document(&name, &doc)
     }
 
-    /// Reads a text.
+    /// Reads a scenario from a text.
     pub fn parse(name: &str, text: &str) -> Result<Self, Invalid> {
-        Self::read(name, &Document::parse(name, text)?)
+        Self::from_document(name, &Document::parse(name, text)?)
     }
 
-    fn read(name: &str, doc: &Document) -> Result<Self, Invalid> {
+    fn from_document(name: &str, doc: &Document) -> Result<Self, Invalid> {
         doc.only(&["scenario"], &["flow", "trainer", "change"])?;
         let head = doc.section("scenario")?;
         let kinds = [("engine", true), ("plain", false)];
@@ -167,7 +168,7 @@
             name: name.into(),
             length: head.duration("length", Duration::from_secs(60))?,
             warmup: head.duration("warmup", Duration::from_secs(10))?,
-            engine,
+            uses_engines: engine,
             scales,
             limits: ServiceLimits {
                 max_queued: head.within("queue", 1..=100_000, 1_000)?,
@@ -178,33 +179,33 @@
                 )?,
                 training_percent: head.within("training_floor", 0..=90, 10)?,
             },
-            flows: all(doc, "flow", flow)?,
-            trainers: all(doc, "trainer", trainer)?,
-            changes: all(doc, "change", |_, section| change(section))?,
+            flows: parse_sections(doc, "flow", parse_flow)?,
+            trainers: parse_sections(doc, "trainer", parse_trainer)?,
+            changes: parse_sections(doc, "change", |_, section| parse_change(section))?,
         };
         head.finish()?;
         Ok(scenario)
     }
 
-    /// The model of the upstreams.
-    pub fn model(&self) -> Model {
-        if self.engine { Model::ENGINE } else { Model::PLAIN }
+    /// The profile of the upstreams.
+    pub fn profile(&self) -> UpstreamProfile {
+        if self.uses_engines { UpstreamProfile::ENGINE } else { UpstreamProfile::PLAIN }
     }
 
-    /// The weights of callers and trainers.
-    pub fn shares(&self) -> CallerWeights {
-        let flows = self.flows.iter().map(|f| (f.caller.clone(), f.share));
-        let trainers = self.trainers.iter().map(|t| (t.name.clone(), t.share));
+    /// The weights of the callers and trainers.
+    pub fn caller_weights(&self) -> CallerWeights {
+        let flows = self.flows.iter().map(|f| (f.caller.clone(), f.weight));
+        let trainers = self.trainers.iter().map(|t| (t.name.clone(), t.weight));
         CallerWeights { weights: flows.chain(trainers).collect() }
     }
 }
 
 impl Deployment {
-    /// Reads the deployments of a file.
-    pub fn open(path: &Path) -> Result<Vec<Self>, Invalid> {
+    /// Reads all deployments of a file.
+    pub fn read_file(path: &Path) -> Result<Vec<Self>, Invalid> {
         let doc = Document::open(path)?;
         doc.only(&[], &["deployment"])?;
-        all(&doc, "deployment", |name, section| {
+        parse_sections(&doc, "deployment", |name, section| {
             Ok(Self {
                 name,
                 zones: section.within("zones", 1..=100, 3)?,
@@ -214,26 +215,27 @@
         })
     }
 
-    /// The number of upstreams of a service.
-    pub fn upstreams(&self, engine: bool) -> usize {
-        if engine { self.engines } else { self.plain }
+    /// The number of model engines, or else of replicas of the plain service.
+    pub fn upstream_count(&self, engines: bool) -> usize {
+        if engines { self.engines } else { self.plain }
     }
 }
 
-fn all<T>(
+/// Parses all named sections of one kind.
+fn parse_sections<T>(
     doc: &Document,
     kind: &str,
-    one: impl Fn(Name, &Section<'_>) -> Result<T, Invalid>,
+    parse: impl Fn(Name, &Section<'_>) -> Result<T, Invalid>,
 ) -> Result<Vec<T>, Invalid> {
     let mut items = Vec::new();
     for (name, section) in doc.named(kind) {
-        items.push(one(name, &section)?);
+        items.push(parse(name, &section)?);
         section.finish()?;
     }
     Ok(items)
 }
 
-fn flow(name: Name, section: &Section<'_>) -> Result<Flow, Invalid> {
+fn parse_flow(name: Name, section: &Section<'_>) -> Result<Flow, Invalid> {
     let classes = [("live", Class::Live), ("training", Class::Training)];
     let repeats = [("idempotent", Repeat::Idempotent), ("once", Repeat::Once)];
     Ok(Flow {
@@ -243,30 +245,30 @@
         repeat: section.choice("repeat", &repeats, Repeat::Idempotent)?,
         load: section.within("load", 0.0..=100.0, 0.5)?,
         scaled: section.value_or("scaled", true)?,
-        cost: section.within("cost", 1..=100_000, 1)?,
+        mean_cost: section.within("cost", 1..=100_000, 1)?,
         deadline: section.duration("deadline", Duration::from_secs(5))?,
-        share: section.within("share", 1..=1_000, 1)?,
-        keys: section.within("keys", 0..=1_000_000, 0)?,
-        hot: section.within("hot", 0.0..=1.0, 0.0)?,
-        returns: section.within("returns", 0..=10, 0)?,
-        poison: section.value_or("poison", false)?,
+        weight: section.within("share", 1..=1_000, 1)?,
+        prefix_count: section.within("keys", 0..=1_000_000, 0)?,
+        hot_fraction: section.within("hot", 0.0..=1.0, 0.0)?,
+        max_retries: section.within("returns", 0..=10, 0)?,
+        crashes_upstream: section.value_or("poison", false)?,
     })
 }
 
-fn trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, Invalid> {
+fn parse_trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, Invalid> {
     Ok(TrainerFlow {
         name,
         samples: section.within("samples", 1..=100_000, 256)?,
-        group: section.within("group", 1..=1_000, 8)?,
-        cost: section.within("cost", 1..=100_000, 256)?,
-        train: section.duration("train", Duration::from_secs(10))?,
-        share: section.within("share", 1..=1_000, 1)?,
-        ahead: section.within("ahead", 0.0..=1.0, 0.0)?,
+        group_size: section.within("group", 1..=1_000, 8)?,
+        mean_cost: section.within("cost", 1..=100_000, 256)?,
+        training_time: section.duration("train", Duration::from_secs(10))?,
+        weight: section.within("share", 1..=1_000, 1)?,
+        early_fraction: section.within("ahead", 0.0..=1.0, 0.0)?,
         scaled: section.value_or("scaled", false)?,
     })
 }
 
-fn change(section: &Section<'_>) -> Result<Change, Invalid> {
+fn parse_change(section: &Section<'_>) -> Result<Change, Invalid> {
     let kinds = [
         ("slow", ChangeKind::Slow),
         ("frozen", ChangeKind::Frozen),
@@ -278,8 +280,8 @@
     let zone = section.text("zone").is_some();
     Ok(Change {
         kind: section.choice("kind", &kinds, ChangeKind::Slow)?,
-        at: section.duration("at", Duration::from_secs(20))?,
-        until: section.duration("until", Duration::from_secs(40))?,
+        start: section.duration("at", Duration::from_secs(20))?,
+        end: section.duration("until", Duration::from_secs(40))?,
         upstreams: section.within("upstreams", 0..=10_000, 1)?,
         zone: if zone { Some(section.value("zone")?) } else { None },
         factor: section.within("factor", 0.0..=1_000.0, 10.0)?,
--- a/tests/load_overload.rs
+++ b/tests/load_overload.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
-use standins::experiment::{Deployment, FlowResult, PolicyKind, RunResult, Scenario, run};
+use standins::experiment::{Deployment, FlowResult, PolicyKind, RunResult, Scenario, run_scenario};
 
 const SCENARIO: &str = "
 [scenario]
@@ -26,7 +26,7 @@
 fn measure(scale: f64, policy: PolicyKind, seed: u64) -> RunResult {
     let scenario = Scenario::parse("overload", SCENARIO).unwrap();
     let deployment = Deployment { name: "small".into(), zones: 3, engines: 4, plain: 3 };
-    run(&scenario, &deployment, scale, policy, seed)
+    run_scenario(&scenario, &deployment, scale, policy, seed)
 }
 
 /// At two and five times the capacity, live callers receive at least 95% of the answers that
@@ -40,7 +40,7 @@
             let goodput = result.goodput(Class::Live);
             assert!(goodput >= 0.95 * base, "seed {seed}, {scale}: {goodput} of {base}");
             let live = result.flows.iter().filter(|f| f.class == Class::Live);
-            assert!(live.map(|f| f.quantile(0.99)).all(|ms| ms <= 6_000.0));
+            assert!(live.map(|f| f.quantile_ms(0.99)).all(|ms| ms <= 6_000.0));
         }
     }
 }
@@ -53,7 +53,7 @@
         let result = measure(5.0, PolicyKind::Ours, seed);
         for flow in result.flows.iter().filter(|f| f.class == Class::Live) {
             let refused: u64 = flow.refused.values().sum();
-            assert!(flow.late * 100 <= refused, "seed {seed}: {} late", flow.late);
+            assert!(flow.timed_out * 100 <= refused, "seed {seed}: {} late", flow.timed_out);
         }
     }
 }
@@ -64,10 +64,10 @@
 fn training_keeps_its_floor() {
     for seed in 1..=3 {
         let result = measure(5.0, PolicyKind::Ours, seed);
-        let (live, training) = (result.work(Class::Live), result.work(Class::Training));
+        let (live, training) = (result.work_rate(Class::Live), result.work_rate(Class::Training));
         let part = training / (live + training);
         assert!(part >= 0.09, "seed {seed}: {part}");
-        assert!(result.trainers.iter().all(|t| t.doubled == 0));
+        assert!(result.trainers.iter().all(|t| t.duplicate_samples == 0));
     }
 }
 
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -3,14 +3,14 @@
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
-use standins::experiment::{Deployment, FlowResult, PolicyKind, RunResult, Scenario, run};
+use standins::experiment::{Deployment, FlowResult, PolicyKind, RunResult, Scenario, run_scenario};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 fn measure(text: &str, scale: f64, policy: PolicyKind, seed: u64) -> RunResult {
     let scenario = Scenario::parse("pattern", text).unwrap();
     let deployment = Deployment { name: "small".into(), zones: 3, engines: 4, plain: 4 };
-    run(&scenario, &deployment, scale, policy, seed)
+    run_scenario(&scenario, &deployment, scale, policy, seed)
 }
 
 fn answered_share(flow: &FlowResult) -> f64 {
@@ -59,7 +59,7 @@
             answered_share(naive)
         );
         // Requests that are not answered are refused; hardly any gets no answer in time.
-        assert!(ours.late * 50 <= ours.offered, "seed {seed}: {} late", ours.late);
+        assert!(ours.timed_out * 50 <= ours.offered, "seed {seed}: {} late", ours.timed_out);
     }
 }
 
@@ -106,7 +106,7 @@
     for seed in SEEDS {
         let result = measure(HOT, 1.0, PolicyKind::Ours, seed);
         let hot = result.flow("hot").unwrap();
-        let share = hot.work / result.counted.as_secs_f64() / result.capacity;
+        let share = hot.work / result.measured_time.as_secs_f64() / result.capacity;
         assert!(share >= 0.25, "seed {seed}: {share}");
     }
 }
@@ -259,9 +259,9 @@
     for seed in SEEDS {
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
         for flow in ours.flows.iter().filter(|f| f.class == Class::Live) {
-            let extra = flow.attempts - flow.tried;
+            let extra = flow.attempts - flow.attempted;
             assert!(extra * 10 <= flow.offered, "seed {seed}: {extra}");
-            assert_eq!(flow.doubled, 0, "seed {seed}");
+            assert_eq!(flow.duplicate_runs, 0, "seed {seed}");
         }
     }
 }
