--- a/standins/src/duties/clock.rs
+++ b/standins/src/duties/clock.rs
@@ -1,4 +1,4 @@
-//! A time of day over the runtime's clock.
+//! A settable time of day on top of the runtime's clock, which tests may pause.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,42 +7,42 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// The time of day as a test begins.
-const START: Duration = Duration::from_secs(1_800_000_000);
+/// The time of day when a test starts, since the Unix epoch.
+const START_TIME: Duration = Duration::from_secs(1_800_000_000);
 
-/// One VM's clocks. Cloning it shares them.
+/// The clocks of one VM. Clones share them.
 #[derive(Debug, Clone)]
 pub struct TestClock {
-    begun: Instant,
-    ahead: Arc<Mutex<Duration>>,
+    started: Instant,
+    offset: Arc<Mutex<Duration>>,
 }
 
 impl Default for TestClock {
     fn default() -> Self {
-        Self { begun: Instant::now(), ahead: Arc::default() }
+        Self { started: Instant::now(), offset: Arc::default() }
     }
 }
 
 impl TestClock {
-    /// The time of day is so much ahead of the true one from now on.
-    pub fn step(&self, ahead: Duration) {
-        *self.ahead.lock() = ahead;
+    /// Sets how far the time of day is ahead of the true one from now on.
+    pub fn set_offset(&self, offset: Duration) {
+        *self.offset.lock() = offset;
     }
 
-    /// The clocks of another VM, which may jump by themselves.
-    pub fn beside(&self) -> Self {
-        Self { begun: self.begun, ahead: Arc::default() }
+    /// The clocks of another VM: the same true time, and an offset of their own.
+    pub fn other_vm(&self) -> Self {
+        Self { started: self.started, offset: Arc::default() }
     }
 
     /// The true time of day.
-    pub fn truth(&self) -> Duration {
-        START + self.begun.elapsed()
+    pub fn true_time(&self) -> Duration {
+        START_TIME + self.started.elapsed()
     }
 }
 
 impl Clock for TestClock {
     fn read(&self) -> ClockReading {
-        let running = self.begun.elapsed();
-        ClockReading { since_boot: running, since_epoch: START + running + *self.ahead.lock() }
+        let since_boot = self.started.elapsed();
+        ClockReading { since_boot, since_epoch: START_TIME + since_boot + *self.offset.lock() }
     }
 }
--- a/standins/src/duties/ledger.rs
+++ b/standins/src/duties/ledger.rs
@@ -1,4 +1,4 @@
-//! The platform as far as it takes duties.
+//! The platform's side of the leader's duties: usage reports and orders of replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,74 +8,77 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-/// How long an answer takes.
-const ANSWER: Duration = Duration::from_millis(10);
+/// How long the platform takes to respond.
+const RESPONSE_DELAY: Duration = Duration::from_millis(10);
 
-/// A report as the platform saw it.
+/// A usage report as the platform received it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Reported {
-    /// Who sent it, with which fencing token.
+pub struct ReceivedReport {
+    /// The leader that sent it and its fencing token.
     pub term: Term,
-    /// What it said.
+    /// The report.
     pub report: UsageReport,
-    /// When it came.
-    pub at: Instant,
-    /// Whether it was taken.
-    pub taken: bool,
+    /// When it was received.
+    pub received_at: Instant,
+    /// Whether it was accepted: false if its fencing token was older than a previous one.
+    pub accepted: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    fence: u64,
-    reported: Vec<Reported>,
-    ordered: Vec<(u64, ScaleOrder)>,
-    /// So many calls to come are carried out and not answered.
-    lost: u32,
-    /// So many calls to come are refused.
-    refused: u32,
+    /// The highest fencing token received.
+    fencing_token: u64,
+    reports: Vec<ReceivedReport>,
+    /// The orders, each with the fencing token of its sender.
+    orders: Vec<(u64, ScaleOrder)>,
+    /// How many of the next reports are recorded without a response.
+    lost_responses: u32,
+    /// How many of the next calls are refused.
+    refused_calls: u32,
 }
 
-/// The platform. Cloning it shares what it took.
+/// The platform. Clones share what it recorded.
 #[derive(Debug, Clone, Default)]
 pub struct DutyLedger {
     state: Arc<Mutex<State>>,
 }
 
 impl DutyLedger {
-    /// So many calls are carried out and not answered.
-    pub fn lose(&self, calls: u32) {
-        self.state.lock().lost = calls;
+    /// Records the next `calls` reports without a response.
+    pub fn lose_responses(&self, calls: u32) {
+        self.state.lock().lost_responses = calls;
     }
 
-    /// So many calls are refused.
-    pub fn refuse(&self, calls: u32) {
-        self.state.lock().refused = calls;
+    /// Refuses the next `calls` calls.
+    pub fn refuse_calls(&self, calls: u32) {
+        self.state.lock().refused_calls = calls;
     }
 
-    /// All reports that came.
-    pub fn reported(&self) -> Vec<Reported> {
-        self.state.lock().reported.clone()
+    /// All reports received, in order.
+    pub fn reports(&self) -> Vec<ReceivedReport> {
+        self.state.lock().reports.clone()
     }
 
-    /// All orders of replicas that came, with the fencing tokens.
-    pub fn ordered(&self) -> Vec<(u64, ScaleOrder)> {
-        self.state.lock().ordered.clone()
+    /// All orders of replicas received, each with its fencing token.
+    pub fn orders(&self) -> Vec<(u64, ScaleOrder)> {
+        self.state.lock().orders.clone()
     }
 
-    fn take(&self, term: Term, report: UsageReport) -> Option<DutyOutcome> {
+    /// Records a report; none if its response is lost.
+    fn record_report(&self, term: Term, report: UsageReport) -> Option<DutyOutcome> {
         let mut state = self.state.lock();
-        if state.refused > 0 {
-            state.refused -= 1;
+        if state.refused_calls > 0 {
+            state.refused_calls -= 1;
             return Some(DutyOutcome::Refused);
         }
-        let taken = term.fencing_token >= state.fence;
-        state.fence = state.fence.max(term.fencing_token);
-        state.reported.push(Reported { term, report, at: Instant::now(), taken });
-        if state.lost > 0 {
-            state.lost -= 1;
+        let accepted = term.fencing_token >= state.fencing_token;
+        state.fencing_token = state.fencing_token.max(term.fencing_token);
+        state.reports.push(ReceivedReport { term, report, received_at: Instant::now(), accepted });
+        if state.lost_responses > 0 {
+            state.lost_responses -= 1;
             return None;
         }
-        Some(if taken { DutyOutcome::Done } else { DutyOutcome::Fenced })
+        Some(if accepted { DutyOutcome::Done } else { DutyOutcome::Fenced })
     }
 }
 
@@ -84,15 +87,15 @@
         &self,
         term: Term,
         report: UsageReport,
-        limit: Duration,
+        timeout: Duration,
     ) -> BoxFuture<'static, DutyOutcome> {
         let platform = self.clone();
         Box::pin(async move {
-            tokio::time::sleep(ANSWER).await;
-            match platform.take(term, report) {
-                Some(end) => end,
+            tokio::time::sleep(RESPONSE_DELAY).await;
+            match platform.record_report(term, report) {
+                Some(outcome) => outcome,
                 None => {
-                    tokio::time::sleep(limit).await;
+                    tokio::time::sleep(timeout).await;
                     DutyOutcome::Unknown
                 }
             }
@@ -107,13 +110,13 @@
     ) -> BoxFuture<'static, DutyOutcome> {
         let platform = self.clone();
         Box::pin(async move {
-            tokio::time::sleep(ANSWER).await;
+            tokio::time::sleep(RESPONSE_DELAY).await;
             let mut state = platform.state.lock();
-            if state.refused > 0 {
-                state.refused -= 1;
+            if state.refused_calls > 0 {
+                state.refused_calls -= 1;
                 return DutyOutcome::Refused;
             }
-            state.ordered.push((term.fencing_token, order));
+            state.orders.push((term.fencing_token, order));
             DutyOutcome::Done
         })
     }
--- a/standins/src/duties/mod.rs
+++ b/standins/src/duties/mod.rs
@@ -1,7 +1,7 @@
-//! A platform that takes duties, and a time of day that tests can set.
+//! A platform that records the reports and orders of the leader, and a clock that tests can set.
 
 mod clock;
 mod ledger;
 
 pub use clock::TestClock;
-pub use ledger::{DutyLedger, Reported};
+pub use ledger::{DutyLedger, ReceivedReport};
--- a/standins/src/kv/mod.rs
+++ b/standins/src/kv/mod.rs
@@ -1,8 +1,9 @@
-//! A key-value service in memory, behind the library's port, with faults on order.
+//! An in-memory key-value service that implements the library's `Store` trait and
+//! injects faults when a test sets them.
 
-mod line;
+mod schema;
+mod service;
 mod state;
-mod words;
 
-pub use line::{Away, Faults, KvLine, KvService};
-pub use words::Words;
+pub use schema::TestSchema;
+pub use service::{Faults, KvClient, KvService, Outage};
--- a/standins/src/kv/state.rs
+++ b/standins/src/kv/state.rs
@@ -1,4 +1,4 @@
-//! Keys, leases and history.
+//! The keys, leases and history of the service.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +8,23 @@
 };
 use tokio::time::Instant;
 
+/// What the service stores.
 #[derive(Debug, Default)]
-pub(super) struct State {
+pub(super) struct KvState {
     pub revision: u64,
+    /// Each key with the lease that it is bound to, 0 for none.
     items: BTreeMap<Name, (KeyValue, u64)>,
     history: Vec<Change>,
-    /// Changes up to this revision are gone from the history.
-    floor: u64,
+    /// The history has no changes up to and including this revision.
+    compacted_revision: u64,
+    /// When each lease expires.
     leases: BTreeMap<u64, Instant>,
     next_lease: u64,
-    /// The most bytes of a value; none for any number.
-    pub most: Option<usize>,
+    /// The largest value, in bytes; none for no limit.
+    pub max_value: Option<usize>,
 }
 
-impl State {
+impl KvState {
     pub(super) fn get(&self, key: &str) -> Option<KeyValue> {
         self.items.get(key).map(|(item, _)| item.clone())
     }
@@ -32,23 +35,27 @@
         RangeResult { items, revision: self.revision }
     }
 
-    /// Changes after a revision; none if that history is gone.
+    /// Changes after a revision; none if the history does not reach back that far.
     pub(super) fn watch(&self, prefix: &str, after: u64) -> Option<WatchBatch> {
-        if after < self.floor {
+        if after < self.compacted_revision {
             return None;
         }
         let changes = self.history.iter().filter(|change| {
-            let (key, revision) = of(change);
+            let (key, revision) = key_and_revision(change);
             revision > after && key.starts_with(prefix)
         });
         Some(WatchBatch { changes: changes.cloned().collect(), revision: self.revision })
     }
 
     /// Whether anything under a prefix has changed since the history was dropped.
-    pub(super) fn stirred(&self, prefix: &str) -> bool {
-        self.history.iter().any(|c| of(c).0.starts_with(prefix) && of(c).1 > self.floor)
+    pub(super) fn changed_since_compaction(&self, prefix: &str) -> bool {
+        self.history
+            .iter()
+            .map(key_and_revision)
+            .any(|(key, revision)| key.starts_with(prefix) && revision > self.compacted_revision)
     }
 
+    /// Writes all or nothing, depending on the expected revisions and the leases.
     pub(super) fn txn(&mut self, txn: &Txn) -> TxnOutcome {
         let current = |key: &str| self.items.get(key).map_or(0, |(item, _)| item.revision);
         if txn.expected.iter().any(|(key, revision)| current(key) != *revision) {
@@ -68,10 +75,10 @@
         TxnOutcome::Done(self.revision)
     }
 
-    /// Whether a value is larger than values may be.
+    /// Whether a transaction writes a value above the size limit.
     pub(super) fn too_large(&self, txn: &Txn) -> bool {
-        let most = self.most.unwrap_or(usize::MAX);
-        txn.puts.iter().any(|put| put.value.len() > most)
+        let max_value = self.max_value.unwrap_or(usize::MAX);
+        txn.puts.iter().any(|put| put.value.len() > max_value)
     }
 
     fn put(&mut self, put: &Put) {
@@ -87,20 +94,20 @@
         }
     }
 
-    pub(super) fn grant(&mut self, until: Instant) -> u64 {
+    pub(super) fn grant(&mut self, expires_at: Instant) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, until);
+        self.leases.insert(self.next_lease, expires_at);
         self.next_lease
     }
 
-    pub(super) fn keep(&mut self, lease: u64, until: Instant) -> bool {
-        self.leases.get_mut(&lease).map(|at| *at = until).is_some()
+    pub(super) fn renew(&mut self, lease: u64, expires_at: Instant) -> bool {
+        self.leases.get_mut(&lease).map(|at| *at = expires_at).is_some()
     }
 
-    /// Ends the leases that `ends` says, and removes their keys. True if any ended.
-    pub(super) fn end(&mut self, ends: impl Fn(u64, Instant) -> bool) -> bool {
+    /// Ends the leases that `is_over` selects, and removes their keys. True if any ended.
+    pub(super) fn end_leases(&mut self, is_over: impl Fn(u64, Instant) -> bool) -> bool {
         let over: Vec<u64> =
-            self.leases.iter().filter(|(id, at)| ends(**id, **at)).map(|(id, _)| *id).collect();
+            self.leases.iter().filter(|(id, at)| is_over(**id, **at)).map(|(id, _)| *id).collect();
         for lease in &over {
             self.leases.remove(lease);
             let keys: Vec<Name> = self
@@ -116,12 +123,13 @@
     }
 
     pub(super) fn compact(&mut self) {
-        self.floor = self.revision;
+        self.compacted_revision = self.revision;
         self.history.clear();
     }
 }
 
-fn of(change: &Change) -> (&Name, u64) {
+/// The key and revision of a change.
+fn key_and_revision(change: &Change) -> (&Name, u64) {
     match change {
         Change::Put(item) => (&item.key, item.revision),
         Change::Removed { key, revision } => (key, *revision),
--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -1,4 +1,4 @@
-//! The replicas.
+//! All replicas, as one implementation of the library's `Replicas` trait.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -18,63 +18,64 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use super::replica::{Mood, Ordered, Ran, Replica};
-use crate::kv::{KvService, Words};
+use super::replica::{Behaviour, RecordedOrder, RecordedRun, Replica};
+use crate::kv::{KvService, TestSchema};
 
-/// How long an event takes.
-const EVENT: Duration = Duration::from_millis(35);
-/// How long plain work takes.
-const PLAIN: Duration = Duration::from_millis(25);
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(35);
+/// How long a plain request runs.
+const PLAIN_RUN_TIME: Duration = Duration::from_millis(25);
 /// How long a load of weights takes.
-const LOAD: Duration = Duration::from_millis(900);
-/// Events of a text, where nothing else is set.
-const EVENTS: u64 = 5;
+const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(900);
+/// Number of events in a text, unless a test sets another.
+const DEFAULT_EVENT_COUNT: u64 = 5;
 
 #[derive(Debug, Default)]
 struct State {
     replicas: BTreeMap<Name, Replica>,
-    lengths: HashMap<Name, u64>,
-    ran: Vec<Ran>,
-    ordered: Vec<Ordered>,
+    /// The number of events of a text, by request id.
+    event_counts: HashMap<Name, u64>,
+    runs: Vec<RecordedRun>,
+    orders: Vec<RecordedOrder>,
 }
 
-/// All replicas. Cloning it shares them.
+/// All replicas. Clones share them.
 #[derive(Debug, Clone)]
 pub struct ReplicaFleet {
     state: Arc<Mutex<State>>,
     service: KvService,
-    words: Words,
+    schema: TestSchema,
 }
 
 impl ReplicaFleet {
-    /// No replicas yet.
-    pub fn new(service: KvService, words: Words) -> Self {
-        Self { state: Arc::default(), service, words }
+    /// An empty fleet that writes its entries to `service`.
+    pub fn new(service: KvService, schema: TestSchema) -> Self {
+        Self { state: Arc::default(), service, schema }
     }
 
-    /// Adds a replica and lists it.
+    /// Adds a replica with version 1 of each model, and writes its entry.
     pub fn add(&self, service: &str, id: &str, models: &[&str]) {
         let versions: BTreeMap<Name, u64> = models.iter().map(|m| (Name::from(*m), 1)).collect();
         let replica = Replica::new(versions, None);
         self.state.lock().replicas.insert(id.into(), replica);
-        self.list(service, id, false);
+        self.write_entry(service, id, false);
     }
 
-    /// A replica starts again under its id, with the version that it has from its start.
-    pub fn restart(&self, service: &str, id: &str, born: u64, versions: &[(&str, u64)]) {
+    /// Replaces a replica by a new instance under the same id, and writes its entry.
+    pub fn restart(&self, service: &str, id: &str, started_ms: u64, versions: &[(&str, u64)]) {
         let versions = versions.iter().map(|(m, v)| (Name::from(*m), *v)).collect();
-        self.state.lock().replicas.insert(id.into(), Replica::new(versions, Some(born)));
-        self.list(service, id, false);
+        self.state.lock().replicas.insert(id.into(), Replica::new(versions, Some(started_ms)));
+        self.write_entry(service, id, false);
     }
 
-    /// Lists a replica as it stands.
-    pub fn list(&self, service: &str, id: &str, draining: bool) {
+    /// Writes the entry of a replica with its present versions.
+    pub fn write_entry(&self, service: &str, id: &str, draining: bool) {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
         let versions = self.state.lock().replicas[id].versions.clone();
         let listed = ListedReplica {
             target: Target {
                 id: id.into(),
-                started_ms: self.state.lock().replicas[id].born,
+                started_ms: self.state.lock().replicas[id].started_ms,
                 address,
             },
             service: service.into(),
@@ -84,43 +85,43 @@
             spot: false,
             versions: versions.into_iter().collect(),
         };
-        self.words.list(&self.service, listed);
+        self.schema.write_replica(&self.service, listed);
     }
 
-    /// Gives a replica a version, as it had it when it came.
-    pub fn load(&self, id: &str, model: &str, version: u64) {
-        self.set(id, model, version);
-        self.list("engines", id, false);
+    /// Sets the version of a model at a replica, and writes the entry of the replica.
+    pub fn set_version(&self, id: &str, model: &str, version: u64) {
+        self.set_unlisted_version(id, model, version);
+        self.write_entry("engines", id, false);
     }
 
-    /// Gives a replica a version that its entry does not show.
-    pub fn set(&self, id: &str, model: &str, version: u64) {
+    /// Sets the version of a model at a replica without writing its entry.
+    pub fn set_unlisted_version(&self, id: &str, model: &str, version: u64) {
         self.with(id, |r| r.versions.insert(model.into(), version));
     }
 
     /// Sets how a replica behaves.
-    pub fn mood(&self, id: &str, mood: Mood) {
-        self.with(id, |r| r.mood = mood);
+    pub fn set_behaviour(&self, id: &str, behaviour: Behaviour) {
+        self.with(id, |r| r.behaviour = behaviour);
     }
 
-    /// Orders to a replica are carried out so much later, without an answer.
-    pub fn late(&self, id: &str, late: Option<Duration>) {
-        self.with(id, |r| r.late = late);
+    /// Delays orders to a replica, which then get no response; none ends the delay.
+    pub fn delay_orders(&self, id: &str, delay: Option<Duration>) {
+        self.with(id, |r| r.order_delay = delay);
     }
 
-    /// Sets how many events a text has.
-    pub fn length(&self, item: &str, events: u64) {
-        self.state.lock().lengths.insert(item.into(), events);
+    /// Sets how many events the text of a request has.
+    pub fn set_event_count(&self, item: &str, events: u64) {
+        self.state.lock().event_counts.insert(item.into(), events);
     }
 
     /// All runs so far.
-    pub fn ran(&self) -> Vec<Ran> {
-        self.state.lock().ran.clone()
+    pub fn runs(&self) -> Vec<RecordedRun> {
+        self.state.lock().runs.clone()
     }
 
     /// All orders so far.
-    pub fn ordered(&self) -> Vec<Ordered> {
-        self.state.lock().ordered.clone()
+    pub fn orders(&self) -> Vec<RecordedOrder> {
+        self.state.lock().orders.clone()
     }
 
     /// The version of a model at a replica.
@@ -129,7 +130,7 @@
     }
 
     /// The data of one event of a text.
-    pub fn event(item: &str, event: u64) -> String {
+    pub fn event_data(item: &str, event: u64) -> String {
         format!("{item}/{event}")
     }
 
@@ -137,70 +138,78 @@
         self.state.lock().replicas.get_mut(id).map(work)
     }
 
-    /// Carries out an order. Accepted if nothing speaks against it at this moment.
-    fn accept(&self, to: &Name, order: &WeightOrder) -> OrderOutcome {
-        let end = self.with(to, |r| {
-            if order.fencing_token < r.fence {
+    /// Checks and records an order, and starts the load if it is accepted.
+    fn apply_order(&self, to: &Name, order: &WeightOrder) -> OrderOutcome {
+        let outcome = self.with(to, |r| {
+            if order.fencing_token < r.fencing_token {
                 return OrderOutcome::Fenced;
             }
-            r.fence = order.fencing_token;
-            if r.busy.is_some_and(|until| until > Instant::now())
-                || r.sequence != order.accepted_orders
+            r.fencing_token = order.fencing_token;
+            if r.busy_until.is_some_and(|until| until > Instant::now())
+                || r.accepted_orders != order.accepted_orders
             {
                 return OrderOutcome::Busy;
             }
             if r.versions.get(&order.model).is_some_and(|v| *v >= order.version) {
                 return OrderOutcome::Holds;
             }
-            r.sequence += 1;
-            r.busy = Some(Instant::now() + LOAD);
+            r.accepted_orders += 1;
+            r.busy_until = Some(Instant::now() + WEIGHT_LOAD_TIME);
             OrderOutcome::Accepted
         });
-        let end = end.unwrap_or(OrderOutcome::Refused);
-        self.state.lock().ordered.push(Ordered {
+        let outcome = outcome.unwrap_or(OrderOutcome::Refused);
+        self.state.lock().orders.push(RecordedOrder {
             replica: to.clone(),
-            holder: order.leader.clone(),
-            fence: order.fencing_token,
+            leader: order.leader.clone(),
+            fencing_token: order.fencing_token,
             model: order.model.clone(),
             version: order.version,
-            at: Instant::now(),
-            accepted: end == OrderOutcome::Accepted,
+            received_at: Instant::now(),
+            accepted: outcome == OrderOutcome::Accepted,
         });
-        if end == OrderOutcome::Accepted {
+        if outcome == OrderOutcome::Accepted {
             let (fleet, to, order) = (self.clone(), to.clone(), order.clone());
             tokio::spawn(async move {
-                tokio::time::sleep(LOAD).await;
+                tokio::time::sleep(WEIGHT_LOAD_TIME).await;
                 fleet.with(&to, |r| r.versions.insert(order.model, order.version));
             });
         }
-        end
+        outcome
     }
 
-    fn begin(&self, to: &Target, call: &ReplicaCall) -> usize {
+    /// Records a run; returns its index.
+    fn record_run(&self, to: &Target, call: &ReplicaCall) -> usize {
         let mut state = self.state.lock();
-        state.ran.push(Ran {
+        state.runs.push(RecordedRun {
             replica: to.id.clone(),
             id: call.id.clone(),
             organisation: call.organisation.clone(),
-            after: call.last_event,
-            limit: call.timeout,
-            at: Instant::now(),
-            cut: true,
+            last_event: call.last_event,
+            timeout: call.timeout,
+            received_at: Instant::now(),
+            unfinished: true,
         });
-        state.ran.len() - 1
+        state.runs.len() - 1
     }
 
-    /// The events of a text after the last that the sender has.
-    fn events(&self, to: &Target, call: &ReplicaCall, mood: Mood, run: usize) -> BodyStream {
-        let total = self.state.lock().lengths.get(&call.id).copied().unwrap_or(EVENTS);
+    /// Streams the events of a text after the last that the sender has.
+    fn stream_events(
+        &self,
+        to: &Target,
+        call: &ReplicaCall,
+        behaviour: Behaviour,
+        run: usize,
+    ) -> BodyStream {
+        let total =
+            self.state.lock().event_counts.get(&call.id).copied().unwrap_or(DEFAULT_EVENT_COUNT);
         let from = call.last_event.unwrap_or(0);
         let model = call.headers.get("model").and_then(|m| m.to_str().ok()).map(Name::from);
-        let pace = match mood {
-            Mood::Slow(times) => EVENT * times,
-            _ => EVENT,
+        let interval = match behaviour {
+            Behaviour::Slow(times) => EVENT_INTERVAL * times,
+            _ => EVENT_INTERVAL,
         };
-        let breaks = match mood {
-            Mood::Breaks(after) => Some(from + after),
+        let breaks_at = match behaviour {
+            Behaviour::BreaksAfter(after) => Some(from + after),
             _ => None,
         };
         let (fleet, to, id) = (self.clone(), to.id.clone(), call.id.clone());
@@ -208,12 +217,12 @@
             let (fleet, to, id, model) = (fleet.clone(), to.clone(), id.clone(), model.clone());
             async move {
                 if last >= total {
-                    fleet.state.lock().ran[run].cut = false;
+                    fleet.state.lock().runs[run].unfinished = false;
                     return None;
                 }
-                tokio::time::sleep(pace).await;
-                if breaks.is_some_and(|at| last >= at) {
-                    return Some((Err("reset".to_owned()), total));
+                tokio::time::sleep(interval).await;
+                if breaks_at.is_some_and(|at| last >= at) {
+                    return Some((Err("connection reset".to_owned()), total));
                 }
                 let event = last + 1;
                 let version = model.and_then(|m| fleet.with(&to, |r| r.versions.get(&m).copied()));
@@ -221,7 +230,7 @@
                     Some(version) => format!("version: {version}\n"),
                     None => String::new(),
                 };
-                let data = Self::event(&id, event);
+                let data = Self::event_data(&id, event);
                 let text = format!("{label}id: {event}\ndata: {data}\n\n");
                 Some((Ok(Bytes::from(text)), event))
             }
@@ -238,32 +247,36 @@
     fn send(&self, to: &Target, call: ReplicaCall) -> BoxFuture<'static, Result<Reply, CallError>> {
         let (fleet, to) = (self.clone(), to.clone());
         Box::pin(async move {
-            let Some(mood) = fleet.with(&to.id, |r| r.mood) else {
+            let Some(behaviour) = fleet.with(&to.id, |r| r.behaviour) else {
                 return Err(CallError::WrongInstance);
             };
             tokio::time::sleep(Duration::from_millis(1)).await;
-            match mood {
-                Mood::Unreachable => return Err(CallError::Unsent("refused".to_owned())),
-                Mood::Full => return Err(CallError::NotRun(StatusCode::SERVICE_UNAVAILABLE)),
+            match behaviour {
+                Behaviour::Unreachable => {
+                    return Err(CallError::Unsent("connection refused".to_owned()));
+                }
+                Behaviour::Full => return Err(CallError::NotRun(StatusCode::SERVICE_UNAVAILABLE)),
                 _ => {}
             }
-            let run = fleet.begin(&to, &call);
-            let streams = call.path.starts_with("/text");
-            let (status, body): (_, BodyStream) = match mood {
-                Mood::Silent => std::future::pending().await,
-                Mood::Fails => {
+            let run = fleet.record_run(&to, &call);
+            let is_stream = call.path.starts_with("/text");
+            let (status, body): (_, BodyStream) = match behaviour {
+                Behaviour::Unresponsive => std::future::pending().await,
+                Behaviour::Fails => {
                     (StatusCode::INTERNAL_SERVER_ERROR, futures_util::stream::empty().boxed())
                 }
-                Mood::Late => (StatusCode::GATEWAY_TIMEOUT, futures_util::stream::empty().boxed()),
-                Mood::Breaks(_) if !streams => {
-                    let broken = futures_util::stream::iter([Err("reset".to_owned())]);
+                Behaviour::TimesOut => {
+                    (StatusCode::GATEWAY_TIMEOUT, futures_util::stream::empty().boxed())
+                }
+                Behaviour::BreaksAfter(_) if !is_stream => {
+                    let broken = futures_util::stream::iter([Err("connection reset".to_owned())]);
                     (StatusCode::OK, broken.boxed())
                 }
-                mood if streams => (StatusCode::OK, fleet.events(&to, &call, mood, run)),
-                mood => {
-                    let times = if let Mood::Slow(times) = mood { times } else { 1 };
-                    tokio::time::sleep(PLAIN * times).await;
-                    fleet.state.lock().ran[run].cut = false;
+                _ if is_stream => (StatusCode::OK, fleet.stream_events(&to, &call, behaviour, run)),
+                _ => {
+                    let times = if let Behaviour::Slow(times) = behaviour { times } else { 1 };
+                    tokio::time::sleep(PLAIN_RUN_TIME * times).await;
+                    fleet.state.lock().runs[run].unfinished = false;
                     let body = Bytes::from(format!("answer to {}", call.id));
                     (StatusCode::OK, futures_util::stream::iter([Ok(body)]).boxed())
                 }
@@ -289,13 +302,13 @@
         let (fleet, to) = (self.clone(), to.clone());
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            let stance = fleet.with(&to.id, |r| ReplicaStatus {
-                started_ms: r.born,
-                accepted_orders: r.sequence,
-                busy: r.busy.is_some_and(|until| until > Instant::now()),
+            let status = fleet.with(&to.id, |r| ReplicaStatus {
+                started_ms: r.started_ms,
+                accepted_orders: r.accepted_orders,
+                busy: r.busy_until.is_some_and(|until| until > Instant::now()),
                 versions: r.versions.iter().map(|(m, v)| (m.clone(), *v)).collect(),
             });
-            stance.ok_or(CallError::WrongInstance)
+            status.ok_or(CallError::WrongInstance)
         })
     }
 
@@ -303,19 +316,19 @@
         &self,
         to: &Target,
         order: WeightOrder,
-        limit: Duration,
+        timeout: Duration,
     ) -> BoxFuture<'static, OrderOutcome> {
         let (fleet, to) = (self.clone(), to.id.clone());
         Box::pin(async move {
             tokio::time::sleep(Duration::from_millis(1)).await;
-            let Some(late) = fleet.with(&to, |r| r.late).flatten() else {
-                return fleet.accept(&to, &order);
+            let Some(delay) = fleet.with(&to, |r| r.order_delay).flatten() else {
+                return fleet.apply_order(&to, &order);
             };
             tokio::spawn(async move {
-                tokio::time::sleep(late).await;
-                fleet.accept(&to, &order);
+                tokio::time::sleep(delay).await;
+                fleet.apply_order(&to, &order);
             });
-            tokio::time::sleep(limit).await;
+            tokio::time::sleep(timeout).await;
             OrderOutcome::Unknown
         })
     }
--- a/standins/src/replicas/mod.rs
+++ b/standins/src/replicas/mod.rs
@@ -1,7 +1,8 @@
-//! Replicas in memory, behind the library's port, with faults on order and a ledger of runs.
+//! In-memory replicas that implement the library's `Replicas` trait, inject faults when a test
+//! sets them, and record every run and order.
 
 mod fleet;
 mod replica;
 
 pub use fleet::ReplicaFleet;
-pub use replica::{Mood, Ordered, Ran};
+pub use replica::{Behaviour, RecordedOrder, RecordedRun};
--- a/standins/src/replicas/replica.rs
+++ b/standins/src/replicas/replica.rs
@@ -1,4 +1,4 @@
-//! One replica's state, and what the ledger says of it.
+//! The state of one replica, and the records of its runs and orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,80 +8,93 @@
 
 /// How a replica behaves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Mood {
-    /// As it should.
+pub enum Behaviour {
+    /// It runs requests and responds.
     #[default]
-    Good,
-    /// Nobody can connect.
+    Normal,
+    /// Connections are refused.
     Unreachable,
-    /// It runs what it gets and says nothing.
-    Silent,
-    /// It runs nothing and says so.
+    /// It runs requests and never responds.
+    Unresponsive,
+    /// It runs nothing and responds with 503.
     Full,
-    /// Its answers break off after so many events, or in the middle of a plain body.
-    Breaks(u64),
-    /// It runs what it gets and answers that it failed.
+    /// Its streams break after this many events, and its plain bodies in the middle.
+    BreaksAfter(u64),
+    /// It runs requests and responds with 500.
     Fails,
-    /// It runs what it gets and answers that the time was over.
-    Late,
-    /// It takes so many times as long.
+    /// It runs requests and responds with 504.
+    TimesOut,
+    /// It takes this many times as long.
     Slow(u32),
 }
 
-/// A run, as the replica saw it.
+/// A run of a request, as the replica recorded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ran {
+pub struct RecordedRun {
     /// The replica.
     pub replica: Name,
-    /// The request.
+    /// The id of the request.
     pub id: Name,
-    /// The organisation that it was for.
+    /// The organisation that the request belongs to.
     pub organisation: Option<Name>,
-    /// The event after which it went on.
-    pub after: Option<u64>,
-    /// How long its sender gave it.
-    pub limit: Duration,
-    /// When it began.
-    pub at: Instant,
-    /// Whether its sender left before it ended.
-    pub cut: bool,
+    /// The last event that the sender already has, when it resumes a stream.
+    pub last_event: Option<u64>,
+    /// The timeout that its sender set.
+    pub timeout: Duration,
+    /// When it was received.
+    pub received_at: Instant,
+    /// Whether its response has not ended: the sender left, the stream broke, or it still runs.
+    pub unfinished: bool,
 }
 
-/// An order, as the replica saw it.
+/// A weight order, as the replica recorded it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ordered {
+pub struct RecordedOrder {
     /// The replica.
     pub replica: Name,
-    /// Who gave it.
-    pub holder: Name,
-    /// With which fencing token.
-    pub fence: u64,
-    /// The model.
+    /// The leader that sent it.
+    pub leader: Name,
+    /// The fencing token of its sender.
+    pub fencing_token: u64,
+    /// The model to load.
     pub model: Name,
-    /// The version.
+    /// The weight version to load.
     pub version: u64,
-    /// When it came.
-    pub at: Instant,
+    /// When it was received.
+    pub received_at: Instant,
     /// Whether it was accepted.
     pub accepted: bool,
 }
 
+/// The state of one replica.
 #[derive(Debug)]
 pub(super) struct Replica {
-    pub mood: Mood,
+    pub behaviour: Behaviour,
+    /// The weight version of each model.
     pub versions: BTreeMap<Name, u64>,
-    pub sequence: u64,
-    pub fence: u64,
-    pub busy: Option<Instant>,
-    /// Orders to come get no answer and are carried out so much later.
-    pub late: Option<Duration>,
-    /// When it started, where it says so.
-    pub born: Option<u64>,
+    /// How many orders it has accepted since its start.
+    pub accepted_orders: u64,
+    /// The highest fencing token received.
+    pub fencing_token: u64,
+    /// When its present load of weights ends.
+    pub busy_until: Option<Instant>,
+    /// If set, orders get no response and are carried out this much later.
+    pub order_delay: Option<Duration>,
+    /// Its start time in milliseconds, if it reports one.
+    pub started_ms: Option<u64>,
 }
 
 impl Replica {
-    /// One that has just started.
-    pub(super) fn new(versions: BTreeMap<Name, u64>, born: Option<u64>) -> Self {
-        Self { mood: Mood::Good, versions, sequence: 0, fence: 0, busy: None, late: None, born }
+    /// A replica that has just started.
+    pub(super) fn new(versions: BTreeMap<Name, u64>, started_ms: Option<u64>) -> Self {
+        Self {
+            behaviour: Behaviour::Normal,
+            versions,
+            accepted_orders: 0,
+            fencing_token: 0,
+            busy_until: None,
+            order_delay: None,
+            started_ms,
+        }
     }
 }
--- a/tests/entry/crowds.rs
+++ b/tests/entry/crowds.rs
@@ -1,6 +1,6 @@
 //! Tests of what hundreds of nodes cost the store at a start and in an outage.
 
-use standins::kv::{Away, Faults};
+use standins::kv::{Faults, Outage};
 
 use crate::links::Link;
 use crate::world::{Node, World, charged_calls, sleep_ms, wait_until};
@@ -9,8 +9,8 @@
 const FLEET_SIZE: u16 = 250;
 
 /// Makes the store unavailable to all nodes, or available again.
-fn fail(nodes: &[Node], away: Option<Away>) {
-    nodes.iter().for_each(|n| n.line.fail(Faults { away, ..Faults::default() }));
+fn fail(nodes: &[Node], away: Option<Outage>) {
+    nodes.iter().for_each(|n| n.line.set_faults(Faults { outage: away, ..Faults::default() }));
 }
 
 /// Starts the nodes and waits until they are ready and know each other.
@@ -59,10 +59,10 @@
 /// other node 0.8 s after the end of the outage in 425 cases.
 #[tokio::test(start_paused = true)]
 async fn nodes_know_each_other_in_an_outage_that_begins_with_the_end_of_their_leases() {
-    for away in [Away::Refusing, Away::Silent] {
+    for away in [Outage::Refusing, Outage::Unresponsive] {
         let world = World::new();
         let nodes = start_fleet(&world).await;
-        world.kv.lapse();
+        world.kv.expire_leases();
         sleep_ms(20).await;
         fail(&nodes, Some(away));
         sleep_ms(5_000).await;
@@ -82,7 +82,7 @@
 /// registers again, or with the number of replicas, but not with their product.
 #[tokio::test(start_paused = true)]
 async fn an_outage_costs_each_of_many_nodes_few_calls() {
-    for away in [Away::Refusing, Away::Silent] {
+    for away in [Outage::Refusing, Outage::Unresponsive] {
         let world = World::new();
         for i in 0..60 {
             world.replicas.add("engines", &format!("x{i}"), &["coach"]);
@@ -91,9 +91,9 @@
         let before = charged_calls(&nodes);
         fail(&nodes, Some(away));
         for i in 0..60 {
-            world.words.unlist(&world.kv, &format!("x{i}"));
+            world.words.remove_replica(&world.kv, &format!("x{i}"));
         }
-        world.kv.lapse();
+        world.kv.expire_leases();
         sleep_ms(5_000).await;
         let outage = charged_calls(&nodes) - before;
         fail(&nodes, None);
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standins::kv::{Away, Faults};
+use standins::kv::{Faults, Outage};
 
 use crate::links::Link;
 use crate::world::{Node, World, answered_calls, plain_replicas_used, refused_calls, sleep_ms};
@@ -35,10 +35,10 @@
 async fn find_watchers(world: &World, nodes: &[Node]) -> Vec<usize> {
     let before = watch_calls(nodes);
     for turn in 0..40 {
-        world.replicas.list("plain", "p2", turn % 2 == 0);
+        world.replicas.write_entry("plain", "p2", turn % 2 == 0);
         sleep_ms(250).await;
     }
-    world.replicas.list("plain", "p2", false);
+    world.replicas.write_entry("plain", "p2", false);
     sleep_ms(2_000).await;
     let after = watch_calls(nodes);
     (0..nodes.len()).filter(|i| after[*i] - before[*i] > 5).collect()
@@ -57,9 +57,9 @@
 async fn all_nodes_learn_of_a_draining_replica_in_time() {
     let world = World::new();
     let nodes = start_nodes(&world).await;
-    world.replicas.list("plain", "p2", false);
+    world.replicas.write_entry("plain", "p2", false);
     sleep_ms(50).await;
-    world.replicas.list("plain", "p1", true);
+    world.replicas.write_entry("plain", "p1", true);
     sleep_ms(2_000).await;
     for node in &nodes {
         let used = plain_replicas_used(&world, node, "t").await;
@@ -81,7 +81,9 @@
                 "silent" => nodes[*i].link(Link::Silent),
                 "disconnected" => {
                     nodes[*i].isolate();
-                    nodes[*i].line.fail(Faults { away: Some(Away::Hanging), ..Faults::default() });
+                    nodes[*i]
+                        .line
+                        .set_faults(Faults { outage: Some(Outage::Hanging), ..Faults::default() });
                 }
                 _ => nodes[*i].link(Link::Refusing),
             }
@@ -91,7 +93,7 @@
                 drop(nodes.remove(*i));
             }
         }
-        world.replicas.list("plain", "p1", true);
+        world.replicas.write_entry("plain", "p1", true);
         sleep_ms(2_800).await;
         for (i, node) in nodes.iter().enumerate() {
             if fate == "disconnected" && watchers.contains(&i) {
@@ -109,7 +111,7 @@
 async fn followers_miss_no_change_when_the_store_drops_its_history() {
     let world = World::new();
     let nodes = start_nodes(&world).await;
-    world.replicas.list("plain", "p1", true);
+    world.replicas.write_entry("plain", "p1", true);
     world.kv.compact();
     sleep_ms(2_500).await;
     for node in &nodes {
@@ -156,8 +158,8 @@
     let world = World::new();
     let seed = world.linked_node("a").await;
     sleep_ms(1_000).await;
-    let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
-    seed.line.fail(away);
+    let away = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
+    seed.line.set_faults(away);
     sleep_ms(4_000).await;
     let started = world.start_linked("b", &seed, away);
     sleep_ms(1_000).await;
@@ -167,8 +169,8 @@
     );
     assert!(!started.app().ready(), "no client is directed to a node that is not registered");
     assert_eq!(plain_replicas_used(&world, &started, "t").await.len(), 6);
-    seed.line.fail(Faults::default());
-    started.line.fail(Faults::default());
+    seed.line.set_faults(Faults::default());
+    started.line.set_faults(Faults::default());
     world.configure(9);
     sleep_ms(2_000).await;
     assert!(!started.app().routes_may_be_stale());
@@ -182,15 +184,15 @@
 async fn the_node_that_finds_the_store_back_notifies_the_others() {
     let world = World::new();
     let nodes = start_nodes(&world).await;
-    let away = Faults { away: Some(Away::Refusing), ..Faults::default() };
+    let away = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
     let refused = |nodes: &[Node]| nodes.iter().map(refused_calls).sum::<u64>();
-    nodes.iter().for_each(|n| n.line.fail(away));
+    nodes.iter().for_each(|n| n.line.set_faults(away));
     sleep_ms(2_000).await;
     let before = refused(&nodes);
     sleep_ms(4_000).await;
     let probes = refused(&nodes) - before;
     assert!(probes <= 100, "{probes} calls in four seconds of an outage");
-    nodes.iter().for_each(|n| n.line.fail(Faults::default()));
+    nodes.iter().for_each(|n| n.line.set_faults(Faults::default()));
     world.configure(9);
     sleep_ms(600).await;
     let late = nodes.iter().filter(|n| n.app().routes().unwrap().version != 9).count();
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use mulberrycourse::entry::{Lookup, ReadResult, SubmitResult};
-use standins::kv::{Away, Faults};
-use standins::replicas::Mood;
+use standins::kv::{Faults, Outage};
+use standins::replicas::Behaviour;
 
 use crate::world::{World, assert_completed, job_spec, sleep_ms, wait_until};
 
@@ -29,7 +29,7 @@
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert_eq!(b.submit("j", &["i1"]).await, SubmitResult::Accepted);
     a.read_all("j", 1).await;
-    let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
+    let texts = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(texts, 1);
 }
 
@@ -37,7 +37,7 @@
 async fn a_submission_whose_answer_was_lost_is_accepted() {
     let world = World::new();
     let a = world.node("a").await;
-    a.line.fail(Faults { lose: 1, ..Faults::default() });
+    a.line.set_faults(Faults { lost_writes: 1, ..Faults::default() });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Accepted);
     a.read_all("j", 1).await.iter().for_each(|listing| assert_completed(listing, 5));
 }
@@ -46,11 +46,11 @@
 async fn a_refused_job_never_runs() {
     let world = World::new();
     let a = world.node("a").await;
-    a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
+    a.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Refused("store_away".into()));
-    a.line.fail(Faults::default());
+    a.line.set_faults(Faults::default());
     sleep_ms(20_000).await;
-    assert!(world.replicas.ran().is_empty());
+    assert!(world.replicas.runs().is_empty());
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unknown);
 }
 
@@ -58,9 +58,13 @@
 async fn a_submission_that_takes_effect_late_is_run_by_its_owner() {
     let world = World::new();
     let a = world.node("a").await;
-    a.line.fail(Faults { lose: 100, late: Duration::from_secs(4), ..Faults::default() });
+    a.line.set_faults(Faults {
+        lost_writes: 100,
+        write_delay: Duration::from_secs(4),
+        ..Faults::default()
+    });
     assert_eq!(a.submit("j", &["i1"]).await, SubmitResult::Unknown);
-    a.line.fail(Faults::default());
+    a.line.set_faults(Faults::default());
     a.read_all("j", 1).await.iter().for_each(|listing| assert_completed(listing, 5));
 }
 
@@ -68,7 +72,7 @@
 async fn a_crashed_owner_is_replaced_and_its_texts_are_continued() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i1", LONG_TEXT_EVENTS);
+    world.replicas.set_event_count("i1", LONG_TEXT_EVENTS);
     a.submit("j", &["i1", "i2"]).await;
     sleep_ms(1_500).await;
     drop(a);
@@ -76,26 +80,26 @@
     whole
         .iter()
         .for_each(|l| assert_completed(l, if &*l.id == "i1" { LONG_TEXT_EVENTS } else { 5 }));
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     let again = ran.iter().filter(|r| &*r.id == "i1").nth(1).unwrap();
-    assert!(again.after.is_some_and(|after| after > 10), "{again:?}");
+    assert!(again.last_event.is_some_and(|after| after > 10), "{again:?}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_leaving_owner_hands_its_texts_over() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i1", LONG_TEXT_EVENTS);
+    world.replicas.set_event_count("i1", LONG_TEXT_EVENTS);
     a.submit("j", &["i1"]).await;
     sleep_ms(1_000).await;
     a.entry.drain().await;
     b.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, LONG_TEXT_EVENTS));
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     let texts: Vec<_> = ran.iter().filter(|r| &*r.id == "i1").collect();
     assert_eq!(texts.len(), 2);
     // 1 s is 28 events; the last of them may be on their way.
-    assert!(texts[1].after.is_some_and(|after| after >= 26), "{texts:?}");
-    let pause = texts[1].at - texts[0].at;
+    assert!(texts[1].last_event.is_some_and(|after| after >= 26), "{texts:?}");
+    let pause = texts[1].received_at - texts[0].received_at;
     assert!(pause < Duration::from_millis(1_500), "{pause:?}");
 }
 
@@ -103,7 +107,7 @@
 async fn a_repeated_submission_at_the_new_owner_loses_no_results() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", LONG_TEXT_EVENTS);
+    world.replicas.set_event_count("i2", LONG_TEXT_EVENTS);
     a.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = b.read_page("j", 0).await;
@@ -120,7 +124,7 @@
     assert_eq!(again, SubmitResult::Accepted);
     let whole = b.read_all("j", 2).await;
     assert_eq!(whole[0], shown[0]);
-    let once = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
+    let once = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(once, 1);
 }
 
@@ -139,15 +143,15 @@
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     for id in ["i1", "i2", "i3"] {
-        world.replicas.length(id, 500);
+        world.replicas.set_event_count(id, 500);
     }
     a.submit("j", &["i1", "i2", "i3"]).await;
     sleep_ms(500).await;
     assert_eq!(b.app().end_job("j").await, Lookup::Found(()));
     sleep_ms(300).await;
-    let ran = world.replicas.ran().len();
+    let ran = world.replicas.runs().len();
     sleep_ms(10_000).await;
-    assert_eq!(world.replicas.ran().len(), ran);
+    assert_eq!(world.replicas.runs().len(), ran);
     assert_eq!(b.app().end_job("j").await, Lookup::Found(()));
     assert_eq!(a.app().end_job("none").await, Lookup::Unknown);
 }
@@ -156,8 +160,8 @@
 async fn texts_survive_replicas_that_disconnect_stall_or_refuse() {
     let world = World::new();
     let a = world.node("a").await;
-    world.replicas.mood("e1", Mood::Breaks(3));
-    world.replicas.mood("e2", Mood::Silent);
+    world.replicas.set_behaviour("e1", Behaviour::BreaksAfter(3));
+    world.replicas.set_behaviour("e2", Behaviour::Unresponsive);
     let items: Vec<String> = (0..12).map(|i| format!("i{i}")).collect();
     let names: Vec<&str> = items.iter().map(String::as_str).collect();
     a.submit("j", &names).await;
@@ -170,10 +174,10 @@
     let a = world.node("a").await;
     a.submit("warm", &["w1", "w2", "w3", "w4"]).await;
     a.read_all("warm", 4).await;
-    world.replicas.mood("e1", Mood::Slow(4));
-    world.replicas.mood("e2", Mood::Slow(4));
+    world.replicas.set_behaviour("e1", Behaviour::Slow(4));
+    world.replicas.set_behaviour("e2", Behaviour::Slow(4));
     for id in ["i1", "i2", "i3"] {
-        world.replicas.length(id, LONG_TEXT_EVENTS);
+        world.replicas.set_event_count(id, LONG_TEXT_EVENTS);
     }
     let begun = tokio::time::Instant::now();
     a.submit("j", &["i1", "i2", "i3"]).await;
@@ -188,12 +192,12 @@
     let world = World::new();
     let a = world.node("a").await;
     for id in ["e1", "e2", "e3"] {
-        world.replicas.mood(id, Mood::Fails);
+        world.replicas.set_behaviour(id, Behaviour::Fails);
     }
     a.submit("j", &["i1"]).await;
     let whole = a.read_all("j", 1).await;
     assert_eq!(whole[0].state, mulberrycourse::decide::job::ItemState::Dead);
-    assert_eq!(world.replicas.ran().iter().filter(|r| &*r.id == "i1").count(), 3);
+    assert_eq!(world.replicas.runs().iter().filter(|r| &*r.id == "i1").count(), 3);
 }
 
 /// The system time passes even on a paused clock, so the job retention is set to zero.
@@ -201,7 +205,7 @@
 async fn a_job_that_is_done_and_old_leaves_nothing_in_the_store() {
     let world = World::new();
     let a = world.node_with_job_retention("a", Duration::ZERO).await;
-    world.replicas.length("i2", 900);
+    world.replicas.set_event_count("i2", 900);
     a.submit("j", &["i1"]).await;
     a.submit("k", &["i2"]).await;
     a.read_all("j", 1).await;
@@ -219,9 +223,9 @@
     let world = World::new();
     let a = world.node("a").await;
     a.submit("j", &["i1", "i2"]).await;
-    a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+    a.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     sleep_ms(6_000).await;
-    a.line.fail(Faults::default());
+    a.line.set_faults(Faults::default());
     a.read_all("j", 2).await.iter().for_each(|l| assert_completed(l, 5));
 }
 
@@ -230,15 +234,15 @@
 #[tokio::test(start_paused = true)]
 async fn results_of_an_outage_are_written_in_parts() {
     let world = World::new();
-    world.kv.most(16 << 10);
+    world.kv.set_max_value(16 << 10);
     let a = world.node_with_value_bytes("a", 16 << 10).await;
     let items: Vec<String> = (0..60).map(|i| format!("i{i:02}")).collect();
     let items: Vec<&str> = items.iter().map(|i| &**i).collect();
-    items.iter().for_each(|item| world.replicas.length(item, LONG_TEXT_EVENTS));
+    items.iter().for_each(|item| world.replicas.set_event_count(item, LONG_TEXT_EVENTS));
     a.submit("j", &items).await;
-    a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
+    a.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     sleep_ms(15_000).await;
-    a.line.fail(Faults::default());
+    a.line.set_faults(Faults::default());
     a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, LONG_TEXT_EVENTS));
     assert!(world.kv.items("mulberry/job/j/results").len() > 1);
 }
@@ -250,12 +254,12 @@
     for before in [200, 500, 800, 1_100, 1_400, 1_700] {
         let world = World::new();
         let a = world.node("a").await;
-        a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+        a.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
         sleep_ms(4_000 - before).await;
         let submitting = a.submit("j", &["i1"]);
         let returning = async {
             sleep_ms(before).await;
-            a.line.fail(Faults::default());
+            a.line.set_faults(Faults::default());
         };
         let (submitted, ()) = tokio::join!(submitting, returning);
         assert_eq!(submitted, SubmitResult::Accepted, "{before} ms before the return");
@@ -270,7 +274,7 @@
     for after in 590..625 {
         let world = World::new();
         let (a, b) = (world.node("a").await, world.node("b").await);
-        world.replicas.length("i3", LONG_TEXT_EVENTS);
+        world.replicas.set_event_count("i3", LONG_TEXT_EVENTS);
         a.submit("j", &["i1", "i2", "i3"]).await;
         sleep_ms(after).await;
         a.entry.drain().await;
@@ -291,7 +295,7 @@
         let a = world.node("a").await;
         a.submit("j", &["i1", "i2"]).await;
         sleep_ms(300).await;
-        a.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+        a.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
         sleep_ms(after).await;
         let begun = tokio::time::Instant::now();
         a.entry.drain().await;
@@ -307,11 +311,11 @@
     for slow in [["p1", "p2"].as_slice(), ["e1", "e2", "e3"].as_slice()] {
         let world = World::new();
         let a = world.node("a").await;
-        slow.iter().for_each(|id| world.replicas.mood(id, Mood::Late));
+        slow.iter().for_each(|id| world.replicas.set_behaviour(id, Behaviour::TimesOut));
         a.submit("j", &["i1"]).await;
         sleep_ms(4_000).await;
         assert!(a.read_page("j", 0).await.is_empty(), "{slow:?}");
-        slow.iter().for_each(|id| world.replicas.mood(id, Mood::Good));
+        slow.iter().for_each(|id| world.replicas.set_behaviour(id, Behaviour::Normal));
         a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 5));
     }
 }
--- a/tests/entry/orders.rs
+++ b/tests/entry/orders.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use standins::kv::{Away, Faults};
+use standins::kv::{Faults, Outage};
 
 use crate::world::{MODEL, World, sleep_ms, wait_until};
 
@@ -23,9 +23,13 @@
     sleep_ms(4_000).await;
     world.name_version(2);
     wait_until(|| all_loaded(&world, 2)).await;
-    let ordered = world.replicas.ordered();
+    let ordered = world.replicas.orders();
     assert_eq!(ordered.iter().filter(|o| o.accepted).count(), 3);
-    assert!(ordered.iter().all(|o| o.holder == ordered[0].holder && o.fence == ordered[0].fence));
+    assert!(
+        ordered
+            .iter()
+            .all(|o| o.leader == ordered[0].leader && o.fencing_token == ordered[0].fencing_token)
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -38,15 +42,19 @@
     sleep_ms(4_000).await;
     world.name_version(2);
     wait_until(|| all_loaded(&world, 2)).await;
-    let last = world.replicas.ordered().last().unwrap().clone();
-    nodes.remove(&*last.holder);
+    let last = world.replicas.orders().last().unwrap().clone();
+    nodes.remove(&*last.leader);
     world.name_version(3);
     wait_until(|| all_loaded(&world, 3)).await;
-    let ordered = world.replicas.ordered();
+    let ordered = world.replicas.orders();
     let first = ordered.iter().find(|o| o.version == 3).unwrap();
-    assert_ne!(first.holder, last.holder);
-    assert!(first.fence > last.fence);
-    assert!(first.at - last.at >= ORDER_GAP, "{:?}", first.at - last.at);
+    assert_ne!(first.leader, last.leader);
+    assert!(first.fencing_token > last.fencing_token);
+    assert!(
+        first.received_at - last.received_at >= ORDER_GAP,
+        "{:?}",
+        first.received_at - last.received_at
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -56,20 +64,20 @@
     sleep_ms(4_000).await;
     world.name_version(2);
     wait_until(|| all_loaded(&world, 2)).await;
-    let holder = world.replicas.ordered()[0].holder.clone();
+    let holder = world.replicas.orders()[0].leader.clone();
     let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
-    old.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+    old.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     world.name_version(3);
     wait_until(|| all_loaded(&world, 3)).await;
-    old.line.fail(Faults::default());
+    old.line.set_faults(Faults::default());
     sleep_ms(4_000).await;
     world.name_version(4);
     wait_until(|| all_loaded(&world, 4)).await;
-    let ordered = world.replicas.ordered();
+    let ordered = world.replicas.orders();
     for pair in ordered.windows(2) {
-        assert!(pair[1].fence >= pair[0].fence);
-        if pair[1].holder != pair[0].holder {
-            assert!(pair[1].at - pair[0].at >= ORDER_GAP);
+        assert!(pair[1].fencing_token >= pair[0].fencing_token);
+        if pair[1].leader != pair[0].leader {
+            assert!(pair[1].received_at - pair[0].received_at >= ORDER_GAP);
         }
     }
 }
@@ -79,13 +87,13 @@
     let world = World::new();
     let _a = world.node("a").await;
     sleep_ms(4_000).await;
-    world.replicas.late("e1", Some(Duration::from_secs(5)));
+    world.replicas.delay_orders("e1", Some(Duration::from_secs(5)));
     world.name_version(2);
     sleep_ms(4_000).await;
-    world.replicas.late("e1", None);
+    world.replicas.delay_orders("e1", None);
     wait_until(|| all_loaded(&world, 2)).await;
     sleep_ms(15_000).await;
-    let ordered = world.replicas.ordered();
+    let ordered = world.replicas.orders();
     let accepted = ordered.iter().filter(|o| &*o.replica == "e1" && o.accepted);
     assert_eq!(accepted.count(), 1);
 }
@@ -103,16 +111,24 @@
         }
         sleep_ms(4_000 + after).await;
         world.name_version(2);
-        wait_until(|| !world.replicas.ordered().is_empty()).await;
-        let holder = world.replicas.ordered()[0].holder.clone();
+        wait_until(|| !world.replicas.orders().is_empty()).await;
+        let holder = world.replicas.orders()[0].leader.clone();
         let died = tokio::time::Instant::now();
         nodes.remove(&*holder);
         wait_until(|| all_loaded(&world, 2)).await;
-        let ordered = world.replicas.ordered();
-        let last = ordered.iter().rfind(|o| o.holder == holder).unwrap();
-        let first = ordered.iter().find(|o| o.holder != holder).unwrap();
-        assert!(first.at - last.at >= ORDER_GAP, "{:?}", first.at - last.at);
-        assert!(first.at - died <= Duration::from_millis(4_900), "{:?}", first.at - died);
+        let ordered = world.replicas.orders();
+        let last = ordered.iter().rfind(|o| o.leader == holder).unwrap();
+        let first = ordered.iter().find(|o| o.leader != holder).unwrap();
+        assert!(
+            first.received_at - last.received_at >= ORDER_GAP,
+            "{:?}",
+            first.received_at - last.received_at
+        );
+        assert!(
+            first.received_at - died <= Duration::from_millis(4_900),
+            "{:?}",
+            first.received_at - died
+        );
     }
 }
 
@@ -123,17 +139,17 @@
         let nodes = [world.node("a").await, world.node("b").await];
         sleep_ms(4_000).await;
         world.name_version(2);
-        wait_until(|| !world.replicas.ordered().is_empty()).await;
+        wait_until(|| !world.replicas.orders().is_empty()).await;
         sleep_ms(after).await;
-        let holder = world.replicas.ordered()[0].holder.clone();
+        let holder = world.replicas.orders()[0].leader.clone();
         let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
         old.entry.drain().await;
         world.name_version(3);
         wait_until(|| all_loaded(&world, 3)).await;
-        let ordered = world.replicas.ordered();
+        let ordered = world.replicas.orders();
         for pair in ordered.windows(2) {
-            let apart = pair[1].at - pair[0].at;
-            assert!(pair[1].holder == pair[0].holder || apart >= ORDER_GAP, "{apart:?}");
+            let apart = pair[1].received_at - pair[0].received_at;
+            assert!(pair[1].leader == pair[0].leader || apart >= ORDER_GAP, "{apart:?}");
         }
     }
 }
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -6,7 +6,7 @@
 
 use mulberrycourse::edge::store::Store;
 use mulberrycourse::entry::{Lookup, PeerRequest, ReadResult, StoreRequest, SubmitResult};
-use standins::kv::{Away, Faults};
+use standins::kv::{Faults, Outage};
 
 use crate::links::Link;
 use crate::world::{Node, World, answered_calls, job_spec, sleep_ms, wait_until};
@@ -36,8 +36,8 @@
     nodes
 }
 
-fn away(how: Away) -> Faults {
-    Faults { away: Some(how), ..Faults::default() }
+fn away(how: Outage) -> Faults {
+    Faults { outage: Some(how), ..Faults::default() }
 }
 
 /// Guards against each training step getting another owner, which knows nothing of the replicas or
@@ -69,7 +69,7 @@
             assert_eq!(other.submit(job, &[item]).await, SubmitResult::Accepted, "{link:?}");
             other.read_all(job, 1).await;
         }
-        let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
+        let runs = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
         assert_eq!(runs, 1, "{link:?}");
     }
 }
@@ -82,7 +82,7 @@
     let [owner, other, third] = start_three(&world).await;
     owner.link(Link::RepliesLost);
     third.link(Link::Refusing);
-    other.line.fail(away(Away::Refusing));
+    other.line.set_faults(away(Outage::Refusing));
     let cut = async {
         sleep_ms(100).await;
         owner.link(Link::Refusing);
@@ -112,7 +112,7 @@
     let [_owner, other, _third] = start_three(&world).await;
     let items = ["i1", "i2", "i3", "i4"];
     for (i, item) in items.iter().enumerate() {
-        world.replicas.length(item, 20 * (i as u64 + 1));
+        world.replicas.set_event_count(item, 20 * (i as u64 + 1));
     }
     other.submit("j", &items).await;
     let before = answered_calls(&other, "Get") + answered_calls(&other, "Range");
@@ -128,7 +128,7 @@
 async fn an_ended_job_is_read_from_the_node_where_it_ran() {
     let world = World::new();
     let [owner, other, third] = start_three(&world).await;
-    world.replicas.length("i2", 2_000);
+    world.replicas.set_event_count("i2", 2_000);
     owner.submit("j", &["i1", "i2"]).await;
     other.read_all("j", 1).await;
     assert_eq!(other.app().end_job("j").await, Lookup::Found(()));
@@ -160,17 +160,17 @@
     let world = World::new();
     let [owner, other, third] = start_three(&world).await;
     for (item, length) in [("i1", 20), ("i2", 60), ("i3", 61), ("i4", 62)] {
-        world.replicas.length(item, length);
+        world.replicas.set_event_count(item, length);
     }
     owner.submit("j", &["i1", "i2", "i3", "i4"]).await;
     other.read_all("j", 1).await;
-    owner.line.fail(away(Away::Refusing));
+    owner.line.set_faults(away(Outage::Refusing));
     owner.isolate();
     owner.link(Link::Refusing);
     sleep_ms(1_500).await;
     assert_eq!(other.app().end_job("j").await, Lookup::Found(()));
     let seen = third.read_page("j", 0).await;
-    owner.line.fail(Faults::default());
+    owner.line.set_faults(Faults::default());
     owner.link(Link::Open);
     sleep_ms(3_000).await;
     for node in [&owner, &other, &third] {
@@ -185,7 +185,7 @@
 async fn a_reader_follows_a_job_to_its_next_owner() {
     let world = World::new();
     let [owner, other, third] = start_three(&world).await;
-    world.replicas.length("i2", 200);
+    world.replicas.set_event_count("i2", 200);
     other.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = other.read_page("j", 0).await;
@@ -203,16 +203,16 @@
 async fn an_owner_without_a_lease_answers_no_reads() {
     let world = World::new();
     let [owner, other, third] = start_three(&world).await;
-    world.replicas.length("i2", 150);
+    world.replicas.set_event_count("i2", 150);
     other.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     // The owner reaches neither the store nor the other nodes, but they reach it.
-    owner.line.fail(away(Away::Silent));
-    other.line.fail(away(Away::Refusing));
-    third.line.fail(away(Away::Refusing));
+    owner.line.set_faults(away(Outage::Unresponsive));
+    other.line.set_faults(away(Outage::Refusing));
+    third.line.set_faults(away(Outage::Refusing));
     sleep_ms(400).await;
-    other.line.fail(Faults::default());
-    third.line.fail(Faults::default());
+    other.line.set_faults(Faults::default());
+    third.line.set_faults(Faults::default());
     owner.isolate();
     sleep_ms(4_000).await;
     let ask = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
@@ -226,9 +226,9 @@
 async fn an_owner_that_is_unsure_of_a_write_answers_from_the_store() {
     let world = World::new();
     let [owner, other, _third] = start_three(&world).await;
-    world.replicas.length("i2", 500);
+    world.replicas.set_event_count("i2", 500);
     other.submit("j", &["i1", "i2"]).await;
-    owner.line.fail(Faults { lose: 3, ..Faults::default() });
+    owner.line.set_faults(Faults { lost_writes: 3, ..Faults::default() });
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     sleep_ms(1_200).await;
     assert_eq!(owner.read_page("j", 0).await.len(), 1);
@@ -239,18 +239,18 @@
 /// still until other nodes take them over.
 #[tokio::test(start_paused = true)]
 async fn a_disconnected_owner_goes_on_through_other_nodes() {
-    for how in [Away::Refusing, Away::Silent] {
+    for how in [Outage::Refusing, Outage::Unresponsive] {
         let world = World::new();
         let [owner, other, _third] = start_three(&world).await;
-        world.replicas.length("i2", 300);
+        world.replicas.set_event_count("i2", 300);
         other.submit("j", &["i1", "i2"]).await;
         let before = owners(&world);
-        owner.line.fail(away(how));
+        owner.line.set_faults(away(how));
         assert_eq!(other.read_all("j", 2).await.len(), 2, "{how:?}");
         assert_eq!(owners(&world), before, "{how:?}");
         assert_eq!(owner.submit("k", &["k1"]).await, SubmitResult::Accepted, "{how:?}");
         let asked = world.links.requests().len();
-        owner.line.fail(Faults::default());
+        owner.line.set_faults(Faults::default());
         sleep_ms(3_000).await;
         owner.app().read("j", 0, Duration::ZERO).await;
         sleep_ms(5_000).await;
@@ -268,7 +268,7 @@
 async fn a_configuration_reaches_a_disconnected_node() {
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
-    other.line.fail(away(Away::Refusing));
+    other.line.set_faults(away(Outage::Refusing));
     sleep_ms(1_000).await;
     world.configure(7);
     sleep_ms(1_500).await;
@@ -282,7 +282,7 @@
 async fn hanging_watches_are_given_up_once_the_store_is_unreachable() {
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
-    other.line.fail(away(Away::Hanging));
+    other.line.set_faults(away(Outage::Hanging));
     sleep_ms(1_000).await;
     world.configure(7);
     sleep_ms(2_000).await;
@@ -296,11 +296,11 @@
     for extra_ms in [0, 100, 200, 300, 400] {
         let world = World::new();
         let nodes = start_three(&world).await;
-        world.replicas.length("i1", 10);
+        world.replicas.set_event_count("i1", 10);
         nodes[1].submit("j", &["i1"]).await;
-        nodes.iter().for_each(|node| node.line.fail(away(Away::Silent)));
+        nodes.iter().for_each(|node| node.line.set_faults(away(Outage::Unresponsive)));
         sleep_ms(2_900 + extra_ms).await;
-        nodes.iter().for_each(|node| node.line.fail(Faults::default()));
+        nodes.iter().for_each(|node| node.line.set_faults(Faults::default()));
         sleep_ms(1_000).await;
         assert!(!world.kv.items("mulberry/job/j/results").is_empty(), "after {extra_ms} ms");
         assert_eq!(world.kv.items("mulberry/live/node/").len(), 3, "after {extra_ms} ms");
@@ -317,11 +317,11 @@
         let asked = world.links.requests();
         asked.iter().filter(|a| matches!(a, PeerRequest::Store(StoreRequest::Txn(_)))).count()
     };
-    owner.line.fail(Faults { lose: 1, ..Faults::default() });
+    owner.line.set_faults(Faults { lost_writes: 1, ..Faults::default() });
     assert_eq!(owner.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert!(writes() <= 1, "only the retry may go through another node");
     other.read_all("j", 1).await;
-    let runs = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
+    let runs = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(runs, 1);
 }
 
@@ -330,13 +330,13 @@
 async fn an_outage_for_all_nodes_does_not_multiply_calls() {
     let world = World::new();
     let nodes = start_three(&world).await;
-    nodes.iter().for_each(|node| node.line.fail(away(Away::Refusing)));
+    nodes.iter().for_each(|node| node.line.set_faults(away(Outage::Refusing)));
     sleep_ms(1_000).await;
     let before = world.links.requests().len();
     sleep_ms(10_000).await;
     let asked = world.links.requests().len() - before;
     assert!(asked <= 3 * 10 * 5, "{asked} requests in ten seconds of three nodes");
-    nodes.iter().for_each(|node| node.line.fail(Faults::default()));
+    nodes.iter().for_each(|node| node.line.set_faults(Faults::default()));
     sleep_ms(3_000).await;
     assert_eq!(nodes[1].submit("j", &["i1"]).await, SubmitResult::Accepted);
 }
--- a/tests/entry/reads.rs
+++ b/tests/entry/reads.rs
@@ -9,7 +9,7 @@
 async fn a_read_without_a_wait_asks_the_store() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", 200);
+    world.replicas.set_event_count("i2", 200);
     a.submit("j", &["i1", "i2"]).await;
     assert!(b.read_page("j", 0).await.is_empty());
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
@@ -22,14 +22,14 @@
 async fn an_owner_of_an_ended_job_returns_what_the_store_has() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", 500);
+    world.replicas.set_event_count("i2", 500);
     a.submit("j", &["i1", "i2"]).await;
-    a.line.fail(Faults { lose: 100, ..Faults::default() });
+    a.line.set_faults(Faults { lost_writes: 100, ..Faults::default() });
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let shown = b.read_page("j", 0).await;
     assert_eq!(shown.len(), 1);
     a.app().end_job("j").await;
-    a.line.fail(Faults::default());
+    a.line.set_faults(Faults::default());
     sleep_ms(3_000).await;
     assert_eq!(a.read_page("j", 0).await, shown);
 }
@@ -40,7 +40,7 @@
 async fn a_compacted_history_hides_no_results() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", 40);
+    world.replicas.set_event_count("i2", 40);
     a.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     assert_eq!(b.read_page("j", 0).await.len(), 1);
@@ -57,13 +57,13 @@
 async fn a_view_without_recent_updates_is_read_again() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
-    world.replicas.length("i2", 40);
+    world.replicas.set_event_count("i2", 40);
     a.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     assert_eq!(b.read_page("j", 0).await.len(), 1);
     wait_until(|| world.kv.items("mulberry/job/j/results").len() == 2).await;
     sleep_ms(18_000).await;
-    world.kv.age();
+    world.kv.compact_silently();
     assert_eq!(b.read_page("j", 1).await.len(), 1);
 }
 
@@ -72,10 +72,10 @@
     use std::time::Duration;
 
     use mulberrycourse::entry::ReadResult;
-    use standins::kv::Away;
+    use standins::kv::Outage;
 
     let world = World::new();
     let a = world.node("a").await;
-    a.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
+    a.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unsure);
 }
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -3,7 +3,7 @@
 use futures_util::StreamExt;
 use mulberrycourse::entry::RelayResponse;
 use mulberrycourse::error::{Kind, Run};
-use standins::replicas::{Mood, ReplicaFleet};
+use standins::replicas::{Behaviour, ReplicaFleet};
 
 use crate::world::{HOST, Node, World, relay_request, sleep_ms};
 
@@ -15,15 +15,21 @@
 
 /// The number of times that replicas ran a request.
 fn runs(world: &World, id: &str) -> usize {
-    world.replicas.ran().iter().filter(|r| &*r.id == id).count()
+    world.replicas.runs().iter().filter(|r| &*r.id == id).count()
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_idempotent_request_is_answered_when_one_replica_fails() {
     let world = World::new();
     let node = world.node("a").await;
-    for mood in [Mood::Silent, Mood::Unreachable, Mood::Breaks(0), Mood::Fails, Mood::Full] {
-        world.replicas.mood("p1", mood);
+    for mood in [
+        Behaviour::Unresponsive,
+        Behaviour::Unreachable,
+        Behaviour::BreaksAfter(0),
+        Behaviour::Fails,
+        Behaviour::Full,
+    ] {
+        world.replicas.set_behaviour("p1", mood);
         for i in 0..4 {
             let id = format!("{mood:?}{i}");
             let RelayResponse::Complete { status, body, .. } =
@@ -42,7 +48,7 @@
     let world = World::new();
     let node = world.node("a").await;
     for id in ["p1", "p2"] {
-        world.replicas.mood(id, Mood::Breaks(0));
+        world.replicas.set_behaviour(id, Behaviour::BreaksAfter(0));
     }
     let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!((refusal.kind, refusal.run()), (Kind::OutcomeUnknown, Run::Unknown));
@@ -55,7 +61,7 @@
     let world = World::new();
     let node = world.node("a").await;
     for id in ["p1", "p2"] {
-        world.replicas.mood(id, Mood::Full);
+        world.replicas.set_behaviour(id, Behaviour::Full);
     }
     let begun = tokio::time::Instant::now();
     let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
@@ -69,8 +75,8 @@
 async fn what_may_have_run_is_not_refused_as_not_run() {
     let world = World::new();
     let node = world.node("a").await;
-    world.replicas.mood("p1", Mood::Breaks(0));
-    world.replicas.mood("p2", Mood::Full);
+    world.replicas.set_behaviour("p1", Behaviour::BreaksAfter(0));
+    world.replicas.set_behaviour("p2", Behaviour::Full);
     for i in 0..6 {
         let id = format!("r{i}");
         let response = relayed(&node, &id, "/plain/x").await;
@@ -84,7 +90,7 @@
     let world = World::new();
     let node = world.node("a").await;
     for id in ["p1", "p2"] {
-        world.replicas.mood(id, Mood::Silent);
+        world.replicas.set_behaviour(id, Behaviour::Unresponsive);
     }
     let begun = tokio::time::Instant::now();
     let RelayResponse::Refused(_) = relayed(&node, "r1", "/plain/x").await else { panic!() };
@@ -96,9 +102,9 @@
 async fn a_stream_is_resumed_elsewhere_without_a_gap() {
     let world = World::new();
     let node = world.node("a").await;
-    world.replicas.length("s1", 12);
+    world.replicas.set_event_count("s1", 12);
     for id in ["e1", "e2"] {
-        world.replicas.mood(id, Mood::Breaks(4));
+        world.replicas.set_behaviour(id, Behaviour::BreaksAfter(4));
     }
     let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
         panic!()
@@ -109,7 +115,7 @@
     let ids: Vec<&str> = text.lines().filter_map(|l| l.strip_prefix("id: ")).collect();
     let wanted: Vec<String> = (1..=12).map(|n: u32| n.to_string()).collect();
     assert_eq!(ids, wanted);
-    assert!(text.contains(&ReplicaFleet::event("s1", 12)));
+    assert!(text.contains(&ReplicaFleet::event_data("s1", 12)));
 }
 
 /// Guards against a resumed stream that gives the replica the time limit of the first attempt.
@@ -117,9 +123,9 @@
 async fn a_resumed_stream_has_what_is_left_of_its_client_s_time() {
     let world = World::new();
     let node = world.node("a").await;
-    world.replicas.length("s1", 60);
+    world.replicas.set_event_count("s1", 60);
     for id in ["e1", "e2"] {
-        world.replicas.mood(id, Mood::Breaks(25));
+        world.replicas.set_behaviour(id, Behaviour::BreaksAfter(25));
     }
     let route = node.app().routes().unwrap().find(HOST, "/text/x").cloned().unwrap();
     // The route's timeout is 4 s; the client waits longer for the end of the stream.
@@ -127,11 +133,14 @@
     ask.deadline = Some(std::time::Duration::from_secs(9));
     let RelayResponse::Stream { body, .. } = node.app().relay(&route, ask).await else { panic!() };
     body.0.for_each(|piece| async { drop(piece.unwrap()) }).await;
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     assert!(ran.len() > 1);
-    assert!(ran[0].limit > std::time::Duration::from_secs(8), "{:?}", ran[0]);
+    assert!(ran[0].timeout > std::time::Duration::from_secs(8), "{:?}", ran[0]);
     for later in &ran[1..] {
-        assert!(later.limit + (later.at - ran[0].at) <= ran[0].limit, "{ran:?}");
+        assert!(
+            later.timeout + (later.received_at - ran[0].received_at) <= ran[0].timeout,
+            "{ran:?}"
+        );
     }
 }
 
@@ -140,9 +149,9 @@
     let world = World::new();
     let node = world.node("a").await;
     for id in ["e1", "e2", "e3"] {
-        world.replicas.mood(id, Mood::Breaks(2));
+        world.replicas.set_behaviour(id, Behaviour::BreaksAfter(2));
     }
-    world.replicas.length("s1", 50);
+    world.replicas.set_event_count("s1", 50);
     let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
         panic!()
     };
@@ -154,7 +163,7 @@
 async fn a_client_that_leaves_ends_its_stream_at_the_replica() {
     let world = World::new();
     let node = world.node("a").await;
-    world.replicas.length("s1", 500);
+    world.replicas.set_event_count("s1", 500);
     let RelayResponse::Stream { body, .. } = relayed(&node, "s1", "/text/x").await else {
         panic!()
     };
@@ -162,19 +171,19 @@
     pieces.next().await.unwrap().unwrap();
     drop(pieces);
     sleep_ms(200).await;
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     assert_eq!(ran.len(), 1);
-    assert!(ran[0].cut);
+    assert!(ran[0].unfinished);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_leaving_replica_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
-    world.replicas.list("plain", "p1", true);
+    world.replicas.write_entry("plain", "p1", true);
     sleep_ms(50).await;
     for i in 0..10 {
         relayed(&node, &format!("r{i}"), "/plain/x").await;
     }
-    assert!(world.replicas.ran().iter().all(|r| &*r.replica == "p2"));
+    assert!(world.replicas.runs().iter().all(|r| &*r.replica == "p2"));
 }
--- a/tests/entry/scale.rs
+++ b/tests/entry/scale.rs
@@ -13,14 +13,14 @@
 async fn submit_many(world: &World, node: &Node) -> usize {
     let ids: Vec<String> = (0..120).map(|i| format!("i{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
-    ids.iter().for_each(|id| world.replicas.length(id, LONG_TEXT_EVENTS));
+    ids.iter().for_each(|id| world.replicas.set_event_count(id, LONG_TEXT_EVENTS));
     node.submit("j", &ids).await;
     ids.len()
 }
 
 /// The replica counts that were ordered, in order.
 fn desired(world: &World) -> Vec<u32> {
-    world.duties.ordered().iter().map(|(_, order)| order.desired).collect()
+    world.duties.orders().iter().map(|(_, order)| order.desired).collect()
 }
 
 #[tokio::test(start_paused = true)]
@@ -30,7 +30,7 @@
         let world = if scaled { World::new().with_duties() } else { World::new() };
         let a = world.linked_node("a").await;
         sleep_ms(4_000).await;
-        let begun = world.clock.truth();
+        let begun = world.clock.true_time();
         let total = submit_many(&world, &a).await;
         if scaled {
             wait_until(|| desired(&world) == [MAX_REPLICAS]).await;
@@ -40,7 +40,7 @@
             }
         }
         a.read_all("j", total).await;
-        took.push(world.clock.truth() - begun);
+        took.push(world.clock.true_time() - begun);
         assert_eq!(desired(&world), if scaled { vec![MAX_REPLICAS] } else { vec![] });
     }
     assert!(took[1] * 4 < took[0] * 3, "{took:?}");
@@ -74,7 +74,7 @@
         drop(nodes.remove(leader));
         wait_until(|| desired(&world).last() == Some(&MAX_REPLICAS)).await;
         sleep_ms(8_000).await;
-        let ordered = world.duties.ordered();
+        let ordered = world.duties.orders();
         let fences: Vec<u64> = ordered.iter().map(|(fence, _)| *fence).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
         assert!(desired(&world).iter().all(|d| *d == MAX_REPLICAS), "cut {cut}: {ordered:?}");
@@ -87,9 +87,9 @@
     let world = World::new().with_duties();
     let a = world.linked_node("a").await;
     sleep_ms(4_000).await;
-    world.duties.refuse(2);
-    let begun = world.clock.truth();
+    world.duties.refuse_calls(2);
+    let begun = world.clock.true_time();
     submit_many(&world, &a).await;
     wait_until(|| desired(&world).contains(&MAX_REPLICAS)).await;
-    assert!(world.clock.truth() - begun >= Duration::from_secs(6));
+    assert!(world.clock.true_time() - begun >= Duration::from_secs(6));
 }
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -5,9 +5,9 @@
 
 use mulberrycourse::decide::usage::Counts;
 use mulberrycourse::entry::{PeerRequest, RelayRequest, RelayResponse};
-use standins::duties::Reported;
-use standins::kv::{Away, Faults};
-use standins::replicas::Mood;
+use standins::duties::ReceivedReport;
+use standins::kv::{Faults, Outage};
+use standins::replicas::Behaviour;
 
 use crate::links::Link;
 use crate::world::{Node, World, relay_request, sleep_ms, wait_until};
@@ -27,7 +27,7 @@
 /// Returns the accepted reports by window. Fails if a window was reported with different counts.
 fn reports(world: &World) -> BTreeMap<u64, Counts> {
     let mut by_window: BTreeMap<u64, Counts> = BTreeMap::new();
-    for Reported { report, taken, .. } in world.duties.reported() {
+    for ReceivedReport { report, accepted: taken, .. } in world.duties.reports() {
         if taken {
             let first = by_window.entry(report.window).or_insert_with(|| report.counts.clone());
             assert_eq!(*first, report.counts, "window {}", report.window);
@@ -43,7 +43,7 @@
 
 /// Waits until every window up to the present one is reported.
 async fn wait_until_reported(world: &World) {
-    let window = (world.clock.truth().as_secs() / WINDOW.as_secs()) + 1;
+    let window = (world.clock.true_time().as_secs() / WINDOW.as_secs()) + 1;
     wait_until(|| reports(world).contains_key(&window)).await;
 }
 
@@ -53,8 +53,8 @@
     for name in ["a", "b", "c"] {
         nodes.push(world.linked_node(name).await);
     }
-    wait_until(|| !world.duties.reported().is_empty()).await;
-    let holder = world.duties.reported()[0].term.leader.clone();
+    wait_until(|| !world.duties.reports().is_empty()).await;
+    let holder = world.duties.reports()[0].term.leader.clone();
     let leader = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
     (nodes, leader)
 }
@@ -73,7 +73,7 @@
         *totals.entry(name.clone()).or_default() += count;
     }
     assert_eq!(totals, Counts::from([("x".into(), 20), ("y".into(), 20)]));
-    let reported = world.duties.reported();
+    let reported = world.duties.reports();
     assert!(reported.iter().all(|r| r.term == reported[0].term));
     // The windows are reported in order, and none is left out.
     let windows: Vec<u64> = reported.iter().map(|r| r.report.window).collect();
@@ -84,9 +84,9 @@
 async fn requests_that_did_not_run_are_not_reported() {
     let world = World::new().with_usage(WINDOW);
     let (nodes, _) = start_three(&world).await;
-    for (mood, ran) in [(Mood::Full, 0), (Mood::Unreachable, 0), (Mood::Good, 1)] {
+    for (mood, ran) in [(Behaviour::Full, 0), (Behaviour::Unreachable, 0), (Behaviour::Normal, 1)] {
         for id in ["p1", "p2"] {
-            world.replicas.mood(id, mood);
+            world.replicas.set_behaviour(id, mood);
         }
         let before = total_reported(&world);
         call(&nodes[0], "x", &format!("{mood:?}")).await;
@@ -121,17 +121,20 @@
         for i in 0..6 {
             call(&nodes[i % 3], "x", &format!("r{i}")).await;
         }
-        let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+        let elapsed_ms = world.clock.true_time().as_millis() as u64 % 5_000;
         sleep_ms(5_000 - elapsed_ms + 3_000 + cut).await;
-        world.duties.lose(u32::from(cut % 2 == 0));
+        world.duties.lose_responses(u32::from(cut % 2 == 0));
         drop(nodes.remove(leader));
         wait_until_reported(&world).await;
         assert_eq!(total_reported(&world), 6, "cut {cut}");
-        let taken = world.duties.reported();
+        let taken = world.duties.reports();
         let fences: Vec<u64> = taken.iter().map(|r| r.term.fencing_token).collect();
         assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
         let change = taken.windows(2).find(|r| r[0].term.leader != r[1].term.leader).unwrap();
-        assert!(change[1].at - change[0].at >= Duration::from_secs(3), "cut {cut}");
+        assert!(
+            change[1].received_at - change[0].received_at >= Duration::from_secs(3),
+            "cut {cut}"
+        );
     }
 }
 
@@ -142,8 +145,8 @@
     for (lost, refused) in [(1, 0), (0, 2), (2, 1)] {
         let before = total_reported(&world);
         call(&nodes[0], "x", &format!("r{lost}{refused}")).await;
-        world.duties.lose(lost);
-        world.duties.refuse(refused);
+        world.duties.lose_responses(lost);
+        world.duties.refuse_calls(refused);
         wait_until_reported(&world).await;
         assert_eq!(total_reported(&world) - before, 1);
     }
@@ -157,11 +160,11 @@
         call(&nodes[i % 3], "x", &format!("r{i}")).await;
     }
     for node in &nodes {
-        node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+        node.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     }
     sleep_ms(6_000).await;
     for node in &nodes {
-        node.line.fail(Faults::default());
+        node.line.set_faults(Faults::default());
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 6);
@@ -179,7 +182,7 @@
     for i in 0..6 {
         call(&nodes[other], "x", &format!("r{i}")).await;
     }
-    let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+    let elapsed_ms = world.clock.true_time().as_millis() as u64 % 5_000;
     sleep_ms(5_000 - elapsed_ms + 3_000).await;
     for to in [leader, third] {
         nodes[to].link(Link::Open);
@@ -194,18 +197,18 @@
     let mut world = World::new().with_usage(WINDOW);
     let true_clock = world.clock.clone();
     let (mut nodes, _) = start_three(&world).await;
-    world.clock = true_clock.beside();
+    world.clock = true_clock.other_vm();
     let clock = world.clock.clone();
     nodes.push(world.linked_node("d").await);
-    clock.step(Duration::from_secs(7));
+    clock.set_offset(Duration::from_secs(7));
     world.clock = true_clock;
-    let elapsed_ms = world.clock.truth().as_millis() as u64 % 5_000;
+    let elapsed_ms = world.clock.true_time().as_millis() as u64 % 5_000;
     sleep_ms(5_000 - elapsed_ms + 100).await;
-    let window = world.clock.truth().as_secs() / 5;
+    let window = world.clock.true_time().as_secs() / 5;
     for i in 0..4 {
         assert!(call(&nodes[3], "x", &format!("r{i}")).await);
     }
-    clock.step(Duration::ZERO);
+    clock.set_offset(Duration::ZERO);
     wait_until_reported(&world).await;
     assert_eq!(reports(&world)[&window], Counts::from([("x".into(), 4)]));
 }
@@ -217,8 +220,8 @@
 async fn a_leader_with_a_wrong_clock_from_its_start_reports_whole_windows() {
     let mut world = World::new().with_usage(WINDOW);
     let (mut nodes, leader) = start_three(&world).await;
-    let wrong = world.clock.beside();
-    wrong.step(Duration::from_secs(7));
+    let wrong = world.clock.other_vm();
+    wrong.set_offset(Duration::from_secs(7));
     let truth = std::mem::replace(&mut world.clock, wrong);
     // With two of them, one that has the wrong clock ranks next as leader.
     for name in ["d", "e"] {
@@ -233,11 +236,11 @@
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 60);
-    let ends = |r: &Reported| (r.report.window + 1) * WINDOW.as_secs();
-    let finished_ms = world.clock.truth().as_millis() as u64;
+    let ends = |r: &ReceivedReport| (r.report.window + 1) * WINDOW.as_secs();
+    let finished_ms = world.clock.true_time().as_millis() as u64;
     let now = tokio::time::Instant::now();
-    for report in world.duties.reported() {
-        let at = finished_ms - (now - report.at).as_millis() as u64;
+    for report in world.duties.reports() {
+        let at = finished_ms - (now - report.received_at).as_millis() as u64;
         assert!(at >= ends(&report) * 1_000, "window {} at {at}", report.report.window);
     }
 }
--- a/tests/entry/versions.rs
+++ b/tests/entry/versions.rs
@@ -1,6 +1,6 @@
 //! The weight versions that nodes assume replicas to serve.
 
-use standins::replicas::Mood;
+use standins::replicas::Behaviour;
 
 use crate::world::{MODEL, World, assert_completed, job_spec_from, sleep_ms};
 
@@ -11,24 +11,24 @@
 async fn a_text_implies_no_version_of_replicas_that_made_other_parts_of_it() {
     let world = World::new();
     let a = world.node("a").await;
-    world.replicas.load("e1", MODEL, 2);
-    world.replicas.mood("e2", Mood::Unreachable);
-    world.replicas.mood("e3", Mood::Unreachable);
+    world.replicas.set_version("e1", MODEL, 2);
+    world.replicas.set_behaviour("e2", Behaviour::Unreachable);
+    world.replicas.set_behaviour("e3", Behaviour::Unreachable);
     sleep_ms(2_000).await;
-    world.replicas.mood("e1", Mood::Breaks(3));
-    world.replicas.length("i1", 9);
+    world.replicas.set_behaviour("e1", Behaviour::BreaksAfter(3));
+    world.replicas.set_event_count("i1", 9);
     a.submit("j", &["i1"]).await;
     sleep_ms(60).await;
-    world.replicas.mood("e3", Mood::Good);
-    world.replicas.mood("e1", Mood::Silent);
+    world.replicas.set_behaviour("e3", Behaviour::Normal);
+    world.replicas.set_behaviour("e1", Behaviour::Unresponsive);
     a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 9));
-    let ran = world.replicas.ran();
-    assert!(ran.iter().any(|r| &*r.replica == "e3" && r.after.is_some()), "{ran:?}");
-    world.replicas.mood("e1", Mood::Good);
+    let ran = world.replicas.runs();
+    assert!(ran.iter().any(|r| &*r.replica == "e3" && r.last_event.is_some()), "{ran:?}");
+    world.replicas.set_behaviour("e1", Behaviour::Normal);
     sleep_ms(6_000).await;
     a.app().submit(job_spec_from("k", &["k1", "k2"], 2)).await;
     a.read_all("k", 2).await;
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     let futile = ran.iter().filter(|r| r.id.starts_with('k') && &*r.replica == "e3");
     assert_eq!(futile.count(), 0);
 }
@@ -39,11 +39,11 @@
 async fn a_version_that_a_replica_shows_overrides_the_assumed_one() {
     let world = World::new();
     let a = world.node("a").await;
-    world.replicas.load("e1", MODEL, 2);
+    world.replicas.set_version("e1", MODEL, 2);
     // The entries of e2 and e3 state a newer version than they serve.
     for id in ["e2", "e3"] {
-        world.replicas.load(id, MODEL, 2);
-        world.replicas.set(id, MODEL, 1);
+        world.replicas.set_version(id, MODEL, 2);
+        world.replicas.set_unlisted_version(id, MODEL, 1);
     }
     sleep_ms(2_000).await;
     let items: Vec<String> = (0..60).map(|i| format!("i{i}")).collect();
@@ -52,7 +52,7 @@
     a.read_all("j", 60).await.iter().for_each(|l| assert_completed(l, 5));
     let futile = world
         .replicas
-        .ran()
+        .runs()
         .iter()
         .filter(|r| r.id.starts_with('i') && &*r.replica != "e1")
         .count();
@@ -65,20 +65,20 @@
 async fn earlier_events_are_kept_when_a_replica_shows_an_older_version() {
     let world = World::new();
     let a = world.node("a").await;
-    world.replicas.load("e1", MODEL, 2);
-    world.replicas.load("e2", MODEL, 2);
-    world.replicas.set("e2", MODEL, 1);
-    world.replicas.mood("e2", Mood::Unreachable);
-    world.replicas.mood("e1", Mood::Breaks(3));
+    world.replicas.set_version("e1", MODEL, 2);
+    world.replicas.set_version("e2", MODEL, 2);
+    world.replicas.set_unlisted_version("e2", MODEL, 1);
+    world.replicas.set_behaviour("e2", Behaviour::Unreachable);
+    world.replicas.set_behaviour("e1", Behaviour::BreaksAfter(3));
     sleep_ms(2_000).await;
-    world.replicas.length("i1", 9);
+    world.replicas.set_event_count("i1", 9);
     a.app().submit(job_spec_from("j", &["i1"], 2)).await;
     sleep_ms(60).await;
-    world.replicas.mood("e2", Mood::Good);
+    world.replicas.set_behaviour("e2", Behaviour::Normal);
     a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 9));
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     let made = ran.iter().filter(|r| &*r.id == "i1");
-    let made: Vec<(&str, Option<u64>)> = made.map(|r| (&*r.replica, r.after)).collect();
+    let made: Vec<(&str, Option<u64>)> = made.map(|r| (&*r.replica, r.last_event)).collect();
     let futile = made.iter().position(|(replica, _)| *replica == "e2").unwrap();
     assert!(futile > 0, "{made:?}");
     assert_eq!(made[futile + 1].1, made[futile].1, "{made:?}");
@@ -96,11 +96,11 @@
     let a = world.node("a").await;
     world.name_version(2);
     sleep_ms(20_000).await;
-    let before = world.replicas.ordered().len();
+    let before = world.replicas.orders().len();
     // One replica restarts while idle, one during a load, and one while it runs a text.
     world.replicas.restart("engines", "e1", 2, &[(MODEL, 1)]);
     sleep_ms(5_000).await;
-    let first: Vec<_> = world.replicas.ordered().split_off(before);
+    let first: Vec<_> = world.replicas.orders().split_off(before);
     assert!(first.iter().any(|o| &*o.replica == "e1" && o.version == 2), "{first:?}");
     a.app().submit(job_spec_from("j", &["i1", "i2", "i3", "i4"], 2)).await;
     world.name_version(3);
@@ -110,7 +110,7 @@
     }
     a.read_all("j", 4).await;
     sleep_ms(20_000).await;
-    let orders = world.replicas.ordered();
+    let orders = world.replicas.orders();
     let again: Vec<_> = orders[before..].iter().filter(|o| o.accepted).collect();
     for id in ["e1", "e2", "e3"] {
         let newest = again.iter().filter(|o| &*o.replica == id).map(|o| o.version).max();
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -1,7 +1,7 @@
 //! Tests of the view that nodes have of the configuration, the replicas and each other.
 
 use mulberrycourse::edge::schema::Directive;
-use standins::kv::{Away, Faults};
+use standins::kv::{Faults, Outage};
 use std::time::Duration;
 
 use crate::world::{World, answered_calls, plain_replicas_used, sleep_ms, wait_until};
@@ -30,11 +30,11 @@
     let node = world.node("a").await;
     world.configure(2);
     sleep_ms(100).await;
-    let quiet = Faults { away: Some(Away::Refusing), ..Faults::default() };
-    node.line.fail(quiet);
+    let quiet = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
+    node.line.set_faults(quiet);
     world.configure(3);
     world.kv.compact();
-    node.line.fail(Faults::default());
+    node.line.set_faults(Faults::default());
     sleep_ms(1_500).await;
     assert_eq!(version(&node), 3);
 }
@@ -46,9 +46,9 @@
     let world = World::new();
     let node = world.node("a").await;
     sleep_ms(2_000).await;
-    world.replicas.list("plain", "p2", false);
+    world.replicas.write_entry("plain", "p2", false);
     sleep_ms(100).await;
-    world.replicas.list("plain", "p1", true);
+    world.replicas.write_entry("plain", "p1", true);
     world.kv.compact();
     sleep_ms(1_500).await;
     assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
@@ -58,12 +58,12 @@
 async fn a_disconnected_node_catches_up_once_the_store_answers_again() {
     let world = World::new();
     let node = world.node("a").await;
-    node.line.fail(Faults { away: Some(Away::Silent), ..Faults::default() });
+    node.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     sleep_ms(3_000).await;
     world.configure(7);
     sleep_ms(3_000).await;
     assert_eq!(version(&node), 1);
-    node.line.fail(Faults::default());
+    node.line.set_faults(Faults::default());
     sleep_ms(2_000).await;
     assert_eq!(version(&node), 7);
 }
@@ -85,16 +85,16 @@
 async fn nodes_whose_leases_end_together_stay_known_and_register_again() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
-    world.replicas.length("i1", 100);
+    world.replicas.set_event_count("i1", 100);
     nodes[0].submit("j", &["i1"]).await;
     sleep_ms(300).await;
-    world.kv.lapse();
+    world.kv.expire_leases();
     sleep_ms(300).await;
     assert_eq!(nodes[0].app().client_addresses("z").len(), 3);
     sleep_ms(2_000).await;
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 3);
     nodes[1].read_all("j", 1).await;
-    let texts = world.replicas.ran().iter().filter(|r| &*r.id == "i1").count();
+    let texts = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
     assert_eq!(texts, 1, "a job was taken over from an owner that was alive");
 }
 
@@ -102,23 +102,23 @@
 async fn entries_that_expire_in_an_outage_are_kept_until_they_can_be_written_again() {
     let world = World::new();
     let node = world.node("a").await;
-    node.line.fail(Faults { away: Some(Away::Refusing), ..Faults::default() });
+    node.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     sleep_ms(500).await;
-    world.words.unlist(&world.kv, "p1");
-    world.words.unlist(&world.kv, "p2");
-    node.line.fail(Faults::default());
+    world.words.remove_replica(&world.kv, "p1");
+    world.words.remove_replica(&world.kv, "p2");
+    node.line.set_faults(Faults::default());
     sleep_ms(1_000).await;
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let ask = crate::world::relay_request("r1", "/plain/x");
     let given = node.app().relay(&route, ask).await;
     assert!(matches!(given, mulberrycourse::entry::RelayResponse::Complete { .. }), "{given:?}");
-    world.replicas.list("plain", "p1", false);
+    world.replicas.write_entry("plain", "p1", false);
     sleep_ms(3_000).await;
     for i in 0..6 {
         let ask = crate::world::relay_request(&format!("q{i}"), "/plain/x");
         node.app().relay(&route, ask).await;
     }
-    let late = world.replicas.ran();
+    let late = world.replicas.runs();
     assert!(late.iter().filter(|r| r.id.starts_with('q')).all(|r| &*r.replica == "p1"));
 }
 
@@ -142,7 +142,7 @@
     let world = World::new();
     let _node = world.node("a").await;
     let notice = Directive::Retire { node: "a".into(), within: Duration::from_secs(9) };
-    world.words.write(&world.kv, "retire/a", notice);
+    world.words.write_directive(&world.kv, "retire/a", notice);
     sleep_ms(1_000).await;
     assert!(world.kv.items("retired/").is_empty());
 }
@@ -158,12 +158,12 @@
         world.node_with_drain_time("a", drain).await,
         world.node_with_drain_time("b", drain).await,
     );
-    world.replicas.length("i1", 2_000);
+    world.replicas.set_event_count("i1", 2_000);
     owner.submit("j", &["i1"]).await;
     sleep_ms(3_000).await;
     let before = [answered_calls(&idle, "Watch"), answered_calls(&owner, "Watch")];
     for turn in 0..100 {
-        world.replicas.list("plain", "p1", turn % 2 == 0);
+        world.replicas.write_entry("plain", "p1", turn % 2 == 0);
         sleep_ms(100).await;
     }
     let watches =
@@ -178,10 +178,10 @@
     let drain = Duration::from_secs(3);
     let node = world.node_with_drain_time("a", drain).await;
     sleep_ms(3_000).await;
-    world.replicas.list("plain", "p2", false);
+    world.replicas.write_entry("plain", "p2", false);
     sleep_ms(50).await;
     // The change before this one has just arrived, so this one is batched for the longest time.
-    world.replicas.list("plain", "p1", true);
+    world.replicas.write_entry("plain", "p1", true);
     sleep_ms(2_000).await;
     assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
 }
@@ -193,7 +193,7 @@
     let world = World::new();
     let node = world.node("a").await;
     sleep_ms(2_000).await;
-    world.words.unlist(&world.kv, "p1");
+    world.words.remove_replica(&world.kv, "p1");
     world.kv.compact();
     sleep_ms(1_500).await;
     assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
@@ -208,7 +208,7 @@
         let history = Duration::from_secs(history);
         let node = world.node_with_store_history("a", history).await;
         sleep_ms(60_000).await;
-        assert!(node.line.longest() <= history * 3 / 4, "{:?}", node.line.longest());
+        assert!(node.line.longest_wait() <= history * 3 / 4, "{:?}", node.line.longest_wait());
     }
 }
 
@@ -252,7 +252,7 @@
     world.kv.compact();
     sleep_ms(2_000).await;
     assert_eq!(plain_replicas_used(&world, &node, "u").await, ["p2"; 6]);
-    world.replicas.list("plain", "p1", false);
+    world.replicas.write_entry("plain", "p1", false);
     sleep_ms(2_000).await;
     assert!(plain_replicas_used(&world, &node, "v").await.contains(&"p1".to_owned()));
 }
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -16,7 +16,7 @@
 };
 use mulberrycourse::settings::{Document, EntrySettings};
 use standins::duties::{DutyLedger, TestClock};
-use standins::kv::{Faults, KvLine, KvService, Words};
+use standins::kv::{Faults, KvClient, KvService, TestSchema};
 use standins::replicas::ReplicaFleet;
 
 use crate::links::{Link, Links};
@@ -29,7 +29,7 @@
 /// The key-value service, the replicas, and what the nodes of a test have in common.
 pub(crate) struct World {
     pub(crate) kv: KvService,
-    pub(crate) words: Words,
+    pub(crate) words: TestSchema,
     pub(crate) replicas: ReplicaFleet,
     pub(crate) links: Links,
     pub(crate) duties: DutyLedger,
@@ -44,14 +44,14 @@
 /// A node and its connections to the store and to other nodes.
 pub(crate) struct Node {
     pub(crate) entry: EntryNode,
-    pub(crate) line: KvLine,
+    pub(crate) line: KvClient,
     links: Links,
 }
 
 impl World {
     /// Three engine replicas, two plain replicas, and routes of every kind.
     pub(crate) fn new() -> Self {
-        let (kv, words) = (KvService::spawn(), Words::default());
+        let (kv, words) = (KvService::spawn(), TestSchema::default());
         let replicas = ReplicaFleet::new(kv.clone(), words.clone());
         for id in ["e1", "e2", "e3"] {
             replicas.add("engines", id, &[MODEL]);
@@ -108,13 +108,13 @@
                 prices: [("z".into(), 1.0)].into(),
             },
         ]);
-        self.words.write_long(&self.kv, "config", Directive::Routes(routes), others);
+        self.words.write_padded_directive(&self.kv, "config", Directive::Routes(routes), others);
     }
 
     /// Names a weight version, as a trainer does.
     pub(crate) fn name_version(&self, version: u64) {
         let notice = Directive::Version { model: MODEL.into(), version };
-        self.words.write(&self.kv, "version", notice);
+        self.words.write_directive(&self.kv, "version", notice);
     }
 
     /// Starts a node and waits until it is ready.
@@ -202,8 +202,8 @@
         let duties = self.ordering.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
         let settings =
             EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
-        let line = self.kv.line();
-        line.fail(faults);
+        let line = self.kv.client();
+        line.set_faults(faults);
         let links = Arc::new(self.links.of_node(settings.peer_address));
         let ports = Ports {
             store: Arc::new(line.clone()),
@@ -366,7 +366,7 @@
 
 /// The text that the replicas generate for a sample.
 pub(crate) fn expected_text(item: &str, events: u64) -> String {
-    let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event(item, e)).collect();
+    let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event_data(item, e)).collect();
     lines.join("\n")
 }
 
@@ -412,7 +412,7 @@
         node.app().relay(&route, relay_request(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
     }
     let prefix = format!("{turn}-{name}-");
-    let ran = world.replicas.ran();
+    let ran = world.replicas.runs();
     let ran = ran.iter().filter(|r| r.id.starts_with(&prefix));
     ran.map(|r| r.replica.to_string()).collect()
 }
