--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -43,7 +43,7 @@
     app: Arc<App>,
     admin_address: SocketAddr,
     /// Cancelled when the node stops accepting connections of callers and trainers.
-    accept: CancellationToken,
+    stop_accepting: CancellationToken,
     /// The open connections of callers and trainers.
     connections: TaskTracker,
 }
@@ -58,7 +58,7 @@
         let peer = PeerListener::bind(node.peers).await.map_err(bind_error("peers", node.peers))?;
         let identity = Identity::new(client.address(), peer.address());
         let app = Arc::new(App::new(settings, identity));
-        let accept = app.cancel.child_token();
+        let stop_accepting = app.cancel.child_token();
         let connections = TaskTracker::new();
         let admin_address = admin.address();
         tracing::info!(
@@ -70,7 +70,7 @@
         );
         let limits = app.settings.connections;
         let handler = Arc::new(ClientHandler { app: app.clone() });
-        client.spawn(handler, limits, &connections, accept.clone());
+        client.spawn(handler, limits, &connections, stop_accepting.clone());
         // The listeners for operators and peers stay open until the node has stopped, also while it
         // drains.
         let other_connections = TaskTracker::new();
@@ -87,14 +87,16 @@
         tokio::spawn(
             metrics.timed(ControlTask::Announce, peers::maintain_registration(app.clone())),
         );
-        tokio::spawn(metrics.timed(ControlTask::Upstreams, upstreams::run_updates(app.clone())));
+        tokio::spawn(
+            metrics.timed(ControlTask::Upstreams, upstreams::follow_platform(app.clone())),
+        );
         tokio::spawn(metrics.timed(ControlTask::Orders, orders::run_rollouts(app.clone())));
         tokio::spawn(metrics.timed(ControlTask::Tick, tick_dispatchers(app.clone())));
         claims::spawn_partitions(&app);
         tokio::spawn(
             metrics.timed(ControlTask::Suspects, quarantine::sync_with_peers(app.clone())),
         );
-        Ok(Self { app, admin_address, accept, connections })
+        Ok(Self { app, admin_address, stop_accepting, connections })
     }
 
     /// Returns the address of the listener for callers and trainers.
@@ -146,7 +148,7 @@
             tokio::time::sleep(drain.ttl + drain.margin).await;
             self.app.handle_event(LifecycleEvent::AddressesExpired);
         }
-        self.accept.cancel();
+        self.stop_accepting.cancel();
         self.connections.close();
         // A claimed call continues without its caller, so it counts as in flight too.
         let calls = &self.app.claims.calls;
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -46,7 +46,7 @@
 /// The quarantine state of this node, and the trial locks of the upstreams that it owns.
 #[derive(Debug)]
 pub(super) struct NodeQuarantine {
-    quarantine: Mutex<Quarantine>,
+    state: Mutex<Quarantine>,
     trial_locks: Mutex<TrialLocks>,
     /// The fingerprints on trial at this node. Each is on trial at most once at a time.
     local_trials: Mutex<HashSet<u64>>,
@@ -59,9 +59,9 @@
 
 impl NodeQuarantine {
     pub(super) fn new(name: &Name) -> Self {
-        let quarantine = Quarantine::new(name.clone(), rand::random());
+        let state = Quarantine::new(name.clone(), rand::random());
         Self {
-            quarantine: Mutex::new(quarantine),
+            state: Mutex::new(state),
             trial_locks: Mutex::default(),
             local_trials: Mutex::default(),
         }
@@ -69,7 +69,7 @@
 
     /// Refuses the request if its fingerprint is quarantined.
     pub(super) fn check(&self, app: &App, fingerprint: u64) -> Result<(), Refusal> {
-        match self.quarantine.lock().status(fingerprint, app.clock.now()) {
+        match self.state.lock().status(fingerprint, app.clock.now()) {
             FingerprintStatus::Clear | FingerprintStatus::Suspect(_) => Ok(()),
             FingerprintStatus::Quarantined(left) => {
                 let detail = format!("refused for another {} s", left.as_secs());
@@ -80,20 +80,20 @@
 
     /// Returns the number of suspects and the number of quarantined fingerprints.
     pub(super) fn counts(&self) -> (usize, usize) {
-        self.quarantine.lock().counts()
+        self.state.lock().counts()
     }
 
     /// Applies notices of another node.
     pub(super) fn apply_notices(&self, app: &App, notices: &[CrashNotice]) {
-        let mut quarantine = self.quarantine.lock();
+        let mut state = self.state.lock();
         notices.iter().for_each(|notice| {
-            quarantine.apply_notice(notice, app.clock.now());
+            state.apply_notice(notice, app.clock.now());
         });
     }
 
     /// Returns the notices that carry all that this node knows.
     pub(super) fn notices(&self, app: &App) -> Vec<CrashNotice> {
-        self.quarantine.lock().notices(app.clock.now())
+        self.state.lock().notices(app.clock.now())
     }
 
     /// Acquires the trial lock of an upstream that this node owns. Returns false if another trial
@@ -130,7 +130,7 @@
     ) -> Result<Self, Refusal> {
         loop {
             app.quarantine.check(app, fingerprint)?;
-            let status = app.quarantine.quarantine.lock().status(fingerprint, app.clock.now());
+            let status = app.quarantine.state.lock().status(fingerprint, app.clock.now());
             let trial = match status {
                 FingerprintStatus::Clear => None,
                 FingerprintStatus::Suspect(duration) => {
@@ -185,11 +185,8 @@
             return;
         }
         let app = self.app;
-        let notice = app.quarantine.quarantine.lock().record_crash(
-            &self.in_flight,
-            failed_at,
-            app.clock.now(),
-        );
+        let notice =
+            app.quarantine.state.lock().record_crash(&self.in_flight, failed_at, app.clock.now());
         tracing::warn!(
             event = "upstream_crashed",
             upstream = %self.in_flight.upstream,
@@ -214,7 +211,7 @@
         self.trial = None;
         let now = self.app.clock.now();
         let fingerprint = self.in_flight.fingerprint;
-        let notice = self.app.quarantine.quarantine.lock().record_success(fingerprint, now);
+        let notice = self.app.quarantine.state.lock().record_success(fingerprint, now);
         if let Some(notice) = notice {
             drop(send_to_peers(self.app, notice));
         }
@@ -368,7 +365,7 @@
             () = app.cancel.cancelled() => return,
             () = tokio::time::sleep(delay) => {}
         }
-        app.quarantine.quarantine.lock().tick(app.clock.now());
+        app.quarantine.state.lock().tick(app.clock.now());
         let others = app.members.alive(app.clock.now());
         let Some(other) = others.choose(&mut rand::rng()) else { continue };
         if let Ok(NodeReply::Suspects(notices)) =
--- a/src/node/steps/sampling.rs
+++ b/src/node/steps/sampling.rs
@@ -80,7 +80,12 @@
                 attempt += 1;
             }
             Err(refusal) => {
-                tracing::debug!(event = "sample_failed", trainer = %active.trainer, ?slot, %refusal);
+                tracing::debug!(
+                    event = "sample_failed",
+                    trainer = %active.trainer,
+                    ?slot,
+                    %refusal,
+                );
                 app.metrics.refused(refusal.kind);
                 tokio::time::sleep(refusal.after.unwrap_or(RETRY_DELAY)).await;
             }
--- a/src/node/upstreams.rs
+++ b/src/node/upstreams.rs
@@ -103,7 +103,7 @@
 }
 
 /// Keeps the list, the departures and the dispatchers up to date until the node stops.
-pub(super) async fn run_updates(app: Arc<App>) {
+pub(super) async fn follow_platform(app: Arc<App>) {
     let mut read_timer = tokio::time::interval(READ_INTERVAL);
     let mut departure_timer = tokio::time::interval(DEPARTURE_INTERVAL);
     let mut bundles = app.bundles.subscribe();
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -24,8 +24,8 @@
     StepSpec { version, groups: (0..3).map(prompt).collect() }
 }
 
-/// Runs a step while `disturb` runs, and checks each label against the ledgers. Returns the versions
-/// in the labels.
+/// Runs a step while `disturb` runs, and checks each label against the ledgers. Returns the
+/// versions in the labels.
 async fn run_disturbed(fleet: &Fleet, disturb: impl Future<Output = ()>) -> BTreeSet<u64> {
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(1);
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -71,8 +71,8 @@
     assert!(fleet.sync.iter().all(|p| p.ledger().is_empty()));
 }
 
-/// A node dies while callers have cached its address. Their calls don't fail, since nothing was sent
-/// when the connection was refused.
+/// A node dies while callers have cached its address. Their calls don't fail, since nothing was
+/// sent when the connection was refused.
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_node_in_a_kept_answer() {
     let mut fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -1,5 +1,5 @@
-//! Tests over real sockets that a step delivers every sample once, none of them too old, in complete
-//! groups.
+//! Tests over real sockets that a step delivers every sample once, none of them too old, in
+//! complete groups.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
