--- a/standins/src/bin/slope.rs
+++ b/standins/src/bin/slope.rs
@@ -1,49 +1,53 @@
-//! Measures a mechanism at several sizes: `slope MECHANISM` writes
-//! `bench/results/slopes/MECHANISM.csv`, `slope page` brings docs/CAPACITY.md up to date.
+//! Measures the cost of a mechanism at several sizes. `slope MECHANISM` writes
+//! `bench/results/slopes/MECHANISM.csv`; `slope page` updates the tables of docs/CAPACITY.md.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::{Parser, ValueEnum};
-use standins::slope::{Table, bundle, claims, entry, fleet, handover, refresh};
+use standins::slope::{
+    Table, measure_bundle, measure_claims, measure_fleet, measure_handover, measure_requests,
+    refresh_page,
+};
 
-/// Measures what a mechanism costs, at several sizes.
+/// Measures the cost of a mechanism at several sizes.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
     /// What to measure.
     mechanism: Mechanism,
-    /// The sizes; without them, the mechanism's own.
+    /// Sizes to measure; by default, those of the mechanism.
     #[arg(long, value_delimiter = ',')]
     sizes: Vec<u32>,
-    /// Seconds of each phase of `fleet`.
+    /// Length of the measurement of each phase of `fleet`, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// The commit that is measured.
+    /// Commit that is measured, for the results.
     #[arg(long, default_value = "unknown")]
     commit: String,
-    /// Where the results go.
+    /// Folder of the result files.
     #[arg(long, default_value = "bench/results/slopes")]
     results: PathBuf,
-    /// The page with the tables.
+    /// Page whose tables `page` updates.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     page: PathBuf,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Mechanism {
-    /// Control of a node at rest, at a rollout, in an outage, after it, and at a loss; by nodes.
+    /// Control plane of a node: steady, at a rollout, during and after an outage of the platform,
+    /// and after the loss of a zone; by the number of nodes.
     Fleet,
-    /// Plain calls and streams; by upstreams.
+    /// Plain calls and streams; by the number of upstreams.
     Entry,
-    /// Calls that run at most once; by calls in flight.
+    /// Calls that run at most once; by the number of calls in flight.
     Claims,
-    /// A trainer's step; by samples.
+    /// A trainer's step; by the number of samples.
     Handover,
-    /// The check of a bundle; by services.
+    /// Verification of a bundle; by the number of services.
     Bundle,
-    /// No measurement: writes the tables of the page.
+    /// No measurement; updates the tables of the page.
     Page,
 }
 
@@ -59,7 +63,7 @@
         }
     }
 
-    fn sizes(self) -> &'static [u32] {
+    fn default_sizes(self) -> &'static [u32] {
         match self {
             Self::Fleet => &[4, 16, 48],
             Self::Entry => &[4, 16, 64],
@@ -71,7 +75,7 @@
     }
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 #[tokio::main]
 #[allow(clippy::print_stderr)]
@@ -86,17 +90,17 @@
 }
 
 #[allow(clippy::print_stdout)]
-async fn run(args: Args) -> Result<(), Failure> {
+async fn run(args: Args) -> Result<(), BoxError> {
     if args.mechanism == Mechanism::Page {
-        return Ok(refresh(&args.page, &args.results)?);
+        return Ok(refresh_page(&args.page, &args.results)?);
     }
-    let own = args.mechanism.sizes().to_vec();
-    let sizes = if args.sizes.is_empty() { own } else { args.sizes.clone() };
-    let exe = program()?;
+    let default = args.mechanism.default_sizes().to_vec();
+    let sizes = if args.sizes.is_empty() { default } else { args.sizes.clone() };
+    let exe = mulberryd_path()?;
     let mut table = Table { commit: args.commit.clone(), rows: Vec::new() };
     for size in sizes {
         let began = std::time::Instant::now();
-        one(&args, &exe, size, &mut table).await?;
+        measure(&args, &exe, size, &mut table).await?;
         println!("{} at {size}: {:.1} s", args.mechanism.name(), began.elapsed().as_secs_f64());
     }
     std::fs::create_dir_all(&args.results)?;
@@ -104,23 +108,29 @@
     Ok(())
 }
 
-async fn one(args: &Args, exe: &str, size: u32, table: &mut Table) -> Result<(), Failure> {
+/// Measures the selected mechanism at one size.
+async fn measure(args: &Args, exe: &str, size: u32, table: &mut Table) -> Result<(), BoxError> {
     match args.mechanism {
-        Mechanism::Fleet => fleet(exe, size, Duration::from_secs(args.seconds), table).await?,
-        Mechanism::Entry => entry(exe, size, table).await?,
-        Mechanism::Claims => claims(exe, size, table).await?,
-        Mechanism::Handover => handover(exe, size, table).await?,
-        Mechanism::Bundle => bundle(size, table),
+        Mechanism::Fleet => {
+            measure_fleet(exe, size, Duration::from_secs(args.seconds), table).await?
+        }
+        Mechanism::Entry => measure_requests(exe, size, table).await?,
+        Mechanism::Claims => measure_claims(exe, size, table).await?,
+        Mechanism::Handover => measure_handover(exe, size, table).await?,
+        Mechanism::Bundle => measure_bundle(size, table),
         Mechanism::Page => {}
     }
     Ok(())
 }
 
-/// The `mulberryd` that was built beside this program.
-fn program() -> Result<String, Failure> {
-    let program = std::env::current_exe()?.with_file_name("mulberryd");
-    match program.exists() {
-        true => Ok(program.display().to_string()),
-        false => Err("build mulberryd first: cargo build --release --workspace".into()),
+/// The path of the `mulberryd` that was built into the same folder as this program.
+fn mulberryd_path() -> Result<String, BoxError> {
+    let path = std::env::current_exe()?.with_file_name("mulberryd");
+    match path.exists() {
+        true => Ok(path.display().to_string()),
+        false => {
+            Err(format!("{} does not exist: run cargo build --release --workspace", path.display())
+                .into())
+        }
     }
 }
--- a/standins/src/slope/fit.rs
+++ b/standins/src/slope/fit.rs
@@ -1,18 +1,18 @@
-//! A line or a power through a few points.
+//! Fits a constant, a line or a power to a few measured costs.
 
 /// How a cost grows with size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Law {
-    /// It does not.
+pub enum GrowthLaw {
+    /// The cost does not grow.
     Constant,
-    /// By a line.
+    /// The cost grows linearly.
     Linear,
-    /// By a power above 1.
+    /// The cost grows by a power above 1.
     Power,
 }
 
-impl Law {
-    /// The word in tables.
+impl GrowthLaw {
+    /// The name in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Constant => "constant",
@@ -22,74 +22,79 @@
     }
 }
 
-/// A fitted cost.
+/// A cost as a function of the size, fitted to measured points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
-    /// How it grows.
-    pub law: Law,
-    /// The intercept, or the factor of a power.
+    /// How the cost grows.
+    pub law: GrowthLaw,
+    /// The cost of a constant, the intercept of a line or the factor of a power.
     pub base: f64,
-    /// The slope, or the exponent of a power.
+    /// The slope of a line or the exponent of a power; 0 for a constant.
     pub slope: f64,
-    /// Root mean square of the relative errors at the points, 0.1 for 10%.
-    pub error: f64,
+    /// Root mean square of the relative errors at the points; 0.1 is 10%.
+    pub relative_error: f64,
 }
 
-/// A cost whose log-log slope is above this grows by a power.
-const POWER: f64 = 1.3;
-/// A cost whose ends differ by less than this part counts as constant.
-const FLAT: f64 = 0.1;
+/// A cost is fitted by a power if its log-log slope is above this.
+const MIN_POWER_SLOPE: f64 = 1.3;
+/// A cost is constant if its range is at most this fraction of its mean.
+const CONSTANT_TOLERANCE: f64 = 0.1;
 
 impl Fit {
-    /// Fits points of (size, cost); `None` for fewer than two.
-    pub fn of(points: &[(f64, f64)]) -> Option<Self> {
+    /// Fits points of (size, cost). Returns `None` for fewer than two points.
+    pub fn fit(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 2 {
             return None;
         }
         let mean = points.iter().map(|p| p.1).sum::<f64>() / points.len() as f64;
         let low = points.iter().map(|p| p.1).fold(f64::INFINITY, f64::min);
         let high = points.iter().map(|p| p.1).fold(f64::NEG_INFINITY, f64::max);
-        if high - low <= FLAT * mean.abs() {
+        if high - low <= CONSTANT_TOLERANCE * mean.abs() {
             return Some(
-                Self { law: Law::Constant, base: mean, slope: 0.0, error: 0.0 }.judged(points),
+                Self { law: GrowthLaw::Constant, base: mean, slope: 0.0, relative_error: 0.0 }
+                    .with_error(points),
             );
         }
         if points.iter().all(|p| p.0 > 0.0 && p.1 > 0.0) {
             let logs: Vec<(f64, f64)> = points.iter().map(|p| (p.0.ln(), p.1.ln())).collect();
-            let (base, slope) = line(&logs);
-            if slope > POWER {
-                let fit = Self { law: Law::Power, base: base.exp(), slope, error: 0.0 };
-                return Some(fit.judged(points));
+            let (base, slope) = least_squares_line(&logs);
+            if slope > MIN_POWER_SLOPE {
+                let fit =
+                    Self { law: GrowthLaw::Power, base: base.exp(), slope, relative_error: 0.0 };
+                return Some(fit.with_error(points));
             }
         }
-        let (base, slope) = line(points);
-        Some(Self { law: Law::Linear, base, slope, error: 0.0 }.judged(points))
+        let (base, slope) = least_squares_line(points);
+        Some(Self { law: GrowthLaw::Linear, base, slope, relative_error: 0.0 }.with_error(points))
     }
 
-    /// The cost at a size.
-    pub fn at(&self, size: f64) -> f64 {
+    /// Returns the fitted cost at a size.
+    pub fn cost_at(&self, size: f64) -> f64 {
         match self.law {
-            Law::Constant => self.base,
-            Law::Linear => self.base + self.slope * size,
-            Law::Power => self.base * size.powf(self.slope),
+            GrowthLaw::Constant => self.base,
+            GrowthLaw::Linear => self.base + self.slope * size,
+            GrowthLaw::Power => self.base * size.powf(self.slope),
         }
     }
 
-    fn judged(self, points: &[(f64, f64)]) -> Self {
+    /// Computes the error at the points. A cost near 0 is compared with 1% of the largest cost
+    /// instead of itself.
+    fn with_error(self, points: &[(f64, f64)]) -> Self {
         let scale = points.iter().map(|p| p.1.abs()).fold(0.0, f64::max);
-        let part = |p: &(f64, f64)| (self.at(p.0) - p.1) / p.1.abs().max(scale * 0.01).max(1e-12);
-        let sum: f64 = points.iter().map(|p| part(p).powi(2)).sum();
-        Self { error: (sum / points.len() as f64).sqrt(), ..self }
+        let relative =
+            |p: &(f64, f64)| (self.cost_at(p.0) - p.1) / p.1.abs().max(scale * 0.01).max(1e-12);
+        let sum: f64 = points.iter().map(|p| relative(p).powi(2)).sum();
+        Self { relative_error: (sum / points.len() as f64).sqrt(), ..self }
     }
 }
 
-/// Least squares: intercept and slope.
-fn line(points: &[(f64, f64)]) -> (f64, f64) {
+/// Fits a line by least squares and returns its intercept and slope.
+fn least_squares_line(points: &[(f64, f64)]) -> (f64, f64) {
     let count = points.len() as f64;
     let x = points.iter().map(|p| p.0).sum::<f64>() / count;
     let y = points.iter().map(|p| p.1).sum::<f64>() / count;
-    let over: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    let under: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let slope = if under > 0.0 { over / under } else { 0.0 };
+    let covariance: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
+    let variance: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
+    let slope = if variance > 0.0 { covariance / variance } else { 0.0 };
     (y - slope * x, slope)
 }
--- a/standins/src/slope/nodes.rs
+++ b/standins/src/slope/fleet_costs.rs
@@ -1,5 +1,5 @@
-//! Real nodes, each a process of its own, with three upstreams a node as planned:
-//! what control costs a node while nothing is asked of it, at each phase.
+//! Cost of the control plane per node at each phase, without requests. The nodes are separate
+//! processes, with three upstreams per node as planned.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,34 +16,34 @@
 use crate::fleet::{Fleet, FleetError, bundle};
 use crate::platform::Faults;
 
-/// Upstreams a node: 1,100 replicas before 380 nodes.
-const REPLICAS: u32 = 3;
-/// The part of the nodes that goes with an availability zone, as a divisor.
-const ZONES: usize = 3;
-/// Pause between two looks at a condition.
-const POLL: Duration = Duration::from_millis(25);
-/// Pause after the start, before the rest is measured.
-const CALM: Duration = Duration::from_secs(10);
-/// The longest wait for a condition: a size that does not settle is an error.
-const SETTLE: Duration = Duration::from_secs(90);
+/// Upstreams per node; the planned fleet has 1,100 upstreams for 380 nodes.
+const UPSTREAMS_PER_NODE: u32 = 3;
+/// Number of availability zones; the loss of one stops one node in this many.
+const ZONE_COUNT: usize = 3;
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Pause between the start and the first measurement.
+const SETTLING_TIME: Duration = Duration::from_secs(10);
+/// Time limit for a condition; a size that does not meet it in time is an error.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// What goes on while it is measured.
+/// What the fleet does during a measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing.
+    /// Nothing changes.
     Steady,
-    /// A bundle with a new weight version has come into force.
+    /// A bundle with a new weight version has just come into force.
     Rollout,
     /// The platform is down.
     Outage,
-    /// The platform has come back.
+    /// The platform has just recovered.
     Return,
-    /// A third of the nodes has gone.
+    /// A third of the nodes has just stopped.
     Zone,
 }
 
 impl Phase {
-    /// The word in tables.
+    /// The name in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -55,154 +55,158 @@
     }
 }
 
-/// Why a size was not measured.
+/// Why a measurement failed.
 #[derive(Debug, thiserror::Error)]
-pub enum NodesError {
-    /// A node does not answer.
+pub enum MeasureError {
+    /// A request to a node failed.
     #[error(transparent)]
-    Fetch(#[from] JsonClientError),
-    /// A stand-in is missing.
+    Request(#[from] JsonClientError),
+    /// The stand-ins could not be started or used.
     #[error(transparent)]
     Fleet(#[from] FleetError),
-    /// A daemon or its folder is missing.
+    /// A daemon or its folder could not be started or created.
     #[error(transparent)]
     Start(#[from] std::io::Error),
-    /// A condition was not met.
-    #[error("{0} nodes: {1} not within {SETTLE:?}")]
-    Unsettled(u32, &'static str),
+    /// A condition was not met in time.
+    #[error("fleet of {0} nodes: condition {1:?} was not met within {CONDITION_TIMEOUT:?}")]
+    Timeout(u32, &'static str),
 }
 
-/// The nodes of one size.
-struct Nodes {
+/// A running fleet of one size.
+struct RunningNodes {
     size: u32,
     fleet: Fleet,
     daemons: Vec<Daemon>,
-    fetch: JsonClient,
+    client: JsonClient,
+    /// The length of the measurement of each phase.
     window: Duration,
 }
 
-/// Measures one size through every phase.
-pub async fn fleet(
+/// Measures a fleet of one size at every phase.
+pub async fn measure_fleet(
     exe: &str,
     size: u32,
     window: Duration,
     table: &mut Table,
-) -> Result<(), NodesError> {
+) -> Result<(), MeasureError> {
     let folder = Folder::open()?;
     let engines = EngineSettings::default();
-    let fleet = Fleet::spawn(0, (size * REPLICAS) as usize, engines).await?;
+    let fleet = Fleet::spawn(0, (size * UPSTREAMS_PER_NODE) as usize, engines).await?;
     let platform = fleet.platform.address();
     let names = (0..size).map(|index| format!("node-{index}"));
     let daemons: Result<Vec<Daemon>, _> =
         names.map(|name| Daemon::spawn(exe, &name, &fleet, platform, folder.path())).collect();
-    let mut nodes = Nodes { size, fleet, daemons: daemons?, fetch: JsonClient::default(), window };
+    let mut nodes =
+        RunningNodes { size, fleet, daemons: daemons?, client: JsonClient::default(), window };
     let began = Instant::now();
-    nodes.until("membership", Nodes::complete).await?;
+    nodes.wait_until("membership", RunningNodes::sees_all_nodes).await?;
     table.add("start", size, "seconds until all know all", began.elapsed().as_secs_f64());
-    // What the start gave to talk about has been told by then.
-    tokio::time::sleep(CALM).await;
-    nodes.window(Phase::Steady, table).await?;
-    nodes.answers(table).await?;
+    // By then, the membership changes of the start have been gossiped to all nodes.
+    tokio::time::sleep(SETTLING_TIME).await;
+    nodes.measure_phase(Phase::Steady, table).await?;
+    nodes.measure_responses(table).await?;
 
     let began = Instant::now();
     nodes.fleet.apply(2, &bundle(2, 2)).await?;
-    nodes.until("bundle", |n, a| Box::pin(n.in_force(a, 2))).await?;
+    nodes.wait_until("bundle", |n, a| Box::pin(n.has_bundle(a, 2))).await?;
     let name = "seconds until in force at all nodes";
     table.add("rollout", size, name, began.elapsed().as_secs_f64());
     let swaps = async {
-        nodes.until("versions", Nodes::swapped).await?;
-        Ok::<f64, NodesError>(began.elapsed().as_secs_f64())
+        nodes.wait_until("versions", RunningNodes::engines_swapped).await?;
+        Ok::<f64, MeasureError>(began.elapsed().as_secs_f64())
     };
-    let (rated, swapped) = tokio::join!(nodes.window(Phase::Rollout, table), swaps);
-    rated?;
-    table.add("rollout", size, "seconds until all engines have the version", swapped?);
+    let (measured, swap_seconds) = tokio::join!(nodes.measure_phase(Phase::Rollout, table), swaps);
+    measured?;
+    table.add("rollout", size, "seconds until all engines have the version", swap_seconds?);
 
     nodes.fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
-    nodes.window(Phase::Outage, table).await?;
+    nodes.measure_phase(Phase::Outage, table).await?;
     nodes.fleet.platform.set_faults(Faults::default());
-    nodes.window(Phase::Return, table).await?;
+    nodes.measure_phase(Phase::Return, table).await?;
 
     let began = Instant::now();
-    let lost = nodes.daemons.len().div_ceil(ZONES);
+    let lost = nodes.daemons.len().div_ceil(ZONE_COUNT);
     nodes.daemons.truncate(nodes.daemons.len() - lost);
-    nodes.until("loss", Nodes::complete).await?;
+    nodes.wait_until("loss", RunningNodes::sees_all_nodes).await?;
     let name = "seconds until the loss is known to all";
     table.add("zone", size, name, began.elapsed().as_secs_f64());
-    nodes.window(Phase::Zone, table).await
+    nodes.measure_phase(Phase::Zone, table).await
 }
 
-type Look<'a> = std::pin::Pin<Box<dyn Future<Output = Result<bool, JsonClientError>> + 'a>>;
+/// The pending result of a check of one node.
+type Check<'a> = std::pin::Pin<Box<dyn Future<Output = Result<bool, JsonClientError>> + 'a>>;
 
-impl Nodes {
-    /// Waits until a condition holds at every node.
-    async fn until<F>(&self, what: &'static str, holds: F) -> Result<(), NodesError>
+impl RunningNodes {
+    /// Waits until a condition holds at every node. A failed request counts as not met.
+    async fn wait_until<F>(&self, condition: &'static str, holds: F) -> Result<(), MeasureError>
     where
-        F: for<'a> Fn(&'a Self, &'a Daemon) -> Look<'a>,
+        F: for<'a> Fn(&'a Self, &'a Daemon) -> Check<'a>,
     {
-        let until = Instant::now() + SETTLE;
+        let deadline = Instant::now() + CONDITION_TIMEOUT;
         for daemon in &self.daemons {
             while !holds(self, daemon).await.unwrap_or(false) {
-                if Instant::now() > until {
-                    return Err(NodesError::Unsettled(self.size, what));
+                if Instant::now() > deadline {
+                    return Err(MeasureError::Timeout(self.size, condition));
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
+    /// Reads `/v1/state/` and `what` at the admin address of a node.
     async fn state<T: DeserializeOwned>(
         &self,
         at: &Daemon,
         what: &str,
     ) -> Result<T, JsonClientError> {
         let path = format!("/v1/state/{what}");
-        self.fetch.get(at.admin, &path, Duration::from_secs(5)).await
+        self.client.get(at.admin, &path, Duration::from_secs(5)).await
     }
 
-    /// Whether a node sees all nodes alive, and none that is gone.
-    fn complete<'a>(&'a self, at: &'a Daemon) -> Look<'a> {
+    /// Whether a node lists exactly the running nodes, each with a bundle.
+    fn sees_all_nodes<'a>(&'a self, at: &'a Daemon) -> Check<'a> {
         Box::pin(async move {
             let seen: Vec<NodeInfo> = self.state(at, "nodes").await?;
             Ok(seen.len() == self.daemons.len() && seen.iter().all(|n| n.bundle > 0))
         })
     }
 
-    async fn in_force(&self, at: &Daemon, number: u64) -> Result<bool, JsonClientError> {
+    async fn has_bundle(&self, at: &Daemon, number: u64) -> Result<bool, JsonClientError> {
         let state: BundleState = self.state(at, "bundle").await?;
         Ok(state.number >= number)
     }
 
-    fn swapped<'a>(&'a self, _: &'a Daemon) -> Look<'a> {
+    fn engines_swapped<'a>(&'a self, _: &'a Daemon) -> Check<'a> {
         Box::pin(async move { Ok(self.fleet.engines.iter().all(|e| e.version() == Some(2))) })
     }
 
-    /// Scrapes, waits, scrapes again, and adds the rates of a mean node.
-    async fn window(&self, phase: Phase, table: &mut Table) -> Result<(), NodesError> {
-        let before = self.scrapes().await?;
-        let mut calls = self.calls();
+    /// Scrapes all nodes before and after the window, and adds the mean rates per node.
+    async fn measure_phase(&self, phase: Phase, table: &mut Table) -> Result<(), MeasureError> {
+        let before = self.scrape_all().await?;
+        let mut calls = self.platform_calls();
         let (first, began) = (calls, Instant::now());
         let mut peak: f64 = 0.0;
         while began.elapsed() < self.window {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let now = self.calls();
+            let now = self.platform_calls();
             peak = peak.max((now.0 + now.1) - (calls.0 + calls.1));
             calls = now;
         }
-        let after = self.scrapes().await?;
+        let after = self.scrape_all().await?;
         let seconds = began.elapsed().as_secs_f64();
         let mut add = |name: &str, value: f64| table.add(phase.as_str(), self.size, name, value);
         add("platform reads a second in all", (calls.0 - first.0) / seconds);
         add("platform writes a second in all", (calls.1 - first.1) / seconds);
         add("platform calls in the worst second in all", peak);
-        for (name, value) in rates(&before, &after, seconds) {
+        for (name, value) in mean_rates(&before, &after, seconds) {
             add(&name, value);
         }
         Ok(())
     }
 
-    /// Reads and writes that the platform has served.
-    fn calls(&self) -> (f64, f64) {
+    /// The numbers of reads and of writes that the platform has served.
+    fn platform_calls(&self) -> (f64, f64) {
         let is_write = |path: &str| matches!(path, "/v3/kv/put" | "/v3/kv/txn" | "/v3/lease/grant");
         let calls = self.fleet.platform.calls();
         let sum = |write| {
@@ -212,35 +216,35 @@
         (sum(false), sum(true))
     }
 
-    async fn scrapes(&self) -> Result<Vec<Scrape>, JsonClientError> {
+    async fn scrape_all(&self) -> Result<Vec<Scrape>, JsonClientError> {
         let mut all = Vec::new();
         for daemon in &self.daemons {
-            all.push(Scrape::of(daemon.admin, &self.fetch).await?);
+            all.push(Scrape::fetch(daemon.admin, &self.client).await?);
         }
         Ok(all)
     }
 
-    /// The size of an address answer and of `/metrics`.
-    async fn answers(&self, table: &mut Table) -> Result<(), JsonClientError> {
+    /// Adds the sizes of an address response and of `/metrics`.
+    async fn measure_responses(&self, table: &mut Table) -> Result<(), JsonClientError> {
         let Some(first) = self.daemons.first() else { return Ok(()) };
-        let limit = Duration::from_secs(5);
+        let timeout = Duration::from_secs(5);
         let answer: serde_json::Value =
-            self.fetch.get(first.callers, "/v1/addresses", limit).await?;
+            self.client.get(first.callers, "/v1/addresses", timeout).await?;
         let bytes = answer.to_string().len();
         table.add("steady", self.size, "bytes of an address answer", bytes as f64);
-        let bytes = Scrape::of(first.admin, &self.fetch).await?.bytes;
+        let bytes = Scrape::fetch(first.admin, &self.client).await?.bytes;
         table.add("steady", self.size, "bytes of /metrics", bytes as f64);
         Ok(())
     }
 }
 
-/// The rates of a mean node, from two scrapes of all.
-fn rates(before: &[Scrape], after: &[Scrape], seconds: f64) -> BTreeMap<String, f64> {
+/// Returns the mean rates per node between two scrapes of all nodes.
+fn mean_rates(before: &[Scrape], after: &[Scrape], seconds: f64) -> BTreeMap<String, f64> {
     let count = after.len() as f64;
     let mut rates = BTreeMap::new();
     for (earlier, later) in before.iter().zip(after) {
         for (series, added) in later.since(earlier) {
-            let Some(name) = named(&series) else { continue };
+            let Some(name) = rate_name(&series) else { continue };
             *rates.entry(name).or_insert(0.0) += added / seconds / count;
         }
         *rates.entry("resident bytes".to_owned()).or_insert(0.0) +=
@@ -258,8 +262,9 @@
     rates
 }
 
-/// The name of a counter's rate in tables; `None` for counters that are no cost of control.
-fn named(series: &str) -> Option<String> {
+/// The name of the rate of a counter in tables; `None` for counters that do not belong to the
+/// control plane.
+fn rate_name(series: &str) -> Option<String> {
     let label = |key: &str| {
         let (_, rest) = series.split_once(&format!("{key}=\""))?;
         rest.split_once('"').map(|(value, _)| value)
--- a/standins/src/slope/mod.rs
+++ b/standins/src/slope/mod.rs
@@ -1,16 +1,16 @@
-//! Measures what each mechanism costs at several sizes, and what that comes to at
-//! the planned size.
+//! Measures the cost of each mechanism at several sizes, and extrapolates it to the planned
+//! size.
 
 mod fit;
-mod measure;
-mod nodes;
+mod fleet_costs;
+mod node_costs;
 mod page;
 mod scrape;
-mod serving;
+mod table;
 
-pub use fit::{Fit, Law};
-pub use measure::{Measure, Table};
-pub use nodes::{NodesError, Phase, fleet};
-pub use page::{PageError, refresh};
+pub use fit::{Fit, GrowthLaw};
+pub use fleet_costs::{MeasureError, Phase, measure_fleet};
+pub use node_costs::{measure_bundle, measure_claims, measure_handover, measure_requests};
+pub use page::{PageError, refresh_page};
 pub use scrape::Scrape;
-pub use serving::{bundle, claims, entry, handover};
+pub use table::{Measurement, Table};
--- a/standins/src/slope/page.rs
+++ b/standins/src/slope/page.rs
@@ -1,27 +1,29 @@
-//! Writes the measured tables into a page, between marks.
+//! Writes measured tables into a Markdown page, between markers.
 
 use std::path::Path;
 
 use super::{Fit, Table};
 
-/// The beginning of a mark; the mechanism, the phase and the target size follow.
-const BEGIN: &str = "<!-- slope ";
-/// The end of a table.
-const END: &str = "<!-- end -->";
+/// Start of the marker before a table; the mechanism, the phase and the target size follow.
+const TABLE_START: &str = "<!-- slope ";
+/// The marker after a table.
+const TABLE_END: &str = "<!-- end -->";
 
-/// Why a page was not written.
+/// Why a page could not be written.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// A file can't be read or written.
+    /// A file cannot be read or written.
     #[error("{0}: {1}")]
     File(String, std::io::Error),
-    /// A mark is not as it should be.
-    #[error("{0}: expected {BEGIN}MECHANISM PHASE TARGET -->, and {END} after it")]
-    Mark(String),
+    /// A marker is malformed, or the marker after its table is missing.
+    #[error(
+        "marker {0:?}: expected {TABLE_START}MECHANISM PHASE TARGET -->, and {TABLE_END} after it"
+    )]
+    Marker(String),
 }
 
-/// Replaces each table of a page by what the files in `folder` say.
-pub fn refresh(page: &Path, folder: &Path) -> Result<(), PageError> {
+/// Replaces each table of a page by one made from the CSV files in `folder`.
+pub fn refresh_page(page: &Path, folder: &Path) -> Result<(), PageError> {
     let fail = |path: &Path| {
         let path = path.display().to_string();
         move |e| PageError::File(path, e)
@@ -29,24 +31,25 @@
     let text = std::fs::read_to_string(page).map_err(fail(page))?;
     let mut out = String::new();
     let mut rest = text.as_str();
-    while let Some((before, after)) = rest.split_once(BEGIN) {
-        let bad = || PageError::Mark(after.lines().next().unwrap_or_default().to_owned());
-        let (mark, body) = after.split_once(" -->").ok_or_else(bad)?;
-        let (_, tail) = body.split_once(END).ok_or_else(bad)?;
-        let words: Vec<&str> = mark.split(' ').collect();
-        let [mechanism, phase, target] = words[..] else { return Err(bad()) };
-        let target: f64 = target.parse().map_err(|_| bad())?;
+    while let Some((before, after)) = rest.split_once(TABLE_START) {
+        let malformed = || PageError::Marker(after.lines().next().unwrap_or_default().to_owned());
+        let (marker, body) = after.split_once(" -->").ok_or_else(malformed)?;
+        let (_, tail) = body.split_once(TABLE_END).ok_or_else(malformed)?;
+        let words: Vec<&str> = marker.split(' ').collect();
+        let [mechanism, phase, target] = words[..] else { return Err(malformed()) };
+        let target: f64 = target.parse().map_err(|_| malformed())?;
         let path = folder.join(format!("{mechanism}.csv"));
         let table = Table::read(&path).map_err(fail(&path))?;
-        let table = rows(&table, mechanism, phase, target);
-        out.push_str(&format!("{before}{BEGIN}{mark} -->\n{table}{END}"));
+        let table = render_table(&table, mechanism, phase, target);
+        out.push_str(&format!("{before}{TABLE_START}{marker} -->\n{table}{TABLE_END}"));
         rest = tail;
     }
     out.push_str(rest);
     std::fs::write(page, out).map_err(fail(page))
 }
 
-fn rows(table: &Table, mechanism: &str, phase: &str, target: f64) -> String {
+/// Renders the measures of a phase as a Markdown table, with the extrapolation to `target`.
+fn render_table(table: &Table, mechanism: &str, phase: &str, target: f64) -> String {
     let series = table.series();
     let of_phase = series.iter().filter(|((p, _), _)| p == phase);
     let mut sizes: Vec<u32> =
@@ -69,16 +72,16 @@
         }
         let cell = |size: &u32| {
             let found = points.iter().find(|p| p.0 == f64::from(*size));
-            found.map_or("-".to_owned(), |p| short(p.1))
+            found.map_or("-".to_owned(), |p| three_digits(p.1))
         };
         let cells: Vec<String> = sizes.iter().map(cell).collect();
-        let (law, slope, error, at) = match Fit::of(points) {
+        let (law, slope, error, at) = match Fit::fit(points) {
             None => ("-", "-".to_owned(), "-".to_owned(), "-".to_owned()),
             Some(fit) => (
                 fit.law.as_str(),
-                short(fit.slope),
-                format!("{:.0}%", fit.error * 100.0),
-                short(fit.at(target)),
+                three_digits(fit.slope),
+                format!("{:.0}%", fit.relative_error * 100.0),
+                three_digits(fit.cost_at(target)),
             ),
         };
         let cells = cells.join(" | ");
@@ -90,8 +93,8 @@
     out
 }
 
-/// A number with three digits that matter.
-fn short(value: f64) -> String {
+/// Formats a number with three significant digits.
+fn three_digits(value: f64) -> String {
     if value == 0.0 {
         return "0".to_owned();
     }
--- a/standins/tests/slope.rs
+++ b/standins/tests/slope.rs
@@ -1,26 +1,26 @@
 //! The fits and the tables of measured slopes.
 #![allow(clippy::unwrap_used)]
 
-use standins::slope::{Fit, Law, Table, refresh};
+use standins::slope::{Fit, GrowthLaw, Table, refresh_page};
 
 fn fit(cost: impl Fn(f64) -> f64) -> Fit {
     let points: Vec<(f64, f64)> = [4.0, 16.0, 48.0].iter().map(|x| (*x, cost(*x))).collect();
-    Fit::of(&points).unwrap()
+    Fit::fit(&points).unwrap()
 }
 
 #[test]
 fn laws_are_told_apart() {
     let flat = fit(|_| 7.0);
-    assert_eq!((flat.law, flat.at(380.0)), (Law::Constant, 7.0));
+    assert_eq!((flat.law, flat.cost_at(380.0)), (GrowthLaw::Constant, 7.0));
     let line = fit(|x| 100.0 + 3.0 * x);
-    assert_eq!(line.law, Law::Linear);
-    assert!((line.at(380.0) - 1_240.0).abs() < 1e-6 && line.error < 1e-9);
+    assert_eq!(line.law, GrowthLaw::Linear);
+    assert!((line.cost_at(380.0) - 1_240.0).abs() < 1e-6 && line.relative_error < 1e-9);
     let square = fit(|x| 2.0 * x * x);
-    assert_eq!(square.law, Law::Power);
-    assert!((square.at(380.0) - 288_800.0).abs() < 1.0 && square.error < 1e-9);
-    assert!(Fit::of(&[(4.0, 1.0)]).is_none());
+    assert_eq!(square.law, GrowthLaw::Power);
+    assert!((square.cost_at(380.0) - 288_800.0).abs() < 1.0 && square.relative_error < 1e-9);
+    assert!(Fit::fit(&[(4.0, 1.0)]).is_none());
     // A bent cost is fitted by a line with an error that says so.
-    assert!(fit(|x| 100.0 * x.sqrt()).error > 0.01);
+    assert!(fit(|x| 100.0 * x.sqrt()).relative_error > 0.01);
 }
 
 /// A page gets the tables of the files; the rest of it stays as it is.
@@ -37,14 +37,14 @@
     assert_eq!(Table::read(&folder.join("fleet.csv")).unwrap(), table);
     let page = folder.join("page.md");
     std::fs::write(&page, "a\n<!-- slope fleet steady 380 -->\nold\n<!-- end -->\nb\n").unwrap();
-    refresh(&page, &folder).unwrap();
+    refresh_page(&page, &folder).unwrap();
     let once = std::fs::read_to_string(&page).unwrap();
     assert!(
         once.starts_with("a\n<!-- slope fleet steady 380 -->\n`slope fleet` at commit abc1234")
     );
     assert!(once.contains("| bytes | 10.0 | 22.0 | 54.0 | linear | 1.00 | 0% | 386 |"), "{once}");
     assert!(once.ends_with("<!-- end -->\nb\n") && !once.contains("old\n"));
-    refresh(&page, &folder).unwrap();
+    refresh_page(&page, &folder).unwrap();
     assert_eq!(std::fs::read_to_string(&page).unwrap(), once);
     std::fs::remove_dir_all(&folder).unwrap();
 }
