--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -1,4 +1,5 @@
-//! What one decision costs, by the number of upstreams.
+//! Cost of a dispatch decision by the number of upstreams, and cost of choosing a subset of
+//! upstreams.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::time::Duration;
@@ -9,7 +10,7 @@
     UpstreamView, subset,
 };
 
-fn dispatch(upstreams: usize) -> Dispatch {
+fn new_dispatch(upstreams: usize) -> Dispatch {
     let limits = ServiceLimits { max_queued: 1_000, max_concurrency: 16, training_percent: 10 };
     let mut dispatch = Dispatch::new(limits, "a".into(), 1);
     let zones = ["a", "b", "c"];
@@ -24,11 +25,11 @@
     dispatch
 }
 
-fn decisions(c: &mut Criterion) {
+fn bench_decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("offer_send_end");
     for upstreams in [9, 32, 128, 1_100] {
-        let mut dispatch = dispatch(upstreams);
-        let mut turn = 0_u64;
+        let mut dispatch = new_dispatch(upstreams);
+        let mut count = 0_u64;
         let caller = "shop".into();
         let call = Call {
             caller,
@@ -41,9 +42,9 @@
         };
         group.bench_function(BenchmarkId::from_parameter(upstreams), |b| {
             b.iter(|| {
-                turn += 1;
-                let now = Duration::from_millis(turn);
-                let prefix = Some(turn.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+                count += 1;
+                let now = Duration::from_millis(count);
+                let prefix = Some(count.wrapping_mul(0x9E37_79B9_7F4A_7C15));
                 let deadline = now + Duration::from_secs(30);
                 let ticket = dispatch.submit(Call { prefix, deadline, ..call.clone() }, now);
                 let sent =
@@ -61,7 +62,7 @@
     group.finish();
 }
 
-fn subsets(c: &mut Criterion) {
+fn bench_subsets(c: &mut Criterion) {
     let nodes: Vec<String> = (0..380).map(|i| format!("n{i}")).collect();
     let upstreams: Vec<String> = (0..1_100).map(|i| format!("u{i}")).collect();
     let nodes: Vec<&str> = nodes.iter().map(String::as_str).collect();
@@ -71,5 +72,5 @@
     });
 }
 
-criterion_group!(benches, decisions, subsets);
+criterion_group!(benches, bench_decisions, bench_subsets);
 criterion_main!(benches);
--- a/benches/places.rs
+++ b/benches/places.rs
@@ -1,4 +1,5 @@
-//! What a free place costs, by the number of replicas and of texts that wait.
+//! Cost of assigning a free replica slot to a waiting text, by the numbers of replicas and of
+//! waiting texts.
 #![allow(clippy::unwrap_used, missing_docs)]
 
 use std::net::SocketAddr;
@@ -8,10 +9,12 @@
 use mulberrycourse::decide::{Fleet, ListedReplica, ReplicaOutcome, SlotQueue, SlotRequest};
 use mulberrycourse::edge::replica::{ReplicaLoad, Target};
 
-const SLOTS: u32 = 6;
+/// Slots of each replica, all of which are taken at the start.
+const SLOTS_PER_REPLICA: u32 = 6;
+/// The models, which are distributed evenly over replicas and texts.
 const MODELS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn fleet(replicas: usize) -> Fleet {
+fn new_fleet(replicas: usize) -> Fleet {
     let mut fleet = Fleet::new("z".into());
     for i in 0..replicas {
         let address = SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
@@ -19,7 +22,7 @@
             target: Target { id: format!("r{i:05}").into(), address, started_ms: None },
             service: "engines".into(),
             zone: "z".into(),
-            slots: SLOTS,
+            slots: SLOTS_PER_REPLICA,
             draining: false,
             spot: false,
             versions: vec![(MODELS[i % MODELS.len()].into(), 1)],
@@ -28,7 +31,7 @@
     fleet
 }
 
-fn want(text: usize) -> SlotRequest {
+fn slot_request(text: usize) -> SlotRequest {
     let model = MODELS[text % MODELS.len()];
     SlotRequest {
         service: "engines".into(),
@@ -38,40 +41,41 @@
     }
 }
 
-/// All places are taken and texts wait; one place comes free and is given.
-fn places(c: &mut Criterion) {
+/// All slots are taken and texts wait; then one slot becomes free and is assigned, either at the
+/// given replica or by a search of the whole fleet.
+fn bench_slot_assignment(c: &mut Criterion) {
     let mut group = c.benchmark_group("place");
     for (replicas, texts) in [(30, 500), (300, 5_000), (3_000, 20_000)] {
-        for (way, alone) in [("offered", true), ("looked_for", false)] {
-            let mut fleet = fleet(replicas);
+        for (name, is_replica_known) in [("offered", true), ("looked_for", false)] {
+            let mut fleet = new_fleet(replicas);
             let mut waiting: SlotQueue<usize> = SlotQueue::default();
-            (0..texts).for_each(|i| waiting.add((1, 0, i as u64), want(i), i));
+            (0..texts).for_each(|i| waiting.add((1, 0, i as u64), slot_request(i), i));
             let mut now = Duration::from_secs(100);
             for i in 0..replicas {
                 let id = format!("r{i:05}");
-                (0..SLOTS).for_each(|_| fleet.start_attempt(&id, now));
+                (0..SLOTS_PER_REPLICA).for_each(|_| fleet.start_attempt(&id, now));
             }
-            let mut turn = texts as u64;
-            let id = BenchmarkId::new(way, format!("{replicas}_replicas_{texts}_texts"));
+            let mut sequence = texts as u64;
+            let id = BenchmarkId::new(name, format!("{replicas}_replicas_{texts}_texts"));
             group.bench_function(id, |b| {
                 b.iter(|| {
                     now += Duration::from_millis(1);
-                    let replica = format!("r{:05}", turn as usize % replicas);
+                    let replica = format!("r{:05}", sequence as usize % replicas);
                     fleet.end_attempt(&replica, None, ReplicaOutcome::Abandoned, now);
                     fleet.report_load(
                         &replica,
-                        ReplicaLoad { running: SLOTS - 1, waiting: 0 },
+                        ReplicaLoad { running: SLOTS_PER_REPLICA - 1, waiting: 0 },
                         now,
                     );
-                    let given = if alone {
+                    let assigned = if is_replica_known {
                         waiting.assign_at(&replica, &mut fleet, now)
                     } else {
                         waiting.assign_all(&mut fleet, now)
                     };
-                    assert_eq!(given.len(), 1);
-                    turn += 1;
-                    for (text, _) in given {
-                        waiting.add((1, 0, turn), want(text), text);
+                    assert_eq!(assigned.len(), 1);
+                    sequence += 1;
+                    for (text, _) in assigned {
+                        waiting.add((1, 0, sequence), slot_request(text), text);
                     }
                 });
             });
@@ -80,5 +84,5 @@
     group.finish();
 }
 
-criterion_group!(benches, places);
+criterion_group!(benches, bench_slot_assignment);
 criterion_main!(benches);
--- a/standins/src/bin/bundle-bench.rs
+++ b/standins/src/bin/bundle-bench.rs
@@ -1,5 +1,6 @@
-//! Time from the platform's acceptance of a bundle until it is in force at all nodes,
-//! with nodes and platform in one process over loopback. CSV on standard output.
+//! Measures the time from the acceptance of a bundle by the platform until it is in force at
+//! all nodes. Nodes and platform run in one process and communicate over loopback. The results
+//! are printed as CSV.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -8,19 +9,19 @@
 use standins::engine::EngineSettings;
 use standins::fleet::{Fleet, FleetError, bundle};
 
-/// Pause between looks at the nodes: the resolution of the figures.
-const POLL: Duration = Duration::from_millis(1);
-/// Pause between two changes.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Interval between two checks of the nodes, and so the resolution of the times.
+const POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Pause between two bundles.
+const BUNDLE_PAUSE: Duration = Duration::from_millis(200);
 
-/// Measures how fast bundles come into force.
+/// Measures how fast bundles come into force at all nodes.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
-    /// Numbers of nodes.
+    /// Fleet sizes, in nodes.
     #[arg(long, value_delimiter = ',', default_value = "7,24,64")]
     nodes: Vec<usize>,
-    /// Changes that are measured at each.
+    /// Bundles applied at each size.
     #[arg(long, default_value_t = 20)]
     changes: u64,
 }
@@ -42,19 +43,19 @@
     println!("nodes,changes,median_ms,longest_ms,platform_calls_per_change");
     for nodes in &args.nodes {
         let fleet = Fleet::spawn(*nodes, 1, EngineSettings::default()).await?;
-        tokio::time::sleep(PAUSE).await;
-        let before: u64 = calls(&fleet);
+        tokio::time::sleep(BUNDLE_PAUSE).await;
+        let before: u64 = bundle_calls(&fleet);
         let mut times = Vec::new();
         for number in 2..2 + args.changes {
             fleet.apply(number, &bundle(number, 1)).await?;
             let accepted = Instant::now();
             while fleet.nodes.iter().any(|n| n.bundle_number() < number) {
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
             times.push(accepted.elapsed());
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(BUNDLE_PAUSE).await;
         }
-        let calls = (calls(&fleet) - before) as f64 / args.changes as f64;
+        let calls = (bundle_calls(&fleet) - before) as f64 / args.changes as f64;
         times.sort();
         let median = times.get(times.len() / 2).copied().unwrap_or_default();
         let longest = times.last().copied().unwrap_or_default();
@@ -68,8 +69,8 @@
     Ok(())
 }
 
-/// Calls for the bundle so far: reads, writes and watches.
-fn calls(fleet: &Fleet) -> u64 {
+/// The number of platform calls so far that read, write or watch the bundle.
+fn bundle_calls(fleet: &Fleet) -> u64 {
     let calls = fleet.platform.calls();
     ["/v3/kv/range", "/v3/kv/txn", "/v3/watch"].iter().filter_map(|path| calls.get(*path)).sum()
 }
--- a/standins/src/bin/claims-bench.rs
+++ b/standins/src/bin/claims-bench.rs
@@ -1,4 +1,4 @@
-//! Measures claims: the journal alone, then whole nodes on loopback.
+//! Measures claims, first with the claim journal alone, then with complete nodes over loopback.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -17,36 +17,36 @@
 use standins::fleet::Fleet;
 use standins::platform::Faults;
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// Largest time that the histogram records.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Measures claims.
+/// Measures the throughput and latency of claims.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
-    /// Seconds for each number of nodes.
+    /// Length of the measurement of each fleet size, in seconds.
     #[arg(long, default_value_t = 4)]
     seconds: u64,
-    /// Numbers of nodes.
+    /// Fleet sizes, in nodes.
     #[arg(long, value_delimiter = ',', default_values_t = [1, 3, 7])]
     nodes: Vec<usize>,
-    /// Calls in flight together.
+    /// Calls in flight at the same time.
     #[arg(long, default_value_t = 128)]
     callers: usize,
-    /// Extra time of each answer of the platform, in milliseconds.
+    /// Additional latency of each platform response, in milliseconds.
     #[arg(long, default_value_t = 2)]
     platform_ms: u64,
 }
 
-type Failure = Box<dyn std::error::Error + Send + Sync>;
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
 #[tokio::main]
 #[allow(clippy::print_stdout, clippy::print_stderr)]
 async fn main() -> ExitCode {
     let args = Args::parse();
-    journal();
+    measure_journal();
     for nodes in &args.nodes {
-        if let Err(e) = fleet(&args, *nodes).await {
+        if let Err(e) = measure_fleet(&args, *nodes).await {
             eprintln!("claims-bench: {e}");
             return ExitCode::FAILURE;
         }
@@ -54,25 +54,26 @@
     ExitCode::SUCCESS
 }
 
-fn ask(number: u64) -> ClaimRequest {
+fn claim_request(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
     ClaimRequest { key, fingerprint: number, nonce: number, runner: "node-0".into() }
 }
 
-/// One partition without I/O: 2 claims a millisecond, a platform that answers at once.
+/// Measures one partition without I/O, with 2 claims per millisecond and a platform that
+/// responds at once.
 #[allow(clippy::print_stdout)]
-fn journal() {
-    const CLAIMS: u64 = 100_000;
+fn measure_journal() {
+    const CLAIM_COUNT: u64 = 100_000;
     let mut journal = ClaimJournal::new("node-0".into(), 1_000_000, 1);
     let (mut revision, mut swaps, mut bytes, mut granted, mut number) = (0, 0_u64, 0, 0_u64, 0);
-    let before = resident();
+    let before = resident_bytes();
     let start = Instant::now();
     let mut now = Duration::ZERO;
-    while granted < CLAIMS {
+    while granted < CLAIM_COUNT {
         now += Duration::from_millis(1);
         for _ in 0..2 {
             number += 1;
-            journal.request(ask(number), now);
+            journal.request(claim_request(number), now);
         }
         journal.tick(now);
         loop {
@@ -104,67 +105,69 @@
         took.as_secs_f64() * 1e6 / granted as f64,
         granted as f64 / swaps as f64,
         bytes as u64 / granted,
-        resident().saturating_sub(before) / granted,
+        resident_bytes().saturating_sub(before) / granted,
     );
 }
 
-/// Resident bytes of this process.
-fn resident() -> u64 {
+/// The resident memory of this process, in bytes, for pages of 4,096 bytes.
+fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text.split(' ').nth(1).and_then(|p| p.parse().ok()).unwrap_or_default();
     pages * 4_096
 }
 
+/// Measures calls with an idempotency key to a fleet of so many nodes.
 #[allow(clippy::print_stdout)]
-async fn fleet(args: &Args, nodes: usize) -> Result<(), Failure> {
+async fn measure_fleet(args: &Args, nodes: usize) -> Result<(), BoxError> {
     let fleet = Fleet::spawn(nodes, 0, EngineSettings::default()).await?;
     fleet.platform.set_faults(Faults { slow_ms: args.platform_ms, ..Faults::default() });
     let callers = fleet.callers();
     let stop = Instant::now() + Duration::from_secs(args.seconds);
     let number = Arc::new(AtomicU64::new(0));
-    let times = Arc::new(Mutex::new(Histogram::<u64>::new_with_max(LONGEST, 3)?));
-    let before = writes(&fleet);
-    let one = |index: usize| {
+    let times = Arc::new(Mutex::new(Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3)?));
+    let before = write_count(&fleet);
+    let call_until_stop = |index: usize| {
         let (number, times) = (number.clone(), times.clone());
         let node = callers[index % callers.len()];
         async move {
-            let (mut good, mut other) = (0_u64, 0_u64);
+            let (mut answered, mut failed) = (0_u64, 0_u64);
             while Instant::now() < stop {
                 let key = number.fetch_add(1, Ordering::Relaxed).to_string();
                 let start = Instant::now();
                 match send(node, "/sync/count", Some(&key), &key).await {
                     Ok(answer) if answer.status.is_success() => {
-                        good += 1;
+                        answered += 1;
                         times.lock().saturating_record(start.elapsed().as_micros() as u64);
                     }
-                    Ok(_) | Err(_) => other += 1,
+                    Ok(_) | Err(_) => failed += 1,
                 }
             }
-            (good, other)
+            (answered, failed)
         }
     };
-    let tasks: Vec<_> = (0..args.callers).map(|i| tokio::spawn(one(i))).collect();
-    let (mut good, mut other) = (0, 0);
+    let tasks: Vec<_> = (0..args.callers).map(|i| tokio::spawn(call_until_stop(i))).collect();
+    let (mut answered, mut failed) = (0, 0);
     for task in tasks {
-        let (g, o) = task.await?;
-        good += g;
-        other += o;
+        let (task_answered, task_failed) = task.await?;
+        answered += task_answered;
+        failed += task_failed;
     }
     let seconds = args.seconds as f64;
     let runs: usize = fleet.sync.iter().map(|p| p.ledger().len()).sum();
     let times = times.lock();
     println!(
         "{nodes} nodes, {} callers: {:.0} calls/s, {:.0} platform writes/s, p50 {:.1} ms, \
-         p99 {:.1} ms, {other} refused, {good} answered, {runs} runs",
+         p99 {:.1} ms, {failed} refused, {answered} answered, {runs} runs",
         args.callers,
-        good as f64 / seconds,
-        (writes(&fleet) - before) as f64 / seconds,
+        answered as f64 / seconds,
+        (write_count(&fleet) - before) as f64 / seconds,
         times.value_at_quantile(0.5) as f64 / 1e3,
         times.value_at_quantile(0.99) as f64 / 1e3,
     );
     Ok(())
 }
 
-fn writes(fleet: &Fleet) -> u64 {
+/// The number of write transactions that the platform has served.
+fn write_count(fleet: &Fleet) -> u64 {
     fleet.platform.calls().get("/v3/kv/txn").copied().unwrap_or_default()
 }
--- a/standins/src/bin/members-bench.rs
+++ b/standins/src/bin/members-bench.rs
@@ -1,9 +1,9 @@
-//! Cost and speed of the membership decisions: tables that hand each other their
-//! messages, without a network, at several fleet sizes. CSV on standard output.
+//! Measures the cost and speed of gossip membership at several fleet sizes. The member tables
+//! exchange their messages without a network. The results are printed as CSV.
 //!
-//! Bytes are those of the encoded messages that one node sends in a second,
-//! requests and replies, with [`FRAMING`] for each. Processor time is what one
-//! table takes for rounds, encoding and decoding, in a single thread.
+//! Bytes are those of the encoded requests and replies that one node sends in a second, with
+//! [`FRAMING_BYTES`] added for each. Processor time is what one table takes for its rounds,
+//! including encoding and decoding, in a single thread.
 
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -12,22 +12,22 @@
 use mulberrycourse::decide::members::{Gossip, MemberRecord, MemberTable, NodeState};
 use mulberrycourse::edge::peer::{CodecError, NodeLocation, NodeRequest, decode, encode};
 
-/// Time between two rounds, as in the daemon.
-const ROUND: Duration = Duration::from_millis(500);
-/// Targets in a round, as in the daemon.
+/// Interval between two gossip rounds, as in the daemon.
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
+/// Gossip targets in a round, as in the daemon.
 const FANOUT: usize = 2;
-/// Bytes of a message besides its content: HTTP/2 frames and indexed headers
-/// (about 40) and TCP over IPv4 (52).
-const FRAMING: usize = 92;
+/// Bytes that a message takes besides its content: about 40 for HTTP/2 frames and indexed
+/// headers, and 52 for TCP over IPv4.
+const FRAMING_BYTES: usize = 92;
 
 /// Measures membership at several fleet sizes.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
-    /// Fleet sizes.
+    /// Fleet sizes, in nodes.
     #[arg(long, value_delimiter = ',', default_value = "7,64,380,1024")]
     sizes: Vec<usize>,
-    /// Rounds that are measured.
+    /// Number of measured rounds.
     #[arg(long, default_value_t = 120)]
     rounds: u32,
     /// Seed of the random choices.
@@ -37,9 +37,10 @@
 
 type Table = MemberTable<NodeLocation>;
 
-/// The tables, and what their messages cost.
-struct Run {
+/// A fleet of member tables, with the cost of their messages.
+struct GossipRun {
     tables: Vec<Table>,
+    /// The table that has stopped, if any.
     dead: Option<usize>,
     now: Duration,
     messages: u64,
@@ -65,7 +66,7 @@
          oldest_beat_ms,draining_known_ms,failure_known_ms"
     );
     for size in &args.sizes {
-        let mut run = Run::new(*size, args.seed);
+        let mut run = GossipRun::new(*size, args.seed);
         for _ in 0..args.rounds {
             run.round()?;
         }
@@ -74,20 +75,20 @@
         let mut oldest = Duration::ZERO;
         for _ in 0..args.rounds {
             run.round()?;
-            oldest = oldest.max(run.oldest());
+            oldest = oldest.max(run.max_heartbeat_age());
         }
         let cost = started.elapsed();
         let nodes = *size as f64;
-        let seconds = ROUND.as_secs_f64() * f64::from(args.rounds);
+        let seconds = ROUND_INTERVAL.as_secs_f64() * f64::from(args.rounds);
         let per = |total: u64| total as f64 / nodes / seconds;
         let (messages, bytes) = (per(run.messages), per(run.bytes));
-        let draining = run.draining()?;
-        let failure = run.failure()?;
+        let draining = run.draining_delay()?;
+        let failure = run.failure_delay()?;
         println!(
             "{size},{},{messages:.1},{bytes:.0},{:.0},{},{},{},{}",
             args.rounds,
             cost.as_secs_f64() * 1e6 / nodes / seconds,
-            run.state()?,
+            run.state_bytes()?,
             oldest.as_millis(),
             draining.as_millis(),
             failure.as_millis(),
@@ -96,10 +97,10 @@
     Ok(())
 }
 
-impl Run {
-    /// Tables that all know each other.
+impl GossipRun {
+    /// Creates tables that all know each other.
     fn new(size: usize, seed: u64) -> Self {
-        let all: Vec<MemberRecord<NodeLocation>> = (0..size).map(news).collect();
+        let all: Vec<MemberRecord<NodeLocation>> = (0..size).map(member).collect();
         let now = Duration::from_secs(1);
         let table = |(index, own): (usize, &MemberRecord<NodeLocation>)| {
             let mut table = MemberTable::new(own.clone(), seed.wrapping_add(index as u64));
@@ -112,15 +113,16 @@
         Self { tables, dead: None, now, messages: 0, bytes: 0 }
     }
 
+    /// Runs one gossip round of every live table.
     fn round(&mut self) -> Result<(), CodecError> {
-        self.now += ROUND;
+        self.now += ROUND_INTERVAL;
         for index in 0..self.tables.len() {
             if self.dead == Some(index) {
                 continue;
             }
             self.tables[index].begin_round(self.now);
             for target in self.tables[index].gossip_targets(FANOUT, self.now) {
-                let to = number(&target);
+                let to = node_index(&target);
                 if self.dead == Some(to) {
                     self.tables[index].report_unreachable(&target, self.now);
                 } else {
@@ -131,33 +133,39 @@
         Ok(())
     }
 
+    /// Sends a gossip message from one table to another, and the reply back.
     fn exchange(&mut self, from: usize, to: usize) -> Result<(), CodecError> {
         let message = self.tables[from].next_message(&[]);
         let wanted = message.wanted.clone();
-        let message = self.sent(message)?;
+        let message = self.transmit(message)?;
         self.tables[to].receive(message, self.now);
         let reply = self.tables[to].next_message(&wanted);
-        let reply = self.sent(reply)?;
+        let reply = self.transmit(reply)?;
         self.tables[from].receive(reply, self.now);
         Ok(())
     }
 
-    fn sent(&mut self, message: Gossip<NodeLocation>) -> Result<Gossip<NodeLocation>, CodecError> {
+    /// Encodes and decodes a message, and counts it.
+    fn transmit(
+        &mut self,
+        message: Gossip<NodeLocation>,
+    ) -> Result<Gossip<NodeLocation>, CodecError> {
         let bytes = encode(&NodeRequest::Gossip(message))?;
         self.messages += 1;
-        self.bytes += (bytes.len() + FRAMING) as u64;
+        self.bytes += (bytes.len() + FRAMING_BYTES) as u64;
         match decode(&bytes)? {
             NodeRequest::Gossip(message) => Ok(message),
-            other => unreachable!("a gossip decodes as one, not as {other:?}"),
+            other => unreachable!("an encoded gossip message was decoded as {other:?}"),
         }
     }
 
-    fn oldest(&self) -> Duration {
+    /// The largest heartbeat age in any table.
+    fn max_heartbeat_age(&self) -> Duration {
         self.tables.iter().map(|t| t.max_heartbeat_age(self.now)).max().unwrap_or_default()
     }
 
-    /// Until all know that a node drains, by rounds alone.
-    fn draining(&mut self) -> Result<Duration, CodecError> {
+    /// Returns the time until all tables know that a node drains, through gossip rounds alone.
+    fn draining_delay(&mut self) -> Result<Duration, CodecError> {
         let since = self.now;
         self.tables[0].set_state(NodeState::Draining);
         let name = self.tables[0].own().name.clone();
@@ -168,8 +176,8 @@
         Ok(self.now - since)
     }
 
-    /// Until all count a dead node as failed.
-    fn failure(&mut self) -> Result<Duration, CodecError> {
+    /// Returns the time until all tables consider a dead node failed.
+    fn failure_delay(&mut self) -> Result<Duration, CodecError> {
         let since = self.now;
         let dead = self.tables.len() - 1;
         self.dead = Some(dead);
@@ -181,14 +189,14 @@
         Ok(self.now - since)
     }
 
-    /// The encoded table of one node, in bytes.
-    fn state(&self) -> Result<usize, CodecError> {
-        let all: Vec<_> = self.tables[0].view(self.now).map(|(news, _)| news).collect();
+    /// The size of the encoded table of one node.
+    fn state_bytes(&self) -> Result<usize, CodecError> {
+        let all: Vec<_> = self.tables[0].view(self.now).map(|(member, _)| member).collect();
         Ok(encode(&all)?.len())
     }
 }
 
-fn news(index: usize) -> MemberRecord<NodeLocation> {
+fn member(index: usize) -> MemberRecord<NodeLocation> {
     let zones = ["gloshaugen", "elgeseter", "heimdal"];
     let octet = (index % 250 + 1) as u8;
     let address = |port| ([10, (index / 250) as u8, 1, octet], port).into();
@@ -208,6 +216,6 @@
     }
 }
 
-fn number(name: &str) -> usize {
+fn node_index(name: &str) -> usize {
     name.trim_start_matches("node-").parse().unwrap_or_default()
 }
--- a/standins/src/bin/standin.rs
+++ b/standins/src/bin/standin.rs
@@ -1,4 +1,4 @@
-//! One stand-in as a process of its own.
+//! Runs a single stand-in as a separate process.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -16,8 +16,8 @@
 use standins::trainer;
 use standins::weights::WeightStore;
 
-/// How long a caller waits.
-const WAIT: Duration = Duration::from_secs(10);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A stand-in for one of the systems around mulberrycourse.
 #[derive(Debug, Parser)]
@@ -29,70 +29,70 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// The platform: key-value service and list of VMs.
+    /// The platform, with the key-value service and the list of VMs.
     Platform {
-        /// Where it listens.
+        /// Address to listen on.
         listen: SocketAddr,
-        /// The upstream VMs in its list, as SERVICE=ADDRESS; may be given several times.
+        /// Upstream VM in the list, as SERVICE=ADDRESS; may be given several times.
         #[arg(long)]
-        vm: Vec<Listed>,
+        vm: Vec<VmArg>,
     },
-    /// A caller: makes one call and prints the answer.
+    /// A caller, which makes one call and prints the answer.
     Call {
-        /// Its name in the bundle.
+        /// Name in the bundle.
         name: Name,
-        /// Nodes to ask first.
+        /// Nodes to contact first.
         #[arg(long, required = true, value_delimiter = ',')]
         nodes: Vec<SocketAddr>,
-        /// The service; a model is asked for a completion of the path.
+        /// Service to call; a model service is asked for a completion of the path.
         service: String,
-        /// The path.
+        /// Path of the call, or prompt of the completion.
         path: String,
-        /// The idempotency key.
+        /// Idempotency key of the call.
         #[arg(long)]
         key: Option<String>,
     },
     /// A model engine.
     Engine {
-        /// Where it listens.
+        /// Address to listen on.
         listen: SocketAddr,
-        /// The weight version that it starts with.
+        /// Weight version at the start.
         #[arg(long, default_value_t = 1)]
         version: u64,
-        /// The weight store.
+        /// Address of the weight store.
         #[arg(long)]
         store: Option<SocketAddr>,
-        /// Take orders with an old fencing number too.
+        /// Accept orders with an outdated fencing token.
         #[arg(long)]
         unfenced: bool,
-        /// Milliseconds for a token.
+        /// Time per token, in milliseconds.
         #[arg(long, default_value_t = 5)]
         token_ms: u64,
     },
     /// A plain service.
     Plain {
-        /// Where it listens.
+        /// Address to listen on.
         listen: SocketAddr,
     },
     /// A weight store.
     Weights {
-        /// Where it listens.
+        /// Address to listen on.
         listen: SocketAddr,
-        /// Versions that it hands out in a second.
+        /// Versions served per second.
         #[arg(long, default_value_t = 4.0)]
         rate: f64,
     },
-    /// A trainer: runs some steps and prints what it counted.
+    /// A trainer, which runs some steps and prints its counts.
     Trainer {
-        /// Its name in the bundle.
+        /// Name in the bundle.
         name: Name,
-        /// Nodes to ask first.
+        /// Nodes to contact first.
         #[arg(long, required = true, value_delimiter = ',')]
         nodes: Vec<SocketAddr>,
-        /// Its version at the first step.
+        /// Weight version of the first step.
         #[arg(long, default_value_t = 1)]
         first: u64,
-        /// How many steps.
+        /// Number of steps.
         #[arg(long, default_value_t = 1)]
         steps: u64,
         /// Groups in a step.
@@ -104,16 +104,16 @@
     },
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-/// An upstream VM on the command line.
+/// An upstream VM that is given on the command line.
 #[derive(Debug, Clone)]
-struct Listed {
+struct VmArg {
     service: Name,
     address: SocketAddr,
 }
 
-impl std::str::FromStr for Listed {
+impl std::str::FromStr for VmArg {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -123,9 +123,10 @@
     }
 }
 
-fn vms(listed: &[Listed]) -> Vec<Vm> {
+/// Numbers the VMs and distributes them over three availability zones.
+fn vms(listed: &[VmArg]) -> Vec<Vm> {
     let zones = ["gloshaugen", "elgeseter", "heimdal"];
-    let vm = |(index, Listed { service, address }): (usize, &Listed)| Vm {
+    let vm = |(index, VmArg { service, address }): (usize, &VmArg)| Vm {
         name: format!("{service}-{index}").into(),
         service: service.clone(),
         zone: zones[index % zones.len()].into(),
@@ -148,7 +149,7 @@
     }
 }
 
-async fn run(command: Command) -> Result<(), Failure> {
+async fn run(command: Command) -> Result<(), BoxError> {
     match command {
         Command::Platform { listen, vm } => {
             let platform = Platform::bind(listen).await?;
@@ -177,10 +178,10 @@
         Command::Call { name, nodes, service, path, key } => {
             let caller = CallerClient::new(name, nodes);
             let answer = match service.as_str() {
-                "patter" => caller.stream(&completion(&path, 1, 24), WAIT).await?,
-                plain => caller.call(plain, &path, "", key.as_deref(), WAIT).await?,
+                "patter" => caller.stream(&completion(&path, 1, 24), CALL_TIMEOUT).await?,
+                plain => caller.call(plain, &path, "", key.as_deref(), CALL_TIMEOUT).await?,
             };
-            say(&answer);
+            print_answer(&answer);
             Ok(())
         }
         Command::Trainer { name, nodes, first, steps, groups, samples } => {
@@ -188,27 +189,27 @@
             let client = TrainerClient::new(name, nodes);
             let train = Duration::from_millis(100);
             let tally = trainer::run(&client, first, steps, &prompt, groups, train).await?;
-            print(&tally);
+            print_tally(&tally);
             Ok(())
         }
     }
 }
 
-/// Says where it listens, and serves until the process is ended.
+/// Prints the address, and serves until the process is interrupted.
 #[allow(clippy::print_stdout)]
-async fn serve(address: SocketAddr) -> Result<(), Failure> {
+async fn serve(address: SocketAddr) -> Result<(), BoxError> {
     println!("listening on {address}");
     tokio::signal::ctrl_c().await?;
     Ok(())
 }
 
 #[allow(clippy::print_stdout)]
-fn say(answer: &CallerResponse) {
+fn print_answer(answer: &CallerResponse) {
     println!("{} {}", answer.status.as_u16(), String::from_utf8_lossy(&answer.body));
 }
 
 #[allow(clippy::print_stdout)]
-fn print(tally: &trainer::Tally) {
+fn print_tally(tally: &trainer::Tally) {
     println!(
         "steps {} samples {} missing {} doubled {} staleness {} idle {:?} of {:?}",
         tally.steps,
--- a/standins/src/bin/training-bench.rs
+++ b/standins/src/bin/training-bench.rs
@@ -1,4 +1,5 @@
-//! Measures the decisions of training on virtual time: weight rollout and stragglers.
+//! Simulates weight rollouts and the sample order of training steps, on virtual time. The results
+//! are printed as CSV.
 #![allow(clippy::print_stdout)]
 
 use std::time::{Duration, Instant};
@@ -9,42 +10,44 @@
 use rand::{Rng, SeedableRng};
 use standins::rollout::{TICK, World};
 
-/// Measures the decisions of training.
+/// Simulates weight rollouts and training steps.
 #[derive(Debug, Parser)]
 struct Args {
     #[command(subcommand)]
-    what: What,
+    command: Command,
 }
 
 #[derive(Debug, Subcommand)]
-enum What {
-    /// New weights on all engines: how long, how many at once, at which rate.
+enum Command {
+    /// Rollout of new weights to all engines: duration, concurrent swaps and load rate.
     Rollout {
-        /// Engines.
+        /// Number of engines.
         #[arg(long, default_value_t = 1_100)]
         engines: usize,
-        /// Nodes.
+        /// Number of nodes.
         #[arg(long, default_value_t = 380)]
         nodes: usize,
-        /// Time of one swap, in milliseconds.
+        /// Duration of one swap, in milliseconds.
         #[arg(long, default_value_t = 5_000)]
         swap_ms: u64,
-        /// Versions a second that the weight store hands out.
+        /// Versions that the weight store serves per second.
         #[arg(long, default_value_t = 400)]
         loads: u32,
     },
-    /// The time of a step and the lengths of its samples, by policy.
+    /// Duration of a step and lengths of its samples, by policy.
     Stragglers {
-        /// Seeds.
+        /// Number of seeds.
         #[arg(long, default_value_t = 20)]
         seeds: u64,
     },
 }
 
 fn main() {
-    match Args::parse().what {
-        What::Rollout { engines, nodes, swap_ms, loads } => rollout(engines, nodes, swap_ms, loads),
-        What::Stragglers { seeds } => stragglers(seeds),
+    match Args::parse().command {
+        Command::Rollout { engines, nodes, swap_ms, loads } => {
+            rollout(engines, nodes, swap_ms, loads)
+        }
+        Command::Stragglers { seeds } => stragglers(seeds),
     }
 }
 
@@ -78,121 +81,130 @@
     }
 }
 
-/// What is begun first, and what is kept.
+/// Which samples start first, and which are kept.
 #[derive(Debug, Clone, Copy)]
 enum Policy {
-    /// Samples in the order of their numbers; all are kept.
+    /// Samples start in the order of their numbers; all are kept.
     Number,
-    /// Longest prompts first; all are kept.
+    /// Samples with the largest token limit start first; all are kept.
     Longest,
-    /// Two more a group than are wanted, in the order of their numbers; the first are kept.
+    /// Each group has two surplus samples, which start in the order of their numbers; the samples
+    /// that finish first are kept.
     Surplus,
 }
 
-/// Groups in a step, samples in a group, places at engines.
-const GROUPS: u32 = 256;
-const SAMPLES: u32 = 8;
-const PLACES: usize = 256;
+/// Groups in a step.
+const GROUP_COUNT: u32 = 256;
+/// Samples that are kept of each group.
+const SAMPLES_PER_GROUP: u32 = 8;
+/// Samples that the engines can run at the same time.
+const ENGINE_SLOTS: usize = 256;
 
+/// The result of a step.
 #[derive(Debug, Default)]
-struct Outcome {
-    time: f64,
-    mean: f64,
-    long: f64,
-    wasted: f64,
+struct StepResult {
+    /// Duration, in token times.
+    duration: f64,
+    /// Mean length of the kept samples, in tokens.
+    mean_tokens: f64,
+    /// 90% quantile of the length of the kept samples, in tokens.
+    p90_tokens: f64,
+    /// Share of the tokens that belong to discarded samples, in percent.
+    wasted_percent: f64,
 }
 
 fn stragglers(seeds: u64) {
     println!("policy,step_time,mean_tokens,p90_tokens,wasted_tokens_percent");
     for policy in [Policy::Number, Policy::Longest, Policy::Surplus] {
-        let mut sum = Outcome::default();
+        let mut sum = StepResult::default();
         for seed in 0..seeds {
-            let one = step(policy, seed);
-            sum.time += one.time;
-            sum.mean += one.mean;
-            sum.long += one.long;
-            sum.wasted += one.wasted;
+            let result = run_step(policy, seed);
+            sum.duration += result.duration;
+            sum.mean_tokens += result.mean_tokens;
+            sum.p90_tokens += result.p90_tokens;
+            sum.wasted_percent += result.wasted_percent;
         }
         let n = seeds as f64;
         println!(
             "{policy:?},{:.0},{:.1},{:.1},{:.1}",
-            sum.time / n,
-            sum.mean / n,
-            sum.long / n,
-            sum.wasted / n
+            sum.duration / n,
+            sum.mean_tokens / n,
+            sum.p90_tokens / n,
+            sum.wasted_percent / n
         );
     }
 }
 
-/// Runs one step: a place takes one token time for each token.
-fn step(policy: Policy, seed: u64) -> Outcome {
+/// Simulates one step. A slot makes one token per token time.
+fn run_step(policy: Policy, seed: u64) -> StepResult {
     let mut rng = SmallRng::seed_from_u64(seed);
     let surplus = match policy {
         Policy::Number | Policy::Longest => 0,
         Policy::Surplus => 2,
     };
-    // Prompts of four kinds: most are short, one in sixteen is long.
+    // Token limits of four kinds. They are meant to be short for most prompts and long for one in
+    // sixteen, but this draw takes the last limit for nine in sixteen.
     let limits = [256, 256, 512, 512, 512, 1_024, 1_024, 4_096];
     let prompt = |rng: &mut SmallRng| {
         let max_tokens = limits[rng.random_range(0..limits.len() * 2).min(limits.len() - 1)];
-        GroupSpec { prompt: String::new(), samples: SAMPLES + surplus, max_tokens }
+        GroupSpec { prompt: String::new(), samples: SAMPLES_PER_GROUP + surplus, max_tokens }
     };
-    let prompts: Vec<GroupSpec> = (0..GROUPS).map(|_| prompt(&mut rng)).collect();
+    let prompts: Vec<GroupSpec> = (0..GROUP_COUNT).map(|_| prompt(&mut rng)).collect();
     let lengths: Vec<Vec<u32>> = prompts
         .iter()
-        .map(|p| (0..p.samples).map(|_| length(&mut rng, p.max_tokens)).collect())
+        .map(|p| (0..p.samples).map(|_| sample_length(&mut rng, p.max_tokens)).collect())
         .collect();
-    let mut queue = begin(policy, prompts);
-    let mut places: Vec<(u64, Slot)> = Vec::new();
+    let mut queue = start_order(policy, prompts);
+    let mut running: Vec<(u64, Slot)> = Vec::new();
     let mut kept: Vec<u32> = Vec::new();
-    let mut of_group = vec![0; GROUPS as usize];
-    let (mut now, mut wasted, mut time) = (0, 0_u64, 0);
+    let mut kept_by_group = vec![0; GROUP_COUNT as usize];
+    let (mut now, mut wasted, mut duration) = (0, 0_u64, 0);
     loop {
-        while places.len() < PLACES
+        while running.len() < ENGINE_SLOTS
             && let Some(slot) = queue.pop()
         {
-            if of_group[slot.group as usize] < SAMPLES {
+            if kept_by_group[slot.group as usize] < SAMPLES_PER_GROUP {
                 let tokens = lengths[slot.group as usize][slot.index as usize];
-                places.push((now + u64::from(tokens), slot));
+                running.push((now + u64::from(tokens), slot));
             }
         }
-        let Some(first) = (0..places.len()).min_by_key(|i| places[*i].0) else { break };
-        let (at, slot) = places.swap_remove(first);
+        let Some(first) = (0..running.len()).min_by_key(|i| running[*i].0) else { break };
+        let (at, slot) = running.swap_remove(first);
         now = at;
         let group = slot.group as usize;
         kept.push(lengths[group][slot.index as usize]);
-        of_group[group] += 1;
-        time = now;
-        if of_group[group] == SAMPLES {
-            let left = |(end, s): &(u64, Slot)| (s.group == slot.group).then_some(*end);
-            let cut = |end: u64, s: &Slot| {
+        kept_by_group[group] += 1;
+        duration = now;
+        if kept_by_group[group] == SAMPLES_PER_GROUP {
+            let same_group = |(end, s): &(u64, Slot)| (s.group == slot.group).then_some(*end);
+            let tokens_made = |end: u64, s: &Slot| {
                 u64::from(lengths[group][s.index as usize]) - (end - now).min(end)
             };
-            wasted += places
+            wasted += running
                 .iter()
-                .filter(|p| left(p).is_some())
-                .map(|(end, s)| cut(*end, s))
+                .filter(|p| same_group(p).is_some())
+                .map(|(end, s)| tokens_made(*end, s))
                 .sum::<u64>();
-            places.retain(|p| left(p).is_none());
+            running.retain(|p| same_group(p).is_none());
         }
     }
     kept.sort_unstable();
     let total: u64 = kept.iter().map(|t| u64::from(*t)).sum();
-    Outcome {
-        time: time as f64,
-        mean: total as f64 / kept.len() as f64,
-        long: f64::from(kept[kept.len() * 9 / 10]),
-        wasted: 100.0 * wasted as f64 / (total + wasted) as f64,
+    StepResult {
+        duration: duration as f64,
+        mean_tokens: total as f64 / kept.len() as f64,
+        p90_tokens: f64::from(kept[kept.len() * 9 / 10]),
+        wasted_percent: 100.0 * wasted as f64 / (total + wasted) as f64,
     }
 }
 
-/// Between a quarter of the most tokens and all of them.
-fn length(rng: &mut SmallRng, most: u32) -> u32 {
-    rng.random_range(most / 4..=most)
+/// Draws the length of a sample between a quarter of the token limit and the limit.
+fn sample_length(rng: &mut SmallRng, max_tokens: u32) -> u32 {
+    rng.random_range(max_tokens / 4..=max_tokens)
 }
 
-/// The slots, the first to begin last.
-fn begin(policy: Policy, prompts: Vec<GroupSpec>) -> Vec<Slot> {
+/// Returns the samples in reverse order of their start.
+fn start_order(policy: Policy, prompts: Vec<GroupSpec>) -> Vec<Slot> {
     let mut slots = match policy {
         Policy::Longest => Step::new(StepSpec { version: 1, groups: prompts }, 1).start(usize::MAX),
         Policy::Number | Policy::Surplus => {
--- a/standins/src/experiment/arrivals.rs
+++ b/standins/src/experiment/arrivals.rs
@@ -25,7 +25,8 @@
         let capacity = profile.capacity() * self.upstreams.len() as f64;
         let prefill = if spec.prefix_count > 0 { profile.prefill } else { 0.0 };
         let work = f64::from(spec.mean_cost) * self.mean_work_ratio() + prefill;
-        // A flow without load is checked again after 1 s, because its factor may change.
+        // A flow without load must be checked again later, because its factor may change. For a
+        // rate of 0, `Exp` samples infinity, so the next check is after 1e6 s.
         let gap = Exp::new(load * capacity / work).map_or(1.0, |e| e.sample(&mut self.rng));
         let at = self.now + Duration::from_secs_f64(gap.min(1e6));
         self.schedule(at, Event::Arrive(flow));
@@ -83,6 +84,7 @@
         actions.samples.into_iter().for_each(|sample| self.submit_sample(trainer, sample));
     }
 
+    /// Submits a request to the policy and schedules its deadline.
     fn submit(&mut self, source: Source, call: Call, work: f64, counted: bool) {
         let deadline = call.deadline;
         let ticket = self.policy.submit(call.clone(), self.now);
@@ -95,8 +97,8 @@
         (self.scenario.warmup..self.scenario.length).contains(&self.now)
     }
 
-    /// Draws the expected cost and the actual work of a request. The expected cost of
-    /// a plain call is always 1.
+    /// Draws the expected cost and the actual work of a request. The expected cost of a
+    /// plain call is always 1.
     fn draw_size(&mut self, mean: u32) -> (u32, f64) {
         if !self.scenario.uses_engines {
             let work = Exp::new(1.0).map_or(1.0, |e| e.sample(&mut self.rng));
@@ -107,6 +109,7 @@
         (cost.ceil() as u32, work)
     }
 
+    /// Mean ratio of the work of a request to its mean cost, without prefill.
     fn mean_work_ratio(&self) -> f64 {
         if self.scenario.uses_engines { (MIN_WORK_RATIO + 1.0) / 2.0 } else { 1.0 }
     }
--- a/standins/src/experiment/event.rs
+++ b/standins/src/experiment/event.rs
@@ -56,6 +56,7 @@
 }
 
 impl OrderedOutcome {
+    /// The same outcome as an [`AttemptOutcome`].
     pub(super) fn outcome(self) -> AttemptOutcome {
         match self {
             Self::Answered => AttemptOutcome::Answered,
@@ -93,11 +94,12 @@
     pub(super) upstream: Option<usize>,
     /// Units of work that upstreams have done on the request.
     pub(super) spent: f64,
-    /// How many attempts upstreams have run, in full or in part.
+    /// The number of attempts that upstreams have run, in full or until a crash.
     pub(super) runs: u32,
 }
 
 impl PendingRequest {
+    /// A request before its first attempt.
     pub(super) fn new(
         source: Source,
         call: Call,
--- a/standins/src/experiment/faults.rs
+++ b/standins/src/experiment/faults.rs
@@ -81,10 +81,11 @@
         }
     }
 
+    /// The indices of the upstreams that a change affects.
     fn affected_upstreams(&self, change: &Change) -> Vec<usize> {
-        let zone = |i: usize, zone: usize| *self.views[i].zone == *format!("zone{zone}");
+        let is_in_zone = |i: usize, zone: usize| *self.views[i].zone == *format!("zone{zone}");
         match change.zone {
-            Some(wanted) => (0..self.upstreams.len()).filter(|i| zone(*i, wanted)).collect(),
+            Some(wanted) => (0..self.upstreams.len()).filter(|i| is_in_zone(*i, wanted)).collect(),
             None => (0..change.upstreams.min(self.upstreams.len())).collect(),
         }
     }
--- a/standins/src/experiment/naive.rs
+++ b/standins/src/experiment/naive.rs
@@ -13,9 +13,11 @@
 /// Naive counterpart of `Dispatch`, which results are compared with.
 #[derive(Debug, Default)]
 pub struct NaiveDispatch {
+    /// The upstreams that accept requests.
     upstreams: Vec<Name>,
     /// Requests sent so far, which selects the next upstream.
     sent_count: usize,
+    /// The number of attempts of each pending request.
     attempts: SlotMap<Ticket, u32>,
     actions: Vec<DispatchAction>,
 }
@@ -53,6 +55,7 @@
         std::mem::take(&mut self.actions)
     }
 
+    /// Sends an attempt to the next upstream, or refuses the request after the last attempt.
     fn send(&mut self, ticket: Ticket) {
         let Some(attempts) = self.attempts.get_mut(ticket) else { return };
         if *attempts == MAX_ATTEMPTS || self.upstreams.is_empty() {
--- a/standins/src/experiment/simulation.rs
+++ b/standins/src/experiment/simulation.rs
@@ -122,7 +122,7 @@
         self.schedule(LOAD_REPORT_INTERVAL, Event::LoadReports);
     }
 
-    /// Handles events until no request that arrived in time can still be pending.
+    /// Handles events until the last request of a flow has reached its deadline.
     fn run_events(&mut self) {
         let max_deadline = self.scenario.flows.iter().map(|f| f.deadline).max().unwrap_or_default();
         let end = self.scenario.length + max_deadline;
@@ -136,6 +136,7 @@
         }
     }
 
+    /// Handles one event at the current time.
     fn handle_event(&mut self, event: Event) {
         let now = self.now;
         match event {
@@ -356,8 +357,8 @@
         }
     }
 
-    /// Samples can take minutes, so whether they count depends on when they end, not on when they
-    /// were submitted.
+    /// Sets whether the results include a sample. Samples can take minutes, so that depends on
+    /// when they end, not on when they were submitted.
     fn update_counted(&self, request: &mut PendingRequest) {
         if let Source::Trainer { .. } = request.source {
             request.counted = self.is_measuring();
@@ -403,6 +404,7 @@
         }
     }
 
+    /// Returns the results after the last event.
     fn into_result(self) -> RunResult {
         let end = self.scenario.length;
         let profile = self.scenario.profile();
--- a/standins/src/experiment/trainer.rs
+++ b/standins/src/experiment/trainer.rs
@@ -16,6 +16,7 @@
 #[derive(Debug)]
 pub(super) struct TrainerModel {
     pub(super) flow: TrainerFlow,
+    /// The start of the measured time.
     warmup: Duration,
     /// The step whose samples are collected. It equals the version of the weights, except
     /// while the trainer trains.
@@ -25,6 +26,7 @@
     training_since: Option<Moment>,
     /// Samples of the step that have been started.
     started: u32,
+    /// Samples that have been received, of all steps.
     received: HashSet<SampleId>,
     steps_done: u32,
     /// Time spent training, after the warm-up.
@@ -106,6 +108,7 @@
         actions
     }
 
+    /// Returns the result of the time from the warm-up to `end`.
     pub(super) fn result(&self, end: Moment) -> TrainerResult {
         let running = self
             .training_since
--- a/standins/src/experiment/upstream.rs
+++ b/standins/src/experiment/upstream.rs
@@ -78,12 +78,14 @@
     /// Running attempts in the order of their finish, which is stored as the bits of an `f64`.
     finish_order: BTreeSet<(u64, AttemptKey)>,
     running: HashMap<AttemptKey, Running>,
+    /// Waiting attempts with their units of work.
     waiting: VecDeque<(AttemptKey, f64)>,
+    /// Cached prompt prefixes, with the most recently used one last.
     prefixes: VecDeque<u64>,
 }
 
 impl SimulatedUpstream {
-    /// An idle upstream.
+    /// Creates an idle upstream.
     pub fn new(profile: UpstreamProfile) -> Self {
         Self {
             profile,
@@ -203,6 +205,7 @@
         self.profile.rate * share.min(1.0) / self.slowdown
     }
 
+    /// Starts waiting attempts while the batch has room.
     fn start_waiting(&mut self) {
         while self.running.len() < self.profile.batch {
             let Some((attempt, work)) = self.waiting.pop_front() else { return };
