--- a/tests/claims/parts.rs
+++ b/tests/claims/components.rs
@@ -1,4 +1,4 @@
-//! Commit timing, the ring of segments, retention, and the runner's memory.
+//! Commit intervals, the segments of the journal, retention, and the memory that a runner uses.
 
 use std::time::Duration;
 
@@ -9,6 +9,7 @@
 };
 use mulberrycourse::error::{Kind, RunStatus};
 
+/// Returns a request for a claim that is different for each number.
 fn request(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
     ClaimRequest { key, fingerprint: 1, nonce: number, runner: "n0".into() }
@@ -18,24 +19,26 @@
     Duration::from_millis(ms)
 }
 
-/// A journal with a platform that answers immediately, and counts of what they did.
-struct Quick {
+/// A journal with a platform that answers immediately, and counts of the writes and the decisions.
+struct JournalHarness {
     journal: ClaimJournal,
     revision: u64,
     head: Option<(mulberrycourse::decide::claim::PartitionHead, u64)>,
     segments: Vec<Segment>,
     swaps: u64,
     granted: u64,
+    /// Decisions other than a grant.
     refused: u64,
 }
 
-impl Quick {
+impl JournalHarness {
     fn new(seed: u64) -> Self {
         let journal = ClaimJournal::new("n0".into(), 1_000_000, seed);
         let (head, segments) = (None, vec![]);
         Self { journal, revision: 0, head, segments, swaps: 0, granted: 0, refused: 0 }
     }
 
+    /// Ticks the journal and performs its actions, until there are none left.
     fn run(&mut self, now: Duration) {
         self.journal.tick(now);
         loop {
@@ -71,22 +74,23 @@
     }
 }
 
-/// In a burst, thousands of claims in two seconds share at most one write in 80 ms, and none waits
-/// longer than allowed. Afterwards a new owner that reads the segments knows all of them.
+/// Thousands of claims in two seconds cause at most one write in 80 ms, and none times out.
+/// Afterwards a new owner that reads the segments knows all of them.
 #[test]
-fn burst_shares_writes_and_is_read_back() {
-    let mut quick = Quick::new(1);
+fn many_claims_share_writes_and_are_read_back() {
+    let mut harness = JournalHarness::new(1);
     for tick in 0..2_000 {
-        quick.journal.request(request(2 * tick), ms(tick));
-        quick.journal.request(request(2 * tick + 1), ms(tick));
-        quick.run(ms(tick));
+        harness.journal.request(request(2 * tick), ms(tick));
+        harness.journal.request(request(2 * tick + 1), ms(tick));
+        harness.run(ms(tick));
     }
-    quick.run(ms(2_200));
-    assert_eq!((quick.granted, quick.refused), (4_000, 0));
-    assert!(quick.swaps <= 1 + 2_200 / 80 + 1, "{} writes", quick.swaps);
-    assert!(quick.segments.iter().all(|s| s.entries.len() <= MAX_SEGMENT_ENTRIES));
+    harness.run(ms(2_200));
+    assert_eq!((harness.granted, harness.refused), (4_000, 0));
+    assert!(harness.swaps <= 1 + 2_200 / 80 + 1, "{} writes", harness.swaps);
+    assert!(harness.segments.iter().all(|s| s.entries.len() <= MAX_SEGMENT_ENTRIES));
 
-    let mut successor = Quick { journal: ClaimJournal::new("n1".into(), 1_000_000, 9), ..quick };
+    let mut successor =
+        JournalHarness { journal: ClaimJournal::new("n1".into(), 1_000_000, 9), ..harness };
     (successor.granted, successor.refused) = (0, 0);
     successor.journal.request(request(7), ms(3_000));
     successor.run(ms(3_000));
@@ -96,18 +100,19 @@
 
 /// A single claim is committed within a few milliseconds, not after the commit interval.
 #[test]
-fn single_claim_hardly_waits() {
-    let mut quick = Quick::new(1);
-    quick.journal.request(request(1), ms(1_000));
-    quick.run(ms(1_000));
-    assert_eq!(quick.journal.next_tick(), Some(ms(1_003)));
-    quick.run(ms(1_003));
-    assert_eq!(quick.granted, 1);
+fn single_claim_skips_the_commit_interval() {
+    let mut harness = JournalHarness::new(1);
+    harness.journal.request(request(1), ms(1_000));
+    harness.run(ms(1_000));
+    assert_eq!(harness.journal.next_tick(), Some(ms(1_003)));
+    harness.run(ms(1_003));
+    assert_eq!(harness.granted, 1);
 }
 
-/// With a slow platform, each request is refused in time, and the queue stays bounded.
+/// While the platform does not answer, each request is refused within a second, so at most 1,000
+/// wait at one request per millisecond.
 #[test]
-fn slow_platform_refuses_in_time() {
+fn claims_without_platform_replies_are_refused_in_time() {
     let mut journal = ClaimJournal::new("n0".into(), 0, 1);
     let mut refused = 0;
     for now in 0..3_000 {
@@ -116,22 +121,22 @@
         let replies =
             journal.take_actions().into_iter().filter(|s| matches!(s, JournalAction::Reply { .. }));
         refused += replies.count() as u64;
-        assert!(now + 1 - refused <= 1_000, "{} wait at {now}", now + 1 - refused);
+        assert!(now + 1 - refused <= 1_000, "{} requests wait at {now} ms", now + 1 - refused);
     }
 }
 
-/// Requests that are given up before or during their commit get an answer too, so that nothing is
+/// Requests that are given up before or during their commit get a decision too, so that nothing is
 /// left waiting at the owner.
 #[test]
-fn every_request_is_answered() {
+fn every_request_gets_a_decision() {
     let mut journal = ClaimJournal::new("n0".into(), 0, 1);
-    let mut open = 0_i64;
+    let mut undecided = 0_i64;
     for now in 0..400 {
-        let one = request(now);
-        journal.request(one.clone(), ms(now));
-        open += 1;
+        let claim = request(now);
+        journal.request(claim.clone(), ms(now));
+        undecided += 1;
         if now % 3 == 0 {
-            journal.call_ended(one.key, one.nonce, ClaimOutcome::NotRun, ms(now));
+            journal.call_ended(claim.key, claim.nonce, ClaimOutcome::NotRun, ms(now));
         }
         journal.tick(ms(now));
         for action in journal.take_actions() {
@@ -141,7 +146,7 @@
                 JournalAction::Swap { expected, .. } => {
                     journal.swap_completed(SwapResult::Done(expected + 1), ms(now));
                 }
-                JournalAction::Reply { .. } => open -= 1,
+                JournalAction::Reply { .. } => undecided -= 1,
             }
         }
     }
@@ -149,21 +154,21 @@
         journal.tick(ms(now));
         journal.take_actions()
     }) {
-        open -= i64::from(matches!(action, JournalAction::Reply { .. }));
+        undecided -= i64::from(matches!(action, JournalAction::Reply { .. }));
     }
-    assert_eq!(open, 0);
+    assert_eq!(undecided, 0);
 }
 
 /// Claims are kept for as long as callers may retry, and are removed afterwards.
 #[test]
-fn retention() {
+fn claims_expire_after_the_retention() {
     let mut index = ClaimIndex::default();
     index.apply(0, &JournalEntry::Claim { request: request(1), claimed_at: 1_000 });
     index.apply(1, &JournalEntry::Claim { request: request(2), claimed_at: 2_000 });
-    let kept = CLAIM_RETENTION.as_secs();
-    assert_eq!(index.expire(0, 2, 1_000 + kept), 0);
+    let retention_s = CLAIM_RETENTION.as_secs();
+    assert_eq!(index.expire(0, 2, 1_000 + retention_s), 0);
     assert_eq!(index.len(), 2);
-    assert_eq!(index.expire(0, 2, 1_000 + kept + 600), 1);
+    assert_eq!(index.expire(0, 2, 1_000 + retention_s + 600), 1);
     assert_eq!(index.len(), 1);
     assert!(index.get(request(2).key).is_some());
 }
@@ -171,13 +176,13 @@
 /// Many large answers: the memory of the runner stays bounded, attempts whose answer was dropped
 /// are still known as run, and no ended attempt can be granted again.
 #[test]
-fn answers_are_bounded() {
+fn memory_of_cached_answers_is_bounded() {
     let mut attempts = Attempts::default();
     for nonce in 0..20_000 {
         attempts.claim_requested(nonce);
         assert!(attempts.claim_granted(nonce));
-        let kept = CachedAnswer { status: 200, content_type: None, body: vec![0; 100 << 10] };
-        attempts.ran(nonce, kept, ms(nonce));
+        let cached = CachedAnswer { status: 200, content_type: None, body: vec![0; 100 << 10] };
+        attempts.ran(nonce, cached, ms(nonce));
         assert!(attempts.bytes() <= 8 << 20);
         assert!(!attempts.claim_granted(nonce));
     }
@@ -192,7 +197,7 @@
 /// Two callers that choose the same key have separate claims. When a node leaves, only its own
 /// partitions get another owner.
 #[test]
-fn keys_and_owners() {
+fn keys_are_per_caller_and_owners_are_stable() {
     let shop = ClaimKey::new("sync", "shop", "1");
     assert_ne!(shop, ClaimKey::new("sync", "payroll", "1"));
     assert_ne!(ClaimKey::new("sync", "a", "bc"), ClaimKey::new("sync", "ab", "c"));
@@ -205,10 +210,10 @@
     assert_eq!(partition_owner(0, []), None);
 }
 
-/// Of the refusals of claims, only those that were not recorded or name another content report
-/// "not run".
+/// Of the refusals of claims, only those of a claim that was not recorded and of a key that is used
+/// with another body report "not run".
 #[test]
-fn only_unrecorded_claims_are_not_run() {
+fn only_unrecorded_claims_report_not_run() {
     let run = |kind: Kind| kind.answer().run;
     assert_eq!(run(Kind::ClaimUnavailable), RunStatus::NotRun);
     assert_eq!(run(Kind::KeyReused), RunStatus::NotRun);
--- a/tests/claims/golden.rs
+++ b/tests/claims/golden.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Event {
-    Ask {
+    Request {
         key: String,
         body: u64,
         nonce: u64,
@@ -26,30 +26,37 @@
     },
     /// The platform answers the read of the head.
     HeadRead,
+    /// The read of the head fails.
     HeadUnread,
+    /// The platform answers the read of the segments.
     SegmentsRead,
-    /// The platform executes the last swap, and answers.
+    /// The platform executes the latest swap, and answers.
     SwapDone,
-    /// The platform executes the last swap, and the answer is lost.
+    /// The platform executes the latest swap, and the reply is lost.
     SwapLost,
+    /// The latest swap is not sent.
     SwapUnsent,
-    /// Another node seals the partition in the meantime.
+    /// Another node takes over the partition.
     Sealed {
         by: String,
     },
+    /// Only time passes.
     Tick,
 }
 
+/// The partition as the platform stores it.
 #[derive(Debug, Default)]
 struct Platform {
     head: Option<(PartitionHead, u64)>,
     segments: Vec<Segment>,
+    /// The latest swap that the journal requested: expected revision, head and full segment.
     swap_request: Option<(u64, PartitionHead, Option<Segment>)>,
 }
 
 impl Platform {
+    /// Executes the latest swap.
     fn swap(&mut self) -> SwapResult {
-        let (expected, head, segment) = self.swap_request.clone().expect("a swap was asked for");
+        let (expected, head, segment) = self.swap_request.clone().expect("a swap was requested");
         let current = self.head.as_ref().map_or(0, |(_, revision)| *revision);
         if current != expected {
             return SwapResult::Conflict(self.head.clone());
@@ -64,12 +71,13 @@
     ClaimKey::new("sync", "shop", key)
 }
 
+/// Passes an event to the journal and ticks it.
 fn handle(journal: &mut ClaimJournal, platform: &mut Platform, event: Event, now: Duration) {
     match event {
-        Event::Ask { key: name, body, nonce, runner } => {
-            let ask =
+        Event::Request { key: name, body, nonce, runner } => {
+            let request =
                 ClaimRequest { key: key(&name), fingerprint: body, nonce, runner: runner.into() };
-            journal.request(ask, now);
+            journal.request(request, now);
         }
         Event::Ended { key: name, nonce, end } => {
             journal.call_ended(key(&name), nonce, end, now);
@@ -78,8 +86,8 @@
         Event::HeadUnread => journal.head_read(Err(()), now),
         Event::SegmentsRead => journal.segments_read(Ok(platform.segments.clone()), now),
         Event::SwapDone => {
-            let ended = platform.swap();
-            journal.swap_completed(ended, now);
+            let result = platform.swap();
+            journal.swap_completed(result, now);
         }
         Event::SwapLost => {
             platform.swap();
@@ -97,8 +105,8 @@
     journal.tick(now);
 }
 
-/// One line for each action, without the nonces of commits, which are random.
-fn line(action: &JournalAction) -> String {
+/// Returns the line for an action, without the nonces of commits, which are random.
+fn format_action(action: &JournalAction) -> String {
     let entry = |e: &JournalEntry| match e {
         JournalEntry::Claim { request, .. } => {
             format!("claim {:?} by {} #{}", request.key, request.runner, request.nonce)
@@ -122,20 +130,21 @@
     }
 }
 
-/// A partition that is opened, loses a reply, has an outage, a repeated call and a released key,
-/// and is fenced by a new owner in the end.
+/// The owner of a partition opens it, misses the reply to a commit, decides about repeated calls and
+/// a released key, goes through an outage of the platform, is fenced by a new owner and takes the
+/// partition over again.
 #[test]
 fn session() {
-    let recorded = include_str!("session.json");
-    let events: Vec<(u64, Event)> = serde_json::from_str(recorded).expect("the record parses");
+    let json = include_str!("session.json");
+    let events: Vec<(u64, Event)> = serde_json::from_str(json).expect("the record parses");
     let mut journal = ClaimJournal::new("n0".into(), 1_000_000, 1);
     let mut platform = Platform::default();
     let mut text = String::new();
-    for (at, event) in events {
-        let _ = writeln!(text, "{at} ms {event:?}");
-        handle(&mut journal, &mut platform, event, Duration::from_millis(at));
+    for (at_ms, event) in events {
+        let _ = writeln!(text, "{at_ms} ms {event:?}");
+        handle(&mut journal, &mut platform, event, Duration::from_millis(at_ms));
         for action in journal.take_actions() {
-            let _ = writeln!(text, "    {}", line(&action));
+            let _ = writeln!(text, "    {}", format_action(&action));
             if let JournalAction::Swap { expected, head, segment } = action {
                 platform.swap_request = Some((expected, head, segment));
             }
--- a/tests/claims/world.rs
+++ b/tests/claims/world.rs
@@ -1,4 +1,5 @@
-//! A simulation of nodes, requesters and a platform, with a naive map that checks them.
+//! A simulation of three nodes, each of them owner and requester of claims, and of the platform. A
+//! map from key to outcome checks every decision.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -12,45 +13,56 @@
 
 use crate::answer;
 
-/// What happens to a call to the platform.
+/// How a call to the platform ends.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fate {
     /// It is executed and answered.
-    Good,
+    Answered,
     /// It is executed, and the reply is lost.
-    Lost,
-    /// It is refused.
+    ReplyLost,
+    /// It is not executed, and the sender learns that.
     Unsent,
-    /// It is lost on the way.
-    Vanished,
-    /// The sender gives up; the call may arrive later.
+    /// It is lost on the way, and never executed.
+    RequestLost,
+    /// The sender gives up. The call may be executed later.
     Delayed,
-    /// The answer comes from a replica that lags by this many writes.
-    Lagging(usize),
+    /// It is executed, but what it reads comes from a replica that lags by this many writes.
+    Stale(usize),
 }
 
-/// The final result of a caller's call.
+/// What a caller gets for its call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CallResult {
-    Ran,
+    /// The claim was granted, and the call runs.
+    Granted,
+    /// The answer of an earlier call that had this body.
     Answer(u8),
-    Reused,
+    /// Refused: the key was used with another body.
+    KeyReused,
+    /// Refused: the outcome of the earlier call is unknown.
     Unknown,
+    /// Refused: the earlier call ran, and its answer is no longer cached.
     AlreadyRan,
+    /// Refused: the earlier call still runs.
     InProgress,
+    /// Refused: no decision was made.
     Unavailable,
 }
 
+/// A call of a caller, with the node that requests its claim and the node that it considers the
+/// owner.
 #[derive(Debug, Clone)]
-struct Session {
+struct Call {
     node: usize,
     owner: usize,
     key: u8,
     body: u8,
     nonce: u64,
-    hops: u32,
+    /// How many times the claim was requested.
+    attempts: u32,
 }
 
+/// A node: the journal by which it owns keys, and the calls that it runs.
 #[derive(Debug)]
 struct Node {
     journal: ClaimJournal,
@@ -58,25 +70,34 @@
     paused: bool,
 }
 
-/// The naive model: a map from key to body and outcome; no outcome while the call may run.
-type Naive = BTreeMap<u8, (u8, Option<ClaimOutcome>)>;
+/// The model that decisions are compared with: the body and the outcome of each key. There is no
+/// outcome while the call may run.
+type Model = BTreeMap<u8, (u8, Option<ClaimOutcome>)>;
 
+/// The simulated nodes and platform, on virtual time.
 #[derive(Debug)]
 pub(crate) struct World {
     now: Duration,
     nodes: Vec<Node>,
-    calls: Vec<(usize, JournalAction)>,
-    late: Vec<JournalAction>,
+    /// The calls to the platform in progress, with the node that sent each.
+    platform_calls: Vec<(usize, JournalAction)>,
+    /// Calls to the platform whose sender gave up, and that may still be executed.
+    delayed: Vec<JournalAction>,
     /// Every head so far, with its revision.
     heads: Vec<(PartitionHead, u64)>,
     segments: HashMap<u64, Segment>,
-    sessions: Vec<Session>,
-    running: Vec<Session>,
-    naive: Naive,
-    asked: Vec<(u8, u8)>,
+    /// The calls that wait for a decision.
+    waiting: Vec<Call>,
+    /// The calls that were granted and have not ended.
+    running: Vec<Call>,
+    model: Model,
+    /// The key and the body of every call so far.
+    submitted: Vec<(u8, u8)>,
+    /// The key and the result of every call that has one.
     results: Vec<(u8, CallResult)>,
-    next: u64,
-    pub(crate) wrong: Vec<String>,
+    last_nonce: u64,
+    /// The decisions that contradict the model.
+    pub(crate) violations: Vec<String>,
 }
 
 fn name(index: usize) -> Name {
@@ -97,124 +118,131 @@
         Self {
             now: Duration::ZERO,
             nodes: (0..3).map(node).collect(),
-            calls: vec![],
-            late: vec![],
+            platform_calls: vec![],
+            delayed: vec![],
             heads: vec![],
             segments: HashMap::new(),
-            sessions: vec![],
+            waiting: vec![],
             running: vec![],
-            naive: BTreeMap::new(),
-            asked: vec![],
+            model: BTreeMap::new(),
+            submitted: vec![],
             results: vec![],
-            next: 0,
-            wrong: vec![],
+            last_nonce: 0,
+            violations: vec![],
         }
     }
 
-    /// The result of the last call under a key.
+    /// Returns the result of the latest call with a key.
     pub(crate) fn result(&self, key: u8) -> Option<CallResult> {
         self.results.iter().rev().find(|(k, _)| *k == key).map(|(_, result)| result.clone())
     }
 
+    /// A caller sends a call to `node`, which considers `owner` the owner of the key.
     pub(crate) fn call(&mut self, node: usize, owner: usize, key: u8, body: u8) {
         if self.nodes[node].paused {
             return;
         }
-        self.asked.push((key, body));
-        self.send(Session { node, owner, key, body, nonce: 0, hops: 0 });
+        self.submitted.push((key, body));
+        self.request_claim(Call { node, owner, key, body, nonce: 0, attempts: 0 });
         self.run();
     }
 
-    pub(crate) fn pass(&mut self, ms: u64) {
+    /// Lets this many milliseconds pass.
+    pub(crate) fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
         self.run();
     }
 
-    pub(crate) fn pause(&mut self, node: usize) {
+    /// Pauses a node, or resumes it.
+    pub(crate) fn toggle_pause(&mut self, node: usize) {
         self.nodes[node].paused = !self.nodes[node].paused;
         self.run();
     }
 
+    /// Restarts a node with empty memory. Its calls are lost.
     pub(crate) fn restart(&mut self, node: usize) {
-        self.next += 1;
-        let journal = ClaimJournal::new(name(node), 1_000_000, 1_000 + self.next);
+        self.last_nonce += 1;
+        let journal = ClaimJournal::new(name(node), 1_000_000, 1_000 + self.last_nonce);
         self.nodes[node] = Node { journal, attempts: Attempts::default(), paused: false };
-        self.sessions.retain(|s| s.node != node);
-        self.running.retain(|s| s.node != node);
-        // Calls of the old process may still arrive, and their replies are dropped.
-        let (gone, rest) =
-            std::mem::take(&mut self.calls).into_iter().partition(|(n, _)| *n == node);
-        self.calls = rest;
-        let gone: Vec<(usize, JournalAction)> = gone;
-        self.late.extend(gone.into_iter().map(|(_, step)| step));
+        self.waiting.retain(|c| c.node != node);
+        self.running.retain(|c| c.node != node);
+        // Platform calls of the old process may still be executed, and their replies are dropped.
+        let (orphaned, rest) =
+            std::mem::take(&mut self.platform_calls).into_iter().partition(|(n, _)| *n == node);
+        self.platform_calls = rest;
+        let orphaned: Vec<(usize, JournalAction)> = orphaned;
+        self.delayed.extend(orphaned.into_iter().map(|(_, action)| action));
     }
 
+    /// A requester gives up waiting for a decision.
     pub(crate) fn give_up(&mut self, which: usize) {
-        if self.sessions.is_empty() {
+        if self.waiting.is_empty() {
             return;
         }
-        let session = self.sessions.remove(which % self.sessions.len());
-        self.nodes[session.node].attempts.not_run(session.nonce, self.now);
-        self.record_result(&session, CallResult::Unavailable);
+        let call = self.waiting.remove(which % self.waiting.len());
+        self.nodes[call.node].attempts.not_run(call.nonce, self.now);
+        self.record_result(&call, CallResult::Unavailable);
     }
 
-    /// Ends a granted call: 0 ran, 1 did not run, else unknown.
+    /// Ends a granted call. `end` is 0 if it ran, 1 if it did not run and 2 if that is unknown.
     pub(crate) fn finish(&mut self, which: usize, end: u8) {
         if self.running.is_empty() {
             return;
         }
-        let session = self.running.remove(which % self.running.len());
+        let call = self.running.remove(which % self.running.len());
         let end =
             [ClaimOutcome::Ran, ClaimOutcome::NotRun, ClaimOutcome::Unknown][usize::from(end)];
-        self.naive.insert(session.key, (session.body, Some(end)));
-        let attempts = &mut self.nodes[session.node].attempts;
+        self.model.insert(call.key, (call.body, Some(end)));
+        let attempts = &mut self.nodes[call.node].attempts;
         match end {
             ClaimOutcome::Ran => {
-                let AttemptState::Ran(Some(kept)) = answer(session.body) else { unreachable!() };
-                attempts.ran(session.nonce, kept, self.now);
+                let AttemptState::Ran(Some(cached)) = answer(call.body) else { unreachable!() };
+                attempts.ran(call.nonce, cached, self.now);
             }
-            ClaimOutcome::NotRun => attempts.not_run(session.nonce, self.now),
-            ClaimOutcome::Unknown => attempts.unknown(session.nonce, self.now),
+            ClaimOutcome::NotRun => attempts.not_run(call.nonce, self.now),
+            ClaimOutcome::Unknown => attempts.unknown(call.nonce, self.now),
         }
-        let owner = &mut self.nodes[session.owner];
+        let owner = &mut self.nodes[call.owner];
         if !owner.paused {
-            owner.journal.call_ended(claim_key(session.key), session.nonce, end, self.now);
+            owner.journal.call_ended(claim_key(call.key), call.nonce, end, self.now);
         }
         self.run();
     }
 
-    pub(crate) fn platform(&mut self, which: usize, fate: Fate) {
-        let ready: Vec<usize> =
-            (0..self.calls.len()).filter(|i| !self.nodes[self.calls[*i].0].paused).collect();
+    /// Ends a call to the platform of a node that is not paused.
+    pub(crate) fn end_platform_call(&mut self, which: usize, fate: Fate) {
+        let ready: Vec<usize> = (0..self.platform_calls.len())
+            .filter(|i| !self.nodes[self.platform_calls[*i].0].paused)
+            .collect();
         if ready.is_empty() {
             return;
         }
-        let (node, step) = self.calls.remove(ready[which % ready.len()]);
-        match step {
+        let (node, action) = self.platform_calls.remove(ready[which % ready.len()]);
+        match action {
             JournalAction::Swap { .. } => {
-                let ended = self.swap(step, fate);
-                self.nodes[node].journal.swap_completed(ended, self.now);
+                let result = self.swap(action, fate);
+                self.nodes[node].journal.swap_completed(result, self.now);
             }
             JournalAction::ReadHead => {
-                let back = match fate {
-                    Fate::Good => Some(0),
-                    Fate::Lagging(back) => Some(back),
-                    Fate::Lost | Fate::Unsent | Fate::Vanished | Fate::Delayed => None,
+                let lag = match fate {
+                    Fate::Answered => Some(0),
+                    Fate::Stale(lag) => Some(lag),
+                    Fate::ReplyLost | Fate::Unsent | Fate::RequestLost | Fate::Delayed => None,
                 };
-                let read = back.map(|back| self.head(back)).ok_or(());
+                let read = lag.map(|lag| self.head(lag)).ok_or(());
                 self.nodes[node].journal.head_read(read, self.now);
             }
             JournalAction::ReadSegments(range) => {
                 let read = match fate {
-                    Fate::Good => {
+                    Fate::Answered => {
                         Ok(range.filter_map(|n| self.segments.get(&n).cloned()).collect())
                     }
                     // The last segment is missing.
-                    Fate::Lagging(_) => {
+                    Fate::Stale(_) => {
                         let range = range.start..range.end - 1;
                         Ok(range.filter_map(|n| self.segments.get(&n).cloned()).collect())
                     }
-                    Fate::Lost | Fate::Unsent | Fate::Vanished | Fate::Delayed => Err(()),
+                    Fate::ReplyLost | Fate::Unsent | Fate::RequestLost | Fate::Delayed => Err(()),
                 };
                 self.nodes[node].journal.segments_read(read, self.now);
             }
@@ -223,68 +251,69 @@
         self.run();
     }
 
-    pub(crate) fn late(&mut self, which: usize) {
-        if !self.late.is_empty() {
-            let step = self.late.remove(which % self.late.len());
-            self.apply(&step);
+    /// Executes a call to the platform whose sender gave up.
+    pub(crate) fn execute_delayed(&mut self, which: usize) {
+        if !self.delayed.is_empty() {
+            let action = self.delayed.remove(which % self.delayed.len());
+            self.apply(&action);
         }
     }
 
-    /// Ends all faults.
-    pub(crate) fn heal(&mut self) {
+    /// Ends all faults: resumes the nodes and completes everything, over more than 24 seconds.
+    pub(crate) fn recover(&mut self) {
         self.nodes.iter_mut().for_each(|n| n.paused = false);
         for _ in 0..4 {
-            self.quiet();
-            self.pass(6_000);
+            self.settle();
+            self.advance(6_000);
         }
-        self.quiet();
+        self.settle();
     }
 
     /// Completes everything without faults. Granted calls end as unknown.
-    pub(crate) fn quiet(&mut self) {
-        self.quiet_but_calls();
+    pub(crate) fn settle(&mut self) {
+        self.settle_except_granted();
         while !self.running.is_empty() {
             self.finish(0, 2);
         }
-        self.quiet_but_calls();
+        self.settle_except_granted();
     }
 
     /// Completes everything but granted calls, without faults.
-    pub(crate) fn quiet_but_calls(&mut self) {
+    pub(crate) fn settle_except_granted(&mut self) {
         for _ in 0..60 {
-            while !self.calls.is_empty() {
-                self.platform(0, Fate::Good);
+            while !self.platform_calls.is_empty() {
+                self.end_platform_call(0, Fate::Answered);
             }
-            self.pass(50);
+            self.advance(50);
         }
     }
 
-    fn swap(&mut self, step: JournalAction, fate: Fate) -> SwapResult {
+    fn swap(&mut self, action: JournalAction, fate: Fate) -> SwapResult {
         match fate {
-            Fate::Good => match self.apply(&step) {
+            Fate::Answered => match self.apply(&action) {
                 Some(revision) => SwapResult::Done(revision),
                 None => SwapResult::Conflict(self.head(0)),
             },
-            Fate::Lagging(back) => match self.apply(&step) {
+            Fate::Stale(lag) => match self.apply(&action) {
                 Some(revision) => SwapResult::Done(revision),
-                None => SwapResult::Conflict(self.head(back)),
+                None => SwapResult::Conflict(self.head(lag)),
             },
-            Fate::Lost => {
-                self.apply(&step);
+            Fate::ReplyLost => {
+                self.apply(&action);
                 SwapResult::Unknown
             }
             Fate::Unsent => SwapResult::Unsent,
-            Fate::Vanished => SwapResult::Unknown,
+            Fate::RequestLost => SwapResult::Unknown,
             Fate::Delayed => {
-                self.late.push(step);
+                self.delayed.push(action);
                 SwapResult::Unknown
             }
         }
     }
 
-    /// The transaction at the platform: returns the revision if the compare succeeded.
-    fn apply(&mut self, step: &JournalAction) -> Option<u64> {
-        let JournalAction::Swap { expected, head, segment } = step else { return None };
+    /// Executes a swap at the platform. Returns the new revision if the expected one was current.
+    fn apply(&mut self, action: &JournalAction) -> Option<u64> {
+        let JournalAction::Swap { expected, head, segment } = action else { return None };
         let current = self.heads.last().map_or(0, |(_, revision)| *revision);
         if current != *expected {
             return None;
@@ -296,23 +325,25 @@
         Some(current + 1)
     }
 
-    fn head(&self, back: usize) -> Option<(PartitionHead, u64)> {
-        self.heads.iter().rev().nth(back).cloned()
+    /// Returns the head before the latest `lag` writes.
+    fn head(&self, lag: usize) -> Option<(PartitionHead, u64)> {
+        self.heads.iter().rev().nth(lag).cloned()
     }
 
-    fn send(&mut self, mut session: Session) {
-        self.next += 1;
-        session.nonce = self.next;
-        session.hops += 1;
-        let (node, owner) = (session.node, session.owner);
-        self.nodes[node].attempts.claim_requested(session.nonce);
+    /// Requests the claim of a call from its owner.
+    fn request_claim(&mut self, mut call: Call) {
+        self.last_nonce += 1;
+        call.nonce = self.last_nonce;
+        call.attempts += 1;
+        let (node, owner) = (call.node, call.owner);
+        self.nodes[node].attempts.claim_requested(call.nonce);
         let request = ClaimRequest {
-            key: claim_key(session.key),
-            fingerprint: session.body.into(),
-            nonce: session.nonce,
+            key: claim_key(call.key),
+            fingerprint: call.body.into(),
+            nonce: call.nonce,
             runner: name(node),
         };
-        self.sessions.push(session);
+        self.waiting.push(call);
         if !self.nodes[owner].paused {
             self.nodes[owner].journal.request(request, self.now);
         }
@@ -324,13 +355,13 @@
             let mut replies = Vec::new();
             for (index, node) in self.nodes.iter_mut().enumerate().filter(|(_, n)| !n.paused) {
                 node.journal.tick(self.now);
-                for step in node.journal.take_actions() {
-                    match step {
+                for action in node.journal.take_actions() {
+                    match action {
                         JournalAction::Reply { nonce, decision } => replies.push((nonce, decision)),
                         JournalAction::ReadHead
                         | JournalAction::ReadSegments(_)
                         | JournalAction::Swap { .. } => {
-                            self.calls.push((index, step));
+                            self.platform_calls.push((index, action));
                         }
                     }
                 }
@@ -339,36 +370,37 @@
                 return;
             }
             for (nonce, decision) in replies {
-                self.decided(nonce, decision);
+                self.handle_decision(nonce, decision);
             }
         }
     }
 
-    fn decided(&mut self, nonce: u64, decision: ClaimDecision) {
-        let Some(index) = self.sessions.iter().position(|s| s.nonce == nonce) else { return };
-        let session = self.sessions.remove(index);
-        let runner = &mut self.nodes[session.node].attempts;
+    /// Handles the decision about a claim.
+    fn handle_decision(&mut self, nonce: u64, decision: ClaimDecision) {
+        let Some(index) = self.waiting.iter().position(|c| c.nonce == nonce) else { return };
+        let call = self.waiting.remove(index);
+        let runner = &mut self.nodes[call.node].attempts;
         if decision == ClaimDecision::Granted {
             assert!(runner.claim_granted(nonce));
-            self.grant(session);
+            self.grant(call);
             return;
         }
         runner.not_run(nonce, self.now);
         match decision {
             ClaimDecision::Granted => {}
             ClaimDecision::KeyReused => {
-                if self.asked.iter().all(|(k, b)| *k != session.key || *b == session.body) {
-                    self.wrong.push(format!("{session:?}: reported a reuse that did not happen"));
+                if self.submitted.iter().all(|(k, b)| *k != call.key || *b == call.body) {
+                    self.violations.push(format!("{call:?}: reported a reuse that did not happen"));
                 }
-                self.record_result(&session, CallResult::Reused);
+                self.record_result(&call, CallResult::KeyReused);
             }
-            ClaimDecision::Unavailable(_) => self.record_result(&session, CallResult::Unavailable),
-            ClaimDecision::Moved(_) | ClaimDecision::Held(_) if session.hops > 4 => {
-                self.record_result(&session, CallResult::Unavailable);
+            ClaimDecision::Unavailable(_) => self.record_result(&call, CallResult::Unavailable),
+            ClaimDecision::Moved(_) | ClaimDecision::Held(_) if call.attempts > 4 => {
+                self.record_result(&call, CallResult::Unavailable);
             }
             ClaimDecision::Moved(to) => {
                 let owner = (0..3).find(|n| name(*n) == to).unwrap();
-                self.send(Session { owner, ..session });
+                self.request_claim(Call { owner, ..call });
             }
             ClaimDecision::Held(holder) => {
                 let runner = (0..3).find(|n| name(*n) == holder.runner).unwrap();
@@ -379,12 +411,12 @@
                     None => RunnerStatus::Forgotten,
                 };
                 match resolve(&holder, status) {
-                    Resolution::Answer(kept) => self.answered(&session, kept.body[0]),
-                    Resolution::Refuse(refusal) => self.refused(&session, refusal.kind),
+                    Resolution::Answer(cached) => self.answered(&call, cached.body[0]),
+                    Resolution::Refuse(refusal) => self.refused(&call, refusal.kind),
                     Resolution::Release => {
-                        let owner = &mut self.nodes[session.owner];
+                        let owner = &mut self.nodes[call.owner];
                         if !owner.paused {
-                            let key = claim_key(session.key);
+                            let key = claim_key(call.key);
                             owner.journal.call_ended(
                                 key,
                                 holder.nonce,
@@ -392,48 +424,52 @@
                                 self.now,
                             );
                         }
-                        self.send(session);
+                        self.request_claim(call);
                     }
                 }
             }
         }
     }
 
-    fn grant(&mut self, session: Session) {
-        match self.naive.get(&session.key) {
+    /// Starts a granted call, and checks that no earlier one may have run.
+    fn grant(&mut self, call: Call) {
+        match self.model.get(&call.key) {
             None | Some((_, Some(ClaimOutcome::NotRun))) => {}
-            Some(held) => self.wrong.push(format!("{session:?} granted over {held:?}")),
+            Some(earlier) => {
+                self.violations.push(format!("{call:?} granted after {earlier:?}"));
+            }
         }
-        self.naive.insert(session.key, (session.body, None));
-        self.record_result(&session, CallResult::Ran);
-        self.running.push(session);
+        self.model.insert(call.key, (call.body, None));
+        self.record_result(&call, CallResult::Granted);
+        self.running.push(call);
     }
 
-    fn answered(&mut self, session: &Session, body: u8) {
-        if self.naive.get(&session.key) != Some(&(session.body, Some(ClaimOutcome::Ran))) {
-            self.wrong.push(format!("{session:?} got an answer that does not exist"));
+    /// Records an answer, and checks that an earlier call with the same body ran.
+    fn answered(&mut self, call: &Call, body: u8) {
+        if self.model.get(&call.key) != Some(&(call.body, Some(ClaimOutcome::Ran))) {
+            self.violations.push(format!("{call:?} got an answer that was not given"));
         }
-        self.record_result(session, CallResult::Answer(body));
+        self.record_result(call, CallResult::Answer(body));
     }
 
-    fn refused(&mut self, session: &Session, kind: Kind) {
+    /// Records a refusal, and checks that a call ran that is reported as run.
+    fn refused(&mut self, call: &Call, kind: Kind) {
         let result = match kind {
             Kind::OutcomeUnknown => CallResult::Unknown,
             Kind::InProgress => CallResult::InProgress,
             Kind::AlreadyRan => {
-                let ran =
-                    matches!(self.naive.get(&session.key), Some((_, Some(ClaimOutcome::Ran))));
+                let ran = matches!(self.model.get(&call.key), Some((_, Some(ClaimOutcome::Ran))));
                 if !ran {
-                    self.wrong.push(format!("{session:?} reported as already run"));
+                    self.violations.push(format!("{call:?} reported as already run"));
                 }
                 CallResult::AlreadyRan
             }
             other => panic!("unexpected refusal: {other}"),
         };
-        self.record_result(session, result);
+        self.record_result(call, result);
     }
 
-    fn record_result(&mut self, session: &Session, result: CallResult) {
-        self.results.push((session.key, result));
+    fn record_result(&mut self, call: &Call, result: CallResult) {
+        self.results.push((call.key, result));
     }
 }
