--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -126,7 +126,8 @@
 }
 
 /// Refused are a lower number, a forged sign-off, a sign-off of someone who is no operator, a
-/// bundle that does not parse, a bundle that does not exist, and any command while the platform is down.
+/// bundle that does not parse, a bundle that does not exist, and any command while the platform is
+/// down.
 #[tokio::test(flavor = "multi_thread")]
 async fn refusals_have_their_status() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
