--- a/standins/src/slope/fit.rs
+++ b/standins/src/slope/fit.rs
@@ -41,8 +41,8 @@
 const CONSTANT_TOLERANCE: f64 = 0.1;
 
 impl Fit {
-    /// Fits points of (size, cost). Returns `None` for fewer than two points.
-    pub fn fit(points: &[(f64, f64)]) -> Option<Self> {
+    /// Fits a cost to points of (size, cost). Returns `None` for fewer than two points.
+    pub fn from_points(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 2 {
             return None;
         }
--- a/standins/src/slope/page.rs
+++ b/standins/src/slope/page.rs
@@ -75,7 +75,7 @@
             found.map_or("-".to_owned(), |p| three_digits(p.1))
         };
         let cells: Vec<String> = sizes.iter().map(cell).collect();
-        let (law, slope, error, at) = match Fit::fit(points) {
+        let (law, slope, error, at) = match Fit::from_points(points) {
             None => ("-", "-".to_owned(), "-".to_owned(), "-".to_owned()),
             Some(fit) => (
                 fit.law.as_str(),
--- a/standins/tests/slope.rs
+++ b/standins/tests/slope.rs
@@ -5,7 +5,7 @@
 
 fn fit(cost: impl Fn(f64) -> f64) -> Fit {
     let points: Vec<(f64, f64)> = [4.0, 16.0, 48.0].iter().map(|x| (*x, cost(*x))).collect();
-    Fit::fit(&points).unwrap()
+    Fit::from_points(&points).unwrap()
 }
 
 #[test]
@@ -18,7 +18,7 @@
     let square = fit(|x| 2.0 * x * x);
     assert_eq!(square.law, GrowthLaw::Power);
     assert!((square.cost_at(380.0) - 288_800.0).abs() < 1.0 && square.relative_error < 1e-9);
-    assert!(Fit::fit(&[(4.0, 1.0)]).is_none());
+    assert!(Fit::from_points(&[(4.0, 1.0)]).is_none());
     // A bent cost is fitted by a line with an error that says so.
     assert!(fit(|x| 100.0 * x.sqrt()).relative_error > 0.01);
 }
