--- a/tests/entry/bulk.rs
+++ b/tests/entry/bulk.rs
@@ -32,14 +32,16 @@
     text
 }
 
-async fn fleet(world: &World) -> Vec<Node> {
-    let nodes = world.start_crowd(FLEET_SIZE);
+/// Starts the nodes, waits until they are ready and know each other, and limits their uplinks.
+async fn start_fleet(world: &World) -> Vec<Node> {
+    let nodes = world.start_large_fleet(FLEET_SIZE);
     wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
     sleep_ms(5_000).await;
     world.links.limit_rate(UPLINK_BYTES_PER_SECOND);
     nodes
 }
 
+/// Returns the version of the configuration that a node has, or 0 if it has none.
 fn version(app: &App) -> u64 {
     app.routes().map_or(0, |routes| routes.version)
 }
@@ -48,46 +50,47 @@
 /// route from two of 66 entry VMs, 3.2 s and 3.4 s after the change was confirmed.
 ///
 /// The configuration had 4,200 routes, 0.8 MB. Five nodes watch the store for the others, and 13 or
-/// more ask each of them at once, over a link of 60 Mbit/s. A reply had 1.4 s in total: nodes gave
-/// up shortly before its end and asked the next watcher for the whole reply, so the links stayed
-/// full. On such a day 252 replies were given up, 239 of them partly received with 123 MB, beside
-/// 111 MB that were needed. Processors were idle, watchers had the change after 0.3 s, and the last
-/// node had it 4.7 s later.
+/// more send requests to each of them at once, over a link of 60 Mbit/s. A reply had a timeout of
+/// 1.4 s in total: nodes gave up shortly before its end and requested the whole reply from the next
+/// watcher, so the links stayed saturated. On such a day 252 replies were given up; 239 of them
+/// were partly received, 123 MB in addition to the 111 MB that were needed. Processors were idle,
+/// watchers had the change after 0.3 s, and the last node had it 4.7 s later.
 #[tokio::test(start_paused = true)]
-async fn a_change_of_thousands_of_routes_is_in_force_in_time() {
+async fn a_change_of_thousands_of_routes_reaches_all_nodes_in_time() {
     let world = World::new();
-    let nodes = fleet(&world).await;
+    let nodes = start_fleet(&world).await;
     world.configure_with(2, &routes(4_200));
     tokio::time::sleep(CHANGE_DEADLINE).await;
-    check_change_in_force(&world, &nodes);
+    assert_change_in_force(&world, &nodes);
 }
 
-/// The same for text that does not compress, where it only helps that no reply is given up in
-/// transit. Nodes choose one of five watchers so unevenly that 20 may ask the same one.
+/// The same for text that does not compress, so that the change arrives in time only if no reply is
+/// given up in transit. Nodes choose one of five watchers so unevenly that 20 may choose the same
+/// one.
 #[tokio::test(start_paused = true)]
-async fn a_change_that_does_not_compress_is_not_given_up_in_transit() {
+async fn no_reply_with_incompressible_text_is_given_up() {
     let world = World::new();
-    let nodes = fleet(&world).await;
+    let nodes = start_fleet(&world).await;
     let mut random = SmallRng::seed_from_u64(7_027);
     let text: String = (0..400_000).map(|_| random.random_range(' '..'\u{7ff}')).collect();
     world.configure_with(2, &text);
     tokio::time::sleep(CHANGE_DEADLINE * 3 / 2).await;
-    check_change_in_force(&world, &nodes);
-    assert_eq!(world.links.given_up(), Vec::<u64>::new());
+    assert_change_in_force(&world, &nodes);
+    assert_eq!(world.links.given_up_bytes(), Vec::<u64>::new());
 }
 
-/// Asserts that every node has the change.
-fn check_change_in_force(world: &World, nodes: &[Node]) {
+/// Asserts that every node has version 2 of the configuration.
+fn assert_change_in_force(world: &World, nodes: &[Node]) {
     let late = nodes.iter().filter(|n| version(n.app()) < 2).count();
-    let given_up = world.links.given_up();
+    let given_up = world.links.given_up_bytes();
     let (count, lost) = (given_up.len(), given_up.iter().sum::<u64>());
     assert_eq!(late, 0, "nodes without the change; {count} replies given up, {lost} bytes lost");
 }
 
-/// With more texts than slots, and more replicas than are examined for each text, a slot that a
-/// text frees is taken by the next text at once.
+/// With more texts than slots, and more replicas than are examined for each text, a slot that
+/// becomes free is used by the next text at once.
 #[tokio::test(start_paused = true)]
-async fn a_slot_that_is_freed_among_many_replicas_is_taken_at_once() {
+async fn a_free_slot_among_many_replicas_is_used_at_once() {
     let world = World::new();
     for i in 0..80 {
         world.replicas.add("engines", &format!("m{i:02}"), &[MODEL]);
--- a/tests/entry/feeds.rs
+++ b/tests/entry/feeds.rs
@@ -9,23 +9,21 @@
 
 /// More nodes than may all watch the store themselves.
 const NODE_COUNT: u8 = 20;
+/// How long a replica may still get work after it has reported that it leaves.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
 /// Starts the nodes and waits until they know each other.
 async fn start_nodes(world: &World) -> Vec<Node> {
     let mut nodes = Vec::new();
     for letter in b'a'..b'a' + NODE_COUNT {
         nodes.push(
-            world.linked_node_with_drain_time(&char::from(letter).to_string(), drain()).await,
+            world.linked_node_with_drain_time(&char::from(letter).to_string(), DRAIN_TIME).await,
         );
     }
     sleep_ms(5_000).await;
     nodes
 }
 
-fn drain() -> Duration {
-    Duration::from_secs(3)
-}
-
 /// Returns how many watches each node has made.
 fn watch_calls(nodes: &[Node]) -> Vec<u64> {
     nodes.iter().map(|node| answered_calls(node, "Watch")).collect()
@@ -34,8 +32,8 @@
 /// Returns the indexes of the nodes that watch the store for others: they make the most watches.
 async fn find_watchers(world: &World, nodes: &[Node]) -> Vec<usize> {
     let before = watch_calls(nodes);
-    for turn in 0..40 {
-        world.replicas.write_entry("plain", "p2", turn % 2 == 0);
+    for i in 0..40 {
+        world.replicas.write_entry("plain", "p2", i % 2 == 0);
         sleep_ms(250).await;
     }
     world.replicas.write_entry("plain", "p2", false);
@@ -67,28 +65,27 @@
     }
 }
 
-/// In whichever way the watchers fail, the other nodes learn of a change before the time to drain
-/// is over.
+/// However the watchers fail, the other nodes learn of a change within the drain time.
 #[tokio::test(start_paused = true)]
 async fn changes_arrive_in_time_after_the_watchers_fail() {
-    for fate in ["refusing", "silent", "disconnected", "killed"] {
+    for failure in ["refusing", "silent", "disconnected", "killed"] {
         let world = World::new();
         let mut nodes = start_nodes(&world).await;
         let watchers = find_watchers(&world, &nodes).await;
         for i in &watchers {
-            match fate {
-                "refusing" => nodes[*i].link(Link::Refusing),
-                "silent" => nodes[*i].link(Link::Silent),
+            match failure {
+                "refusing" => nodes[*i].set_link(Link::Refusing),
+                "silent" => nodes[*i].set_link(Link::Silent),
                 "disconnected" => {
                     nodes[*i].isolate();
                     nodes[*i]
-                        .line
+                        .store
                         .set_faults(Faults { outage: Some(Outage::Hanging), ..Faults::default() });
                 }
-                _ => nodes[*i].link(Link::Refusing),
+                _ => nodes[*i].set_link(Link::Refusing),
             }
         }
-        if fate == "killed" {
+        if failure == "killed" {
             for i in watchers.iter().rev() {
                 drop(nodes.remove(*i));
             }
@@ -96,17 +93,17 @@
         world.replicas.write_entry("plain", "p1", true);
         sleep_ms(2_800).await;
         for (i, node) in nodes.iter().enumerate() {
-            if fate == "disconnected" && watchers.contains(&i) {
+            if failure == "disconnected" && watchers.contains(&i) {
                 continue;
             }
             let used = plain_replicas_used(&world, node, "t").await;
-            assert!(used.iter().all(|r| r == "p2"), "{fate}: {used:?}");
+            assert!(used.iter().all(|r| r == "p2"), "{failure}: {used:?}");
         }
     }
 }
 
-/// A node that watches for others reads a snapshot again after its watch was cut; the nodes that
-/// rely on it miss nothing.
+/// A node that watches for others reads a snapshot again after the store dropped its history, and
+/// the nodes that rely on it miss no change.
 #[tokio::test(start_paused = true)]
 async fn followers_miss_no_change_when_the_store_drops_its_history() {
     let world = World::new();
@@ -159,7 +156,7 @@
     let seed = world.linked_node("a").await;
     sleep_ms(1_000).await;
     let away = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
-    seed.line.set_faults(away);
+    seed.store.set_faults(away);
     sleep_ms(4_000).await;
     let started = world.start_linked("b", &seed, away);
     sleep_ms(1_000).await;
@@ -169,8 +166,8 @@
     );
     assert!(!started.app().ready(), "no client is directed to a node that is not registered");
     assert_eq!(plain_replicas_used(&world, &started, "t").await.len(), 6);
-    seed.line.set_faults(Faults::default());
-    started.line.set_faults(Faults::default());
+    seed.store.set_faults(Faults::default());
+    started.store.set_faults(Faults::default());
     world.configure(9);
     sleep_ms(2_000).await;
     assert!(!started.app().routes_may_be_stale());
@@ -178,21 +175,21 @@
     assert_eq!(started.app().routes().unwrap().version, 9);
 }
 
-/// Guards against each node finding out by itself that the store is back, which left nodes up to
-/// 0.6 s apart or took a call every 0.1 s during the outage.
+/// Guards against each node probing the store by itself for the end of an outage. Nodes then found
+/// it up to 0.6 s apart, or made a call every 0.1 s during the outage.
 #[tokio::test(start_paused = true)]
-async fn the_node_that_finds_the_store_back_notifies_the_others() {
+async fn the_node_that_first_reaches_the_store_again_notifies_the_others() {
     let world = World::new();
     let nodes = start_nodes(&world).await;
     let away = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
     let refused = |nodes: &[Node]| nodes.iter().map(refused_calls).sum::<u64>();
-    nodes.iter().for_each(|n| n.line.set_faults(away));
+    nodes.iter().for_each(|n| n.store.set_faults(away));
     sleep_ms(2_000).await;
     let before = refused(&nodes);
     sleep_ms(4_000).await;
     let probes = refused(&nodes) - before;
     assert!(probes <= 100, "{probes} calls in four seconds of an outage");
-    nodes.iter().for_each(|n| n.line.set_faults(Faults::default()));
+    nodes.iter().for_each(|n| n.store.set_faults(Faults::default()));
     world.configure(9);
     sleep_ms(600).await;
     let late = nodes.iter().filter(|n| n.app().routes().unwrap().version != 9).count();
--- a/tests/entry/links.rs
+++ b/tests/entry/links.rs
@@ -14,10 +14,10 @@
 use tokio::time::Instant;
 use tokio::time::error::Elapsed;
 
-/// How many bytes of one reply are sent before another reply of the same node may go on.
+/// How many bytes of one reply are sent before another reply of the same node is continued.
 const PIECE_BYTES: usize = 64 << 10;
-/// The latency of a request.
-const REPLY_LATENCY: Duration = Duration::from_millis(3);
+/// The time until a request arrives at the other node.
+const REQUEST_LATENCY: Duration = Duration::from_millis(3);
 
 /// How a node treats the requests of others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     RepliesLost,
 }
 
-/// A node that can be reached, and how it treats requests.
+/// A node at an address, and how it treats requests.
 #[derive(Debug)]
 struct Endpoint {
     app: Arc<App>,
@@ -46,15 +46,15 @@
     endpoints: Arc<Mutex<HashMap<SocketAddr, Endpoint>>>,
     /// All requests that were sent.
     requests: Arc<Mutex<Vec<PeerRequest>>>,
-    /// The bandwidth of each node's uplink in bytes per second. None for no limit.
-    rate: Arc<Mutex<Option<u64>>>,
+    /// The bandwidth of each node's uplink in bytes per second. `None` for no limit.
+    uplink_rate: Arc<Mutex<Option<u64>>>,
     /// Held by the reply that is being sent over the uplink of a node.
     uplinks: Arc<Mutex<HashMap<SocketAddr, Arc<tokio::sync::Mutex<()>>>>>,
     /// For each reply that the requesting node gave up on, the bytes it had received.
-    given_up: Arc<Mutex<Vec<u64>>>,
+    given_up_bytes: Arc<Mutex<Vec<u64>>>,
     /// Nodes whose requests reach no other node.
     isolated: Arc<Mutex<HashSet<SocketAddr>>>,
-    /// The node that sends requests by this handle.
+    /// The node that sends requests through this handle. `None` if it has no peer address.
     from: Option<SocketAddr>,
 }
 
@@ -81,12 +81,12 @@
 
     /// Limits the uplink of each node to `rate` bytes per second.
     pub(crate) fn limit_rate(&self, rate: u64) {
-        *self.rate.lock() = Some(rate);
+        *self.uplink_rate.lock() = Some(rate);
     }
 
-    /// Returns how many bytes were received of each reply that was given up so far.
-    pub(crate) fn given_up(&self) -> Vec<u64> {
-        self.given_up.lock().clone()
+    /// Returns, for each reply that the requesting node gave up on, the bytes it had received.
+    pub(crate) fn given_up_bytes(&self) -> Vec<u64> {
+        self.given_up_bytes.lock().clone()
     }
 
     /// Sends a reply over the uplink of a node, which it shares with other replies, until it is
@@ -98,18 +98,18 @@
         transfer: &mut Transfer,
         started: Instant,
     ) -> Result<(), Elapsed> {
-        let Some(rate) = *self.rate.lock() else { return Ok(()) };
+        let Some(rate) = *self.uplink_rate.lock() else { return Ok(()) };
         let uplink = self.uplinks.lock().entry(from).or_default().clone();
-        let mut left = pack(reply).unwrap().len();
-        while left > 0 {
-            let piece = left.min(PIECE_BYTES);
+        let mut remaining = pack(reply).unwrap().len();
+        while remaining > 0 {
+            let piece = remaining.min(PIECE_BYTES);
             let sent = async {
-                let _turn = uplink.lock().await;
+                let _guard = uplink.lock().await;
                 tokio::time::sleep(Duration::from_micros(piece as u64 * 1_000_000 / rate)).await;
             };
             tokio::time::timeout_at(started + transfer.deadline(), sent).await?;
             transfer.record_received(piece, started.elapsed());
-            left -= piece;
+            remaining -= piece;
         }
         Ok(())
     }
@@ -134,20 +134,20 @@
         let found = found.filter(|_| !isolated);
         let links = self.clone();
         Box::pin(async move {
-            tokio::time::sleep(REPLY_LATENCY).await;
-            let late = PeerError::Timeout { to, timeout, received: 0 };
+            tokio::time::sleep(REQUEST_LATENCY).await;
+            let timed_out = PeerError::Timeout { to, timeout, received: 0 };
             match found {
                 None | Some((_, Link::Refusing)) => {
                     Err(PeerError::Connect { to, reason: "refused".to_owned() })
                 }
                 Some((_, Link::Silent)) => {
                     tokio::time::sleep(timeout).await;
-                    Err(late)
+                    Err(timed_out)
                 }
                 Some((app, Link::RepliesLost)) => {
                     tokio::spawn(async move { PeerResponder::new(app).answer(request).await });
                     tokio::time::sleep(timeout).await;
-                    Err(late)
+                    Err(timed_out)
                 }
                 Some((app, Link::Open)) => {
                     let started = Instant::now();
@@ -157,11 +157,11 @@
                         started + transfer.deadline(),
                         responder.answer(request),
                     );
-                    let Ok(reply) = answer.await else { return Err(late) };
-                    let carried = links.transmit(to, &reply, &mut transfer, started).await;
-                    carried.map(|()| reply).map_err(|_| {
-                        links.given_up.lock().push(transfer.received_bytes());
-                        late
+                    let Ok(reply) = answer.await else { return Err(timed_out) };
+                    let transmitted = links.transmit(to, &reply, &mut transfer, started).await;
+                    transmitted.map(|()| reply).map_err(|_| {
+                        links.given_up_bytes.lock().push(transfer.received_bytes());
+                        timed_out
                     })
                 }
             }
--- a/tests/entry/main.rs
+++ b/tests/entry/main.rs
@@ -1,10 +1,10 @@
-//! Entry nodes, which keep all lasting state in a key-value service, on a paused clock.
+//! Tests of entry nodes, which keep all lasting state in a key-value service, on a paused clock.
 #![allow(clippy::unwrap_used)]
 
 mod bulk;
-mod crowds;
 mod feeds;
 mod jobs;
+mod large_fleets;
 mod links;
 mod orders;
 mod peers;
--- a/tests/entry/orders.rs
+++ b/tests/entry/orders.rs
@@ -1,4 +1,4 @@
-//! Only one node at a time, the leader, orders weight loads.
+//! Tests that only one node at a time, the leader, orders weight loads.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 /// Minimum time between the orders of two leaders: the default of `[orders] turn`.
 const ORDER_GAP: Duration = Duration::from_millis(3_000);
 
-/// Whether all engine replicas have loaded a version.
+/// Returns whether all engine replicas have loaded a version.
 fn all_loaded(world: &World, version: u64) -> bool {
     ["e1", "e2", "e3"].iter().all(|id| world.replicas.version(id, MODEL) == version)
 }
@@ -23,12 +23,12 @@
     sleep_ms(4_000).await;
     world.name_version(2);
     wait_until(|| all_loaded(&world, 2)).await;
-    let ordered = world.replicas.orders();
-    assert_eq!(ordered.iter().filter(|o| o.accepted).count(), 3);
+    let orders = world.replicas.orders();
+    assert_eq!(orders.iter().filter(|o| o.accepted).count(), 3);
     assert!(
-        ordered
+        orders
             .iter()
-            .all(|o| o.leader == ordered[0].leader && o.fencing_token == ordered[0].fencing_token)
+            .all(|o| o.leader == orders[0].leader && o.fencing_token == orders[0].fencing_token)
     );
 }
 
@@ -46,8 +46,8 @@
     nodes.remove(&*last.leader);
     world.name_version(3);
     wait_until(|| all_loaded(&world, 3)).await;
-    let ordered = world.replicas.orders();
-    let first = ordered.iter().find(|o| o.version == 3).unwrap();
+    let orders = world.replicas.orders();
+    let first = orders.iter().find(|o| o.version == 3).unwrap();
     assert_ne!(first.leader, last.leader);
     assert!(first.fencing_token > last.fencing_token);
     assert!(
@@ -58,23 +58,23 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_disconnected_leader_gives_no_order_once_another_may() {
+async fn a_disconnected_leader_gives_no_order_after_the_next_leader() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await];
     sleep_ms(4_000).await;
     world.name_version(2);
     wait_until(|| all_loaded(&world, 2)).await;
-    let holder = world.replicas.orders()[0].leader.clone();
-    let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
-    old.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
+    let leader = world.replicas.orders()[0].leader.clone();
+    let old = nodes.iter().find(|n| *n.app().settings.name == *leader).unwrap();
+    old.store.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     world.name_version(3);
     wait_until(|| all_loaded(&world, 3)).await;
-    old.line.set_faults(Faults::default());
+    old.store.set_faults(Faults::default());
     sleep_ms(4_000).await;
     world.name_version(4);
     wait_until(|| all_loaded(&world, 4)).await;
-    let ordered = world.replicas.orders();
-    for pair in ordered.windows(2) {
+    let orders = world.replicas.orders();
+    for pair in orders.windows(2) {
         assert!(pair[1].fencing_token >= pair[0].fencing_token);
         if pair[1].leader != pair[0].leader {
             assert!(pair[1].received_at - pair[0].received_at >= ORDER_GAP);
@@ -93,14 +93,14 @@
     world.replicas.delay_orders("e1", None);
     wait_until(|| all_loaded(&world, 2)).await;
     sleep_ms(15_000).await;
-    let ordered = world.replicas.orders();
-    let accepted = ordered.iter().filter(|o| &*o.replica == "e1" && o.accepted);
+    let orders = world.replicas.orders();
+    let accepted = orders.iter().filter(|o| &*o.replica == "e1" && o.accepted);
     assert_eq!(accepted.count(), 1);
 }
 
-/// Guards against a new leader that waits the whole order gap after its predecessor's lease has
-/// ended. The predecessor gave its last order at least a second before that, and training steps
-/// wait for the weights meanwhile.
+/// Guards against a new leader that waits the whole order gap from the end of its predecessor's
+/// lease on. The predecessor gave its last order at least a second earlier, and training steps wait
+/// for the weights meanwhile.
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_gives_orders_within_five_seconds_of_a_crash() {
     for after in [0, 200, 400, 600] {
@@ -112,28 +112,28 @@
         sleep_ms(4_000 + after).await;
         world.name_version(2);
         wait_until(|| !world.replicas.orders().is_empty()).await;
-        let holder = world.replicas.orders()[0].leader.clone();
-        let died = tokio::time::Instant::now();
-        nodes.remove(&*holder);
+        let leader = world.replicas.orders()[0].leader.clone();
+        let crashed_at = tokio::time::Instant::now();
+        nodes.remove(&*leader);
         wait_until(|| all_loaded(&world, 2)).await;
-        let ordered = world.replicas.orders();
-        let last = ordered.iter().rfind(|o| o.leader == holder).unwrap();
-        let first = ordered.iter().find(|o| o.leader != holder).unwrap();
+        let orders = world.replicas.orders();
+        let last = orders.iter().rfind(|o| o.leader == leader).unwrap();
+        let first = orders.iter().find(|o| o.leader != leader).unwrap();
         assert!(
             first.received_at - last.received_at >= ORDER_GAP,
             "{:?}",
             first.received_at - last.received_at
         );
         assert!(
-            first.received_at - died <= Duration::from_millis(4_900),
+            first.received_at - crashed_at <= Duration::from_millis(4_900),
             "{:?}",
-            first.received_at - died
+            first.received_at - crashed_at
         );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_order_gap_is_kept_when_a_leader_leaves() {
+async fn the_order_gap_is_kept_when_a_leader_drains() {
     for after in [0, 300, 700, 1_100] {
         let world = World::new();
         let nodes = [world.node("a").await, world.node("b").await];
@@ -141,15 +141,15 @@
         world.name_version(2);
         wait_until(|| !world.replicas.orders().is_empty()).await;
         sleep_ms(after).await;
-        let holder = world.replicas.orders()[0].leader.clone();
-        let old = nodes.iter().find(|n| *n.app().settings.name == *holder).unwrap();
+        let leader = world.replicas.orders()[0].leader.clone();
+        let old = nodes.iter().find(|n| *n.app().settings.name == *leader).unwrap();
         old.entry.drain().await;
         world.name_version(3);
         wait_until(|| all_loaded(&world, 3)).await;
-        let ordered = world.replicas.orders();
-        for pair in ordered.windows(2) {
-            let apart = pair[1].received_at - pair[0].received_at;
-            assert!(pair[1].leader == pair[0].leader || apart >= ORDER_GAP, "{apart:?}");
+        let orders = world.replicas.orders();
+        for pair in orders.windows(2) {
+            let gap = pair[1].received_at - pair[0].received_at;
+            assert!(pair[1].leader == pair[0].leader || gap >= ORDER_GAP, "{gap:?}");
         }
     }
 }
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -1,5 +1,5 @@
-//! Tests of requests between entry nodes: a constant owner for the jobs of a route, reads from the
-//! owner, and calls to the store through another node.
+//! Tests of requests between entry nodes: one owner for all jobs of a route, reads from the owner,
+//! and calls to the store through another node.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -36,13 +36,13 @@
     nodes
 }
 
-fn away(how: Outage) -> Faults {
-    Faults { outage: Some(how), ..Faults::default() }
+fn with_outage(outage: Outage) -> Faults {
+    Faults { outage: Some(outage), ..Faults::default() }
 }
 
-/// Guards against each training step getting another owner, which knows nothing of the replicas or
-/// of the previous step and opens all connections again. That made 3,300 connections in a quiet
-/// day, against 2,200 with one owner.
+/// Guards against each training step getting a new owner, which knows nothing of the replicas or of
+/// the previous step and opens all connections again. That made 3,300 connections on a day of low
+/// load, compared with 2,200 with one owner.
 #[tokio::test(start_paused = true)]
 async fn the_jobs_of_a_route_have_one_owner() {
     let world = World::new();
@@ -60,11 +60,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_owner_that_does_not_answer_costs_no_job() {
+async fn jobs_are_accepted_when_their_owner_does_not_answer() {
     for link in [Link::Refusing, Link::Silent, Link::RepliesLost] {
         let world = World::new();
         let [owner, other, _third] = start_three(&world).await;
-        owner.link(link);
+        owner.set_link(link);
         for (job, item) in [("j1", "i1"), ("j2", "i2")] {
             assert_eq!(other.submit(job, &[item]).await, SubmitResult::Accepted, "{link:?}");
             other.read_all(job, 1).await;
@@ -80,14 +80,14 @@
 async fn a_job_that_an_owner_may_have_accepted_is_not_refused() {
     let world = World::new();
     let [owner, other, third] = start_three(&world).await;
-    owner.link(Link::RepliesLost);
-    third.link(Link::Refusing);
-    other.line.set_faults(away(Outage::Refusing));
-    let cut = async {
+    owner.set_link(Link::RepliesLost);
+    third.set_link(Link::Refusing);
+    other.store.set_faults(with_outage(Outage::Refusing));
+    let disconnect = async {
         sleep_ms(100).await;
-        owner.link(Link::Refusing);
+        owner.set_link(Link::Refusing);
     };
-    let (submitted, ()) = tokio::join!(other.submit("j", &["i1"]), cut);
+    let (submitted, ()) = tokio::join!(other.submit("j", &["i1"]), disconnect);
     assert_eq!(submitted, SubmitResult::Unknown);
     assert_eq!(owner.read_all("j", 1).await.len(), 1);
 }
@@ -146,8 +146,8 @@
         assert_eq!(body, "body of i2");
         sleep_ms(4_000).await;
     }
-    let polled = count(&third) - before;
-    assert!(polled <= 6, "{polled} calls, its own watches among them");
+    let calls = count(&third) - before;
+    assert!(calls <= 6, "{calls} calls, including its own watches");
     drop(owner);
     sleep_ms(5_000).await;
     assert_eq!(third.read_page("j", 0).await.len(), 1, "the store has the results as well");
@@ -164,14 +164,14 @@
     }
     owner.submit("j", &["i1", "i2", "i3", "i4"]).await;
     other.read_all("j", 1).await;
-    owner.line.set_faults(away(Outage::Refusing));
+    owner.store.set_faults(with_outage(Outage::Refusing));
     owner.isolate();
-    owner.link(Link::Refusing);
+    owner.set_link(Link::Refusing);
     sleep_ms(1_500).await;
     assert_eq!(other.app().end_job("j").await, Lookup::Found(()));
     let seen = third.read_page("j", 0).await;
-    owner.line.set_faults(Faults::default());
-    owner.link(Link::Open);
+    owner.store.set_faults(Faults::default());
+    owner.set_link(Link::Open);
     sleep_ms(3_000).await;
     for node in [&owner, &other, &third] {
         assert_eq!(node.read_page("j", 0).await, seen);
@@ -188,13 +188,13 @@
     world.replicas.set_event_count("i2", 200);
     other.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    let shown = other.read_page("j", 0).await;
-    assert_eq!(shown.len(), 1);
-    owner.link(Link::Refusing);
+    let first_page = other.read_page("j", 0).await;
+    assert_eq!(first_page.len(), 1);
+    owner.set_link(Link::Refusing);
     drop(owner);
-    let whole = other.read_all("j", 2).await;
-    assert_eq!(whole[..1], shown[..]);
-    assert_eq!(third.read_all("j", 2).await, whole);
+    let results = other.read_all("j", 2).await;
+    assert_eq!(results[..1], first_page[..]);
+    assert_eq!(third.read_all("j", 2).await, results);
 }
 
 /// Guards against an owner whose lease has ended returning fewer results than the next owner has
@@ -207,16 +207,16 @@
     other.submit("j", &["i1", "i2"]).await;
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     // The owner reaches neither the store nor the other nodes, but they reach it.
-    owner.line.set_faults(away(Outage::Unresponsive));
-    other.line.set_faults(away(Outage::Refusing));
-    third.line.set_faults(away(Outage::Refusing));
+    owner.store.set_faults(with_outage(Outage::Unresponsive));
+    other.store.set_faults(with_outage(Outage::Refusing));
+    third.store.set_faults(with_outage(Outage::Refusing));
     sleep_ms(400).await;
-    other.line.set_faults(Faults::default());
-    third.line.set_faults(Faults::default());
+    other.store.set_faults(Faults::default());
+    third.store.set_faults(Faults::default());
     owner.isolate();
     sleep_ms(4_000).await;
-    let ask = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
-    assert_eq!(other.request_results(&owner, ask).await, Some(None));
+    let request = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
+    assert_eq!(other.request_results(&owner, request).await, Some(None));
     assert_eq!(other.read_all("j", 2).await.len(), 2);
 }
 
@@ -228,38 +228,38 @@
     let [owner, other, _third] = start_three(&world).await;
     world.replicas.set_event_count("i2", 500);
     other.submit("j", &["i1", "i2"]).await;
-    owner.line.set_faults(Faults { lost_writes: 3, ..Faults::default() });
+    owner.store.set_faults(Faults { lost_writes: 3, ..Faults::default() });
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     sleep_ms(1_200).await;
     assert_eq!(owner.read_page("j", 0).await.len(), 1);
     assert_eq!(other.read_page("j", 0).await.len(), 1);
 }
 
-/// Guards against a node that the store does not answer losing its lease, so that its jobs stand
-/// still until other nodes take them over.
+/// Guards against a node that does not reach the store losing its lease, so that its jobs make no
+/// progress until other nodes take them over.
 #[tokio::test(start_paused = true)]
-async fn a_disconnected_owner_goes_on_through_other_nodes() {
-    for how in [Outage::Refusing, Outage::Unresponsive] {
+async fn a_disconnected_owner_reaches_the_store_through_other_nodes() {
+    for outage in [Outage::Refusing, Outage::Unresponsive] {
         let world = World::new();
         let [owner, other, _third] = start_three(&world).await;
         world.replicas.set_event_count("i2", 300);
         other.submit("j", &["i1", "i2"]).await;
         let before = owners(&world);
-        owner.line.set_faults(away(how));
-        assert_eq!(other.read_all("j", 2).await.len(), 2, "{how:?}");
-        assert_eq!(owners(&world), before, "{how:?}");
-        assert_eq!(owner.submit("k", &["k1"]).await, SubmitResult::Accepted, "{how:?}");
-        let asked = world.links.requests().len();
-        owner.line.set_faults(Faults::default());
+        owner.store.set_faults(with_outage(outage));
+        assert_eq!(other.read_all("j", 2).await.len(), 2, "{outage:?}");
+        assert_eq!(owners(&world), before, "{outage:?}");
+        assert_eq!(owner.submit("k", &["k1"]).await, SubmitResult::Accepted, "{outage:?}");
+        let count_before = world.links.requests().len();
+        owner.store.set_faults(Faults::default());
         sleep_ms(3_000).await;
         owner.app().read("j", 0, Duration::ZERO).await;
         sleep_ms(5_000).await;
-        let after = world.links.requests();
+        let requests = world.links.requests();
         let peer_calls =
-            after[asked..].iter().filter(|a| matches!(a, PeerRequest::Store(_))).count();
+            requests[count_before..].iter().filter(|r| matches!(r, PeerRequest::Store(_))).count();
         assert!(
             peer_calls < 20,
-            "{how:?}: {peer_calls} calls through other nodes although the store is reachable"
+            "{outage:?}: {peer_calls} calls through other nodes although the store is reachable"
         );
     }
 }
@@ -268,29 +268,29 @@
 async fn a_configuration_reaches_a_disconnected_node() {
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
-    other.line.set_faults(away(Outage::Refusing));
+    other.store.set_faults(with_outage(Outage::Refusing));
     sleep_ms(1_000).await;
     world.configure(7);
     sleep_ms(1_500).await;
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
-/// Guards against a node whose calls are no longer answered going on to wait for its watches. It
-/// waited 7 s on a day with 63 nodes, and sent no orders for the versions that were announced
-/// meanwhile.
+/// Guards against a node that keeps waiting for its watches although its other calls to the store
+/// are no longer answered. On a day with 63 nodes one waited for 7 s, and sent no orders for the
+/// versions that were announced meanwhile.
 #[tokio::test(start_paused = true)]
 async fn hanging_watches_are_given_up_once_the_store_is_unreachable() {
     let world = World::new();
     let [_owner, other, _third] = start_three(&world).await;
-    other.line.set_faults(away(Outage::Hanging));
+    other.store.set_faults(with_outage(Outage::Hanging));
     sleep_ms(1_000).await;
     world.configure(7);
     sleep_ms(2_000).await;
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
-/// Guards against waiting for calls that began in an outage for up to 2 s after its end, by which
-/// leases ended that could have been renewed.
+/// Guards against waiting for calls that began in an outage until 2 s after its end. Leases ended by
+/// then that could have been renewed.
 #[tokio::test(start_paused = true)]
 async fn nodes_use_the_store_within_a_second_after_an_outage() {
     for extra_ms in [0, 100, 200, 300, 400] {
@@ -298,26 +298,26 @@
         let nodes = start_three(&world).await;
         world.replicas.set_event_count("i1", 10);
         nodes[1].submit("j", &["i1"]).await;
-        nodes.iter().for_each(|node| node.line.set_faults(away(Outage::Unresponsive)));
+        nodes.iter().for_each(|node| node.store.set_faults(with_outage(Outage::Unresponsive)));
         sleep_ms(2_900 + extra_ms).await;
-        nodes.iter().for_each(|node| node.line.set_faults(Faults::default()));
+        nodes.iter().for_each(|node| node.store.set_faults(Faults::default()));
         sleep_ms(1_000).await;
         assert!(!world.kv.items("mulberry/job/j/results").is_empty(), "after {extra_ms} ms");
         assert_eq!(world.kv.items("mulberry/live/node/").len(), 3, "after {extra_ms} ms");
     }
 }
 
-/// Only the caller can decide about a write that may have been done. If it were repeated, a removal
-/// or a second put could undo a change made in between.
+/// Only the caller can decide about a write that may have been executed. If the write were repeated,
+/// a removal or a second put could undo a change made in between.
 #[tokio::test(start_paused = true)]
 async fn a_write_without_an_answer_is_not_repeated_through_another_node() {
     let world = World::new();
     let [owner, other, _third] = start_three(&world).await;
     let writes = || {
-        let asked = world.links.requests();
-        asked.iter().filter(|a| matches!(a, PeerRequest::Store(StoreRequest::Txn(_)))).count()
+        let requests = world.links.requests();
+        requests.iter().filter(|r| matches!(r, PeerRequest::Store(StoreRequest::Txn(_)))).count()
     };
-    owner.line.set_faults(Faults { lost_writes: 1, ..Faults::default() });
+    owner.store.set_faults(Faults { lost_writes: 1, ..Faults::default() });
     assert_eq!(owner.submit("j", &["i1"]).await, SubmitResult::Accepted);
     assert!(writes() <= 1, "only the retry may go through another node");
     other.read_all("j", 1).await;
@@ -325,18 +325,19 @@
     assert_eq!(runs, 1);
 }
 
-/// Guards against an outage for all nodes doubling every call.
+/// Guards against every call being made twice in an outage for all nodes, directly and through
+/// another node.
 #[tokio::test(start_paused = true)]
 async fn an_outage_for_all_nodes_does_not_multiply_calls() {
     let world = World::new();
     let nodes = start_three(&world).await;
-    nodes.iter().for_each(|node| node.line.set_faults(away(Outage::Refusing)));
+    nodes.iter().for_each(|node| node.store.set_faults(with_outage(Outage::Refusing)));
     sleep_ms(1_000).await;
     let before = world.links.requests().len();
     sleep_ms(10_000).await;
-    let asked = world.links.requests().len() - before;
-    assert!(asked <= 3 * 10 * 5, "{asked} requests in ten seconds of three nodes");
-    nodes.iter().for_each(|node| node.line.set_faults(Faults::default()));
+    let count = world.links.requests().len() - before;
+    assert!(count <= 3 * 10 * 5, "{count} requests of three nodes in ten seconds");
+    nodes.iter().for_each(|node| node.store.set_faults(Faults::default()));
     sleep_ms(3_000).await;
     assert_eq!(nodes[1].submit("j", &["i1"]).await, SubmitResult::Accepted);
 }
@@ -359,19 +360,20 @@
     let node = world.node("a").await;
     let server = PeerServer::bind(node.app().clone(), ([127, 0, 0, 1], 0).into()).await.unwrap();
     let client = HttpPeers::new(Arc::default());
-    let limit = Duration::from_secs(20);
+    let timeout = Duration::from_secs(20);
     world.kv.put("some/key", "value");
     let get = PeerRequest::Store(StoreRequest::Get("some/key".into()));
-    let item = node.line.get("some/key").await.unwrap();
-    let got = client.request(server.address(), get, limit).await.unwrap();
+    let item = node.store.get("some/key").await.unwrap();
+    let got = client.request(server.address(), get, timeout).await.unwrap();
     assert_eq!(got, PeerReply::Store(Ok(StoreReply::KeyValue(item))));
-    let submitted =
-        client.request(server.address(), PeerRequest::Submit(job_spec("j", &["i1"])), limit).await;
+    let submitted = client
+        .request(server.address(), PeerRequest::Submit(job_spec("j", &["i1"])), timeout)
+        .await;
     assert_eq!(submitted.unwrap(), PeerReply::Submitted(SubmitResult::Accepted));
     node.read_all("j", 1).await;
     let read = PeerRequest::Read { job: "j".into(), after: 0, wait: Duration::ZERO };
     let PeerReply::Read(Some(ReadResult::Page { total: 1, results })) =
-        client.request(server.address(), read, limit).await.unwrap()
+        client.request(server.address(), read, timeout).await.unwrap()
     else {
         panic!("no page");
     };
--- a/tests/entry/reads.rs
+++ b/tests/entry/reads.rs
@@ -1,4 +1,4 @@
-//! A read never returns less than an earlier read did.
+//! Tests that a read never returns fewer results than an earlier read.
 
 use standins::kv::Faults;
 
@@ -6,7 +6,7 @@
 
 /// Guards against an empty page from a cached view that is older than another node's.
 #[tokio::test(start_paused = true)]
-async fn a_read_without_a_wait_asks_the_store() {
+async fn a_read_without_a_wait_checks_the_store() {
     let world = World::new();
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.set_event_count("i2", 200);
@@ -24,14 +24,14 @@
     let (a, b) = (world.node("a").await, world.node("b").await);
     world.replicas.set_event_count("i2", 500);
     a.submit("j", &["i1", "i2"]).await;
-    a.line.set_faults(Faults { lost_writes: 100, ..Faults::default() });
+    a.store.set_faults(Faults { lost_writes: 100, ..Faults::default() });
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
-    let shown = b.read_page("j", 0).await;
-    assert_eq!(shown.len(), 1);
+    let first_page = b.read_page("j", 0).await;
+    assert_eq!(first_page.len(), 1);
     a.app().end_job("j").await;
-    a.line.set_faults(Faults::default());
+    a.store.set_faults(Faults::default());
     sleep_ms(3_000).await;
-    assert_eq!(a.read_page("j", 0).await, shown);
+    assert_eq!(a.read_page("j", 0).await, first_page);
 }
 
 /// Guards against a cached view that continued its watch from a compacted history and got no
@@ -51,8 +51,8 @@
 }
 
 /// Guards against a cached view that had not been updated for longer than the store keeps its
-/// history, and continued its watch from there without getting any results (112 results were
-/// read, and none at the last position).
+/// history, and continued its watch from there without getting any results (112 results were read
+/// before, and none after that position).
 #[tokio::test(start_paused = true)]
 async fn a_view_without_recent_updates_is_read_again() {
     let world = World::new();
@@ -76,6 +76,6 @@
 
     let world = World::new();
     let a = world.node("a").await;
-    a.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
+    a.store.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     assert_eq!(a.app().read("j", 0, Duration::ZERO).await, ReadResult::Unsure);
 }
--- a/tests/entry/scale.rs
+++ b/tests/entry/scale.rs
@@ -1,15 +1,16 @@
-//! The leader orders replicas when training steps need more slots than there are.
+//! Tests that the leader orders replicas when training steps need more slots than there are.
 
 use std::time::Duration;
 
 use crate::world::{Node, World, sleep_ms, wait_until};
 
-/// The maximum number of replicas that the routes of these worlds allow.
+/// The maximum number of replicas that the routes allow.
 const MAX_REPLICAS: u32 = 9;
 /// Number of events of a text that takes three and a half seconds.
 const LONG_TEXT_EVENTS: u64 = 100;
 
-/// Submits a job whose texts need more than four times the slots that there are.
+/// Submits a job whose texts need more than four times the slots that there are. Returns the number
+/// of texts.
 async fn submit_many(world: &World, node: &Node) -> usize {
     let ids: Vec<String> = (0..120).map(|i| format!("i{i}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
@@ -18,36 +19,36 @@
     ids.len()
 }
 
-/// The replica counts that were ordered, in order.
-fn desired(world: &World) -> Vec<u32> {
+/// Returns the replica counts of all orders, oldest first.
+fn desired_counts(world: &World) -> Vec<u32> {
     world.duties.orders().iter().map(|(_, order)| order.desired).collect()
 }
 
 #[tokio::test(start_paused = true)]
-async fn waiting_texts_lead_to_more_replicas_and_end_sooner() {
+async fn waiting_texts_lead_to_more_replicas_and_complete_sooner() {
     let mut took = Vec::new();
     for scaled in [false, true] {
         let world = if scaled { World::new().with_duties() } else { World::new() };
         let a = world.linked_node("a").await;
         sleep_ms(4_000).await;
-        let begun = world.clock.true_time();
+        let started = world.clock.true_time();
         let total = submit_many(&world, &a).await;
         if scaled {
-            wait_until(|| desired(&world) == [MAX_REPLICAS]).await;
+            wait_until(|| desired_counts(&world) == [MAX_REPLICAS]).await;
             sleep_ms(4_000).await;
             for i in 4..=MAX_REPLICAS {
                 world.replicas.add("engines", &format!("e{i}"), &["coach"]);
             }
         }
         a.read_all("j", total).await;
-        took.push(world.clock.true_time() - begun);
-        assert_eq!(desired(&world), if scaled { vec![MAX_REPLICAS] } else { vec![] });
+        took.push(world.clock.true_time() - started);
+        assert_eq!(desired_counts(&world), if scaled { vec![MAX_REPLICAS] } else { vec![] });
     }
     assert!(took[1] * 4 < took[0] * 3, "{took:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn few_texts_order_nothing() {
+async fn few_texts_order_no_replicas() {
     let world = World::new().with_duties();
     let a = world.linked_node("a").await;
     sleep_ms(4_000).await;
@@ -57,39 +58,43 @@
         a.submit(&format!("j{step}"), &ids).await;
         sleep_ms(2_000).await;
     }
-    assert_eq!(desired(&world), Vec::<u32>::new());
+    assert_eq!(desired_counts(&world), Vec::<u32>::new());
 }
 
-/// The leader stops before, while or after it sends an order. Its successor sends the plan that
-/// was written, and no order has a lower fencing token than an earlier one.
+/// The leader crashes before, while or after it sends an order. The next leader sends the order that
+/// was written to the store, and no order has a lower fencing token than an earlier one.
 #[tokio::test(start_paused = true)]
-async fn a_successor_sends_what_was_written() {
-    for cut in [4_000, 5_000, 5_010, 5_020, 6_000, 7_500] {
+async fn a_new_leader_sends_the_written_order() {
+    for crash_after_ms in [4_000, 5_000, 5_010, 5_020, 6_000, 7_500] {
         let world = World::new().with_duties();
         let mut nodes = vec![world.linked_node("a").await, world.linked_node("b").await];
         sleep_ms(5_000).await;
         let leader = world.leader(&nodes);
         submit_many(&world, &nodes[1 - leader]).await;
-        sleep_ms(cut).await;
+        sleep_ms(crash_after_ms).await;
         drop(nodes.remove(leader));
-        wait_until(|| desired(&world).last() == Some(&MAX_REPLICAS)).await;
+        wait_until(|| desired_counts(&world).last() == Some(&MAX_REPLICAS)).await;
         sleep_ms(8_000).await;
         let ordered = world.duties.orders();
-        let fences: Vec<u64> = ordered.iter().map(|(fence, _)| *fence).collect();
-        assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
-        assert!(desired(&world).iter().all(|d| *d == MAX_REPLICAS), "cut {cut}: {ordered:?}");
+        let fencing_tokens: Vec<u64> = ordered.iter().map(|(token, _)| *token).collect();
+        assert!(fencing_tokens.is_sorted(), "after {crash_after_ms} ms: {fencing_tokens:?}");
+        assert!(
+            desired_counts(&world).iter().all(|d| *d == MAX_REPLICAS),
+            "after {crash_after_ms} ms: {ordered:?}"
+        );
     }
 }
 
-/// The platform has no replicas to give. The order is repeated after a pause, not at once.
+/// The platform refuses an order because it has no replicas left. The order is repeated after a
+/// pause, not at once.
 #[tokio::test(start_paused = true)]
 async fn a_refused_order_is_repeated_after_a_pause() {
     let world = World::new().with_duties();
     let a = world.linked_node("a").await;
     sleep_ms(4_000).await;
     world.duties.refuse_calls(2);
-    let begun = world.clock.true_time();
+    let started = world.clock.true_time();
     submit_many(&world, &a).await;
-    wait_until(|| desired(&world).contains(&MAX_REPLICAS)).await;
-    assert!(world.clock.true_time() - begun >= Duration::from_secs(6));
+    wait_until(|| desired_counts(&world).contains(&MAX_REPLICAS)).await;
+    assert!(world.clock.true_time() - started >= Duration::from_secs(6));
 }
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -15,13 +15,13 @@
 /// The length of a usage window in the settings of the nodes.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Sends a request of an organisation. True if it succeeded.
-async fn call(node: &Node, organisation: &str, id: &str) -> bool {
+/// Sends a request of an organisation, and returns whether it succeeded.
+async fn send_request(node: &Node, organisation: &str, id: &str) -> bool {
     let routes = node.app().routes().unwrap();
     let route = routes.find("host.example", "/plain/x").unwrap();
-    let ask =
+    let request =
         RelayRequest { organisation: Some(organisation.into()), ..relay_request(id, "/plain/x") };
-    matches!(node.app().relay(route, ask).await, RelayResponse::Complete { status, .. } if status.is_success())
+    matches!(node.app().relay(route, request).await, RelayResponse::Complete { status, .. } if status.is_success())
 }
 
 /// Returns the accepted reports by window. Fails if a window was reported with different counts.
@@ -54,8 +54,8 @@
         nodes.push(world.linked_node(name).await);
     }
     wait_until(|| !world.duties.reports().is_empty()).await;
-    let holder = world.duties.reports()[0].term.leader.clone();
-    let leader = nodes.iter().position(|n| n.app().settings.name == holder).unwrap();
+    let leader_name = world.duties.reports()[0].term.leader.clone();
+    let leader = nodes.iter().position(|n| n.app().settings.name == leader_name).unwrap();
     (nodes, leader)
 }
 
@@ -64,7 +64,7 @@
     let world = World::new().with_usage(WINDOW);
     let (nodes, _) = start_three(&world).await;
     for i in 0..40 {
-        assert!(call(&nodes[i % 3], ["x", "y"][i % 2], &format!("r{i}")).await);
+        assert!(send_request(&nodes[i % 3], ["x", "y"][i % 2], &format!("r{i}")).await);
         sleep_ms(211).await;
     }
     wait_until_reported(&world).await;
@@ -89,19 +89,19 @@
             world.replicas.set_behaviour(id, mood);
         }
         let before = total_reported(&world);
-        call(&nodes[0], "x", &format!("{mood:?}")).await;
+        send_request(&nodes[0], "x", &format!("{mood:?}")).await;
         wait_until_reported(&world).await;
         assert_eq!(total_reported(&world) - before, ran, "{mood:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_counts_of_a_killed_node_are_reported() {
+async fn the_counts_of_a_crashed_node_are_reported() {
     let world = World::new().with_usage(WINDOW);
     let (mut nodes, leader) = start_three(&world).await;
     let other = (leader + 1) % 3;
     for i in 0..5 {
-        call(&nodes[other], "x", &format!("r{i}")).await;
+        send_request(&nodes[other], "x", &format!("r{i}")).await;
     }
     // Its counts are shared within a few hundred milliseconds, not at the end of the window.
     sleep_ms(300).await;
@@ -110,30 +110,30 @@
     assert_eq!(total_reported(&world), 5);
 }
 
-/// The leader fails at some moment of the report of a window: before the window ends, as the report
-/// is written to the store, and before and after it is sent, with and without lost replies of the
-/// platform.
+/// The leader crashes at different moments of the report of a window: before the window ends, as the
+/// report is written to the store, and before and after it is sent, with and without lost replies of
+/// the platform.
 #[tokio::test(start_paused = true)]
-async fn a_leader_killed_at_any_moment_leaves_every_window_correct() {
-    for cut in [0, 900, 2_000, 2_090, 2_105, 2_110, 2_114, 2_118, 2_125, 2_200, 4_000] {
+async fn every_window_is_reported_correctly_after_a_crash_of_the_leader() {
+    for crash_after_ms in [0, 900, 2_000, 2_090, 2_105, 2_110, 2_114, 2_118, 2_125, 2_200, 4_000] {
         let world = World::new().with_usage(WINDOW);
         let (mut nodes, leader) = start_three(&world).await;
         for i in 0..6 {
-            call(&nodes[i % 3], "x", &format!("r{i}")).await;
+            send_request(&nodes[i % 3], "x", &format!("r{i}")).await;
         }
         let elapsed_ms = world.clock.true_time().as_millis() as u64 % 5_000;
-        sleep_ms(5_000 - elapsed_ms + 3_000 + cut).await;
-        world.duties.lose_responses(u32::from(cut % 2 == 0));
+        sleep_ms(5_000 - elapsed_ms + 3_000 + crash_after_ms).await;
+        world.duties.lose_responses(u32::from(crash_after_ms % 2 == 0));
         drop(nodes.remove(leader));
         wait_until_reported(&world).await;
-        assert_eq!(total_reported(&world), 6, "cut {cut}");
-        let taken = world.duties.reports();
-        let fences: Vec<u64> = taken.iter().map(|r| r.term.fencing_token).collect();
-        assert!(fences.is_sorted(), "cut {cut}: {fences:?}");
-        let change = taken.windows(2).find(|r| r[0].term.leader != r[1].term.leader).unwrap();
+        assert_eq!(total_reported(&world), 6, "after {crash_after_ms} ms");
+        let received = world.duties.reports();
+        let fencing_tokens: Vec<u64> = received.iter().map(|r| r.term.fencing_token).collect();
+        assert!(fencing_tokens.is_sorted(), "after {crash_after_ms} ms: {fencing_tokens:?}");
+        let change = received.windows(2).find(|r| r[0].term.leader != r[1].term.leader).unwrap();
         assert!(
             change[1].received_at - change[0].received_at >= Duration::from_secs(3),
-            "cut {cut}"
+            "after {crash_after_ms} ms"
         );
     }
 }
@@ -144,7 +144,7 @@
     let (nodes, _) = start_three(&world).await;
     for (lost, refused) in [(1, 0), (0, 2), (2, 1)] {
         let before = total_reported(&world);
-        call(&nodes[0], "x", &format!("r{lost}{refused}")).await;
+        send_request(&nodes[0], "x", &format!("r{lost}{refused}")).await;
         world.duties.lose_responses(lost);
         world.duties.refuse_calls(refused);
         wait_until_reported(&world).await;
@@ -157,14 +157,14 @@
     let world = World::new().with_usage(WINDOW);
     let (nodes, _) = start_three(&world).await;
     for i in 0..6 {
-        call(&nodes[i % 3], "x", &format!("r{i}")).await;
+        send_request(&nodes[i % 3], "x", &format!("r{i}")).await;
     }
     for node in &nodes {
-        node.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
+        node.store.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     }
     sleep_ms(6_000).await;
     for node in &nodes {
-        node.line.set_faults(Faults::default());
+        node.store.set_faults(Faults::default());
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 6);
@@ -177,21 +177,22 @@
     let (nodes, leader) = start_three(&world).await;
     let (other, third) = ((leader + 1) % 3, (leader + 2) % 3);
     for to in [leader, third] {
-        nodes[to].link(Link::Silent);
+        nodes[to].set_link(Link::Silent);
     }
     for i in 0..6 {
-        call(&nodes[other], "x", &format!("r{i}")).await;
+        send_request(&nodes[other], "x", &format!("r{i}")).await;
     }
     let elapsed_ms = world.clock.true_time().as_millis() as u64 % 5_000;
     sleep_ms(5_000 - elapsed_ms + 3_000).await;
     for to in [leader, third] {
-        nodes[to].link(Link::Open);
+        nodes[to].set_link(Link::Open);
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 6);
 }
 
-/// The clock of one node jumps forward and back again. Its requests stay in their windows.
+/// The clock of one node is set seven seconds ahead and back again. Its requests are counted in the
+/// windows of the true time.
 #[tokio::test(start_paused = true)]
 async fn requests_stay_in_their_windows_while_a_clock_is_wrong() {
     let mut world = World::new().with_usage(WINDOW);
@@ -206,61 +207,61 @@
     sleep_ms(5_000 - elapsed_ms + 100).await;
     let window = world.clock.true_time().as_secs() / 5;
     for i in 0..4 {
-        assert!(call(&nodes[3], "x", &format!("r{i}")).await);
+        assert!(send_request(&nodes[3], "x", &format!("r{i}")).await);
     }
     clock.set_offset(Duration::ZERO);
     wait_until_reported(&world).await;
     assert_eq!(reports(&world)[&window], Counts::from([("x".into(), 4)]));
 }
 
-/// Guards against incomplete reports when a node becomes leader whose clock is seven seconds ahead
-/// from its start. In a simulated day such a leader wrote the report of a window one second before
-/// its end, with only the requests that were counted by then.
+/// Guards against incomplete reports of a leader whose clock has been seven seconds ahead since its
+/// start. In a simulated day such a leader wrote the report of a window one second before the
+/// window ended, with only the requests that were counted by then.
 #[tokio::test(start_paused = true)]
 async fn a_leader_with_a_wrong_clock_from_its_start_reports_whole_windows() {
     let mut world = World::new().with_usage(WINDOW);
     let (mut nodes, leader) = start_three(&world).await;
     let wrong = world.clock.other_vm();
     wrong.set_offset(Duration::from_secs(7));
-    let truth = std::mem::replace(&mut world.clock, wrong);
-    // With two of them, one that has the wrong clock ranks next as leader.
+    let true_clock = std::mem::replace(&mut world.clock, wrong);
+    // With two nodes that have the wrong clock, one of them becomes the next leader.
     for name in ["d", "e"] {
         nodes.push(world.linked_node(name).await);
     }
-    world.clock = truth;
+    world.clock = true_clock;
     sleep_ms(6_000).await;
     drop(nodes.remove(leader));
     for i in 0..60 {
-        call(&nodes[i % 4], "x", &format!("r{i}")).await;
+        send_request(&nodes[i % 4], "x", &format!("r{i}")).await;
         sleep_ms(211).await;
     }
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 60);
-    let ends = |r: &ReceivedReport| (r.report.window + 1) * WINDOW.as_secs();
+    let window_end = |r: &ReceivedReport| (r.report.window + 1) * WINDOW.as_secs();
     let finished_ms = world.clock.true_time().as_millis() as u64;
     let now = tokio::time::Instant::now();
     for report in world.duties.reports() {
         let at = finished_ms - (now - report.received_at).as_millis() as u64;
-        assert!(at >= ends(&report) * 1_000, "window {} at {at}", report.report.window);
+        assert!(at >= window_end(&report) * 1_000, "window {} at {at}", report.report.window);
     }
 }
 
-/// Nodes that have counted nothing send nothing. In a simulation with 300 nodes, their messages at
-/// the end of each window and after a power loss cost trainers two of five steps.
+/// Nodes that have counted no requests send no messages. In a simulation with 300 nodes, their
+/// messages at the end of each window and after a power loss cost trainers two of five steps.
 #[tokio::test(start_paused = true)]
 async fn nodes_without_counts_send_nothing() {
     let world = World::new().with_usage(WINDOW);
-    let nodes = world.start_crowd(60);
+    let nodes = world.start_large_fleet(60);
     wait_until(|| nodes.iter().all(|n| n.app().ready())).await;
     let usage_messages = || {
-        let asked = world.links.requests();
-        asked.iter().filter(|ask| matches!(ask, PeerRequest::Usage { .. })).count()
+        let requests = world.links.requests();
+        requests.iter().filter(|request| matches!(request, PeerRequest::Usage { .. })).count()
     };
     sleep_ms(20_000).await;
     assert_eq!(usage_messages(), 0);
-    call(&nodes[7], "x", "r").await;
+    send_request(&nodes[7], "x", "r").await;
     wait_until_reported(&world).await;
     assert_eq!(total_reported(&world), 1);
-    // The count, and then the end of its window, each to up to two nodes.
+    // One message with the count, and one at the end of its window, each to at most two nodes.
     assert!((2..=4).contains(&usage_messages()), "{}", usage_messages());
 }
--- a/tests/entry/versions.rs
+++ b/tests/entry/versions.rs
@@ -1,14 +1,13 @@
-//! The weight versions that nodes assume replicas to serve.
+//! Tests of the weight versions that nodes assume replicas to serve.
 
 use standins::replicas::Behaviour;
 
 use crate::world::{MODEL, World, assert_completed, job_spec_from, sleep_ms};
 
-/// Guards against the following: a text was partly generated with a newer version, and the node
-/// then assumed that version for every replica that continued the text (330 futile attempts in a
-/// day).
+/// Guards against assuming that every replica that continues a text serves the newer version with
+/// which another replica generated part of it (330 futile attempts in a day).
 #[tokio::test(start_paused = true)]
-async fn a_text_implies_no_version_of_replicas_that_made_other_parts_of_it() {
+async fn a_version_of_a_text_is_not_assumed_for_other_replicas_that_continue_it() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.set_version("e1", MODEL, 2);
@@ -33,10 +32,10 @@
     assert_eq!(futile.count(), 0);
 }
 
-/// Guards against a replica that turned out to serve an older version than assumed and yet was
-/// tried again and again, for as long as it had the most free slots.
+/// Guards against repeated attempts at a replica that has shown to serve an older version than
+/// assumed, for as long as it has the most free slots.
 #[tokio::test(start_paused = true)]
-async fn a_version_that_a_replica_shows_overrides_the_assumed_one() {
+async fn a_version_in_a_response_overrides_the_assumed_one() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.set_version("e1", MODEL, 2);
@@ -59,10 +58,10 @@
     assert!(futile <= 16, "{futile} futile attempts");
 }
 
-/// Guards against the loss of events that were generated with allowed versions, when a later
-/// event is of a version that is not allowed.
+/// Guards against the loss of events that were generated with allowed versions when a later event
+/// has a version that is not allowed.
 #[tokio::test(start_paused = true)]
-async fn earlier_events_are_kept_when_a_replica_shows_an_older_version() {
+async fn earlier_events_are_kept_when_a_response_has_an_older_version() {
     let world = World::new();
     let a = world.node("a").await;
     world.replicas.set_version("e1", MODEL, 2);
@@ -77,18 +76,18 @@
     world.replicas.set_behaviour("e2", Behaviour::Normal);
     a.read_all("j", 1).await.iter().for_each(|l| assert_completed(l, 9));
     let ran = world.replicas.runs();
-    let made = ran.iter().filter(|r| &*r.id == "i1");
-    let made: Vec<(&str, Option<u64>)> = made.map(|r| (&*r.replica, r.last_event)).collect();
-    let futile = made.iter().position(|(replica, _)| *replica == "e2").unwrap();
-    assert!(futile > 0, "{made:?}");
-    assert_eq!(made[futile + 1].1, made[futile].1, "{made:?}");
+    let runs = ran.iter().filter(|r| &*r.id == "i1");
+    let runs: Vec<(&str, Option<u64>)> = runs.map(|r| (&*r.replica, r.last_event)).collect();
+    let futile = runs.iter().position(|(replica, _)| *replica == "e2").unwrap();
+    assert!(futile > 0, "{runs:?}");
+    assert_eq!(runs[futile + 1].1, runs[futile].1, "{runs:?}");
 }
 
-/// Guards against a replica that restarted under the same id with an older version and was
-/// assumed to be current: it got requests that it could not serve, and was never ordered to load
-/// the new version.
+/// Guards against a replica that restarted with the same id and an older version being assumed to
+/// serve the current one. It got requests that it could not serve, and was never ordered to load
+/// the current version.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_restarts_under_its_id_is_loaded_again() {
+async fn a_replica_that_restarts_with_its_id_is_ordered_to_load_again() {
     let world = World::new();
     for id in ["e1", "e2", "e3"] {
         world.replicas.restart("engines", id, 1, &[(MODEL, 1)]);
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -1,12 +1,16 @@
-//! Tests of the view that nodes have of the configuration, the replicas and each other.
+//! Tests of what nodes know of the configuration, the replicas and each other from the store.
 
 use mulberrycourse::edge::schema::Directive;
+use mulberrycourse::entry::RelayResponse;
 use standins::kv::{Faults, Outage};
 use std::time::Duration;
 
-use crate::world::{World, answered_calls, plain_replicas_used, sleep_ms, wait_until};
+use crate::world::{
+    Node, World, answered_calls, plain_replicas_used, relay_request, sleep_ms, wait_until,
+};
 
-fn version(node: &crate::world::Node) -> u64 {
+/// Returns the version of the configuration that a node has.
+fn version(node: &Node) -> u64 {
     node.app().routes().unwrap().version
 }
 
@@ -22,25 +26,25 @@
     assert_eq!(version(&node), 9);
 }
 
-/// Guards against a watch that is cut as the store drops its history resuming from a dropped
-/// revision, after which it got no changes for five seconds.
+/// Guards against a watch that ends as the store drops its history and is resumed from a dropped
+/// revision. It then got no changes for five seconds.
 #[tokio::test(start_paused = true)]
 async fn a_change_made_as_the_store_drops_its_history_is_seen() {
     let world = World::new();
     let node = world.node("a").await;
     world.configure(2);
     sleep_ms(100).await;
-    let quiet = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
-    node.line.set_faults(quiet);
+    let refusing = Faults { outage: Some(Outage::Refusing), ..Faults::default() };
+    node.store.set_faults(refusing);
     world.configure(3);
     world.kv.compact();
-    node.line.set_faults(Faults::default());
+    node.store.set_faults(Faults::default());
     sleep_ms(1_500).await;
     assert_eq!(version(&node), 3);
 }
 
-/// Guards against the drop of the history going unnoticed because no watch is open while changes
-/// are batched.
+/// Guards against a dropped history going undetected because no watch is open while changes are
+/// batched.
 #[tokio::test(start_paused = true)]
 async fn a_replica_that_drains_as_the_store_drops_its_history_gets_no_new_work() {
     let world = World::new();
@@ -58,18 +62,18 @@
 async fn a_disconnected_node_catches_up_once_the_store_answers_again() {
     let world = World::new();
     let node = world.node("a").await;
-    node.line.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
+    node.store.set_faults(Faults { outage: Some(Outage::Unresponsive), ..Faults::default() });
     sleep_ms(3_000).await;
     world.configure(7);
     sleep_ms(3_000).await;
     assert_eq!(version(&node), 1);
-    node.line.set_faults(Faults::default());
+    node.store.set_faults(Faults::default());
     sleep_ms(2_000).await;
     assert_eq!(version(&node), 7);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_node_is_deregistered_within_its_lease() {
+async fn a_crashed_node_is_deregistered_within_its_lease() {
     let world = World::new();
     let nodes = [world.node("a").await, world.node("b").await, world.node("c").await];
     let [a, b, c] = nodes;
@@ -95,28 +99,28 @@
     assert_eq!(world.kv.items("mulberry/live/node/").len(), 3);
     nodes[1].read_all("j", 1).await;
     let texts = world.replicas.runs().iter().filter(|r| &*r.id == "i1").count();
-    assert_eq!(texts, 1, "a job was taken over from an owner that was alive");
+    assert_eq!(texts, 1, "a job was taken over from an owner that is alive");
 }
 
 #[tokio::test(start_paused = true)]
-async fn entries_that_expire_in_an_outage_are_kept_until_they_can_be_written_again() {
+async fn entries_that_expire_in_an_outage_stay_in_use_until_they_can_be_written_again() {
     let world = World::new();
     let node = world.node("a").await;
-    node.line.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
+    node.store.set_faults(Faults { outage: Some(Outage::Refusing), ..Faults::default() });
     sleep_ms(500).await;
-    world.words.remove_replica(&world.kv, "p1");
-    world.words.remove_replica(&world.kv, "p2");
-    node.line.set_faults(Faults::default());
+    world.schema.remove_replica(&world.kv, "p1");
+    world.schema.remove_replica(&world.kv, "p2");
+    node.store.set_faults(Faults::default());
     sleep_ms(1_000).await;
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
-    let ask = crate::world::relay_request("r1", "/plain/x");
-    let given = node.app().relay(&route, ask).await;
-    assert!(matches!(given, mulberrycourse::entry::RelayResponse::Complete { .. }), "{given:?}");
+    let request = relay_request("r1", "/plain/x");
+    let response = node.app().relay(&route, request).await;
+    assert!(matches!(response, RelayResponse::Complete { .. }), "{response:?}");
     world.replicas.write_entry("plain", "p1", false);
     sleep_ms(3_000).await;
     for i in 0..6 {
-        let ask = crate::world::relay_request(&format!("q{i}"), "/plain/x");
-        node.app().relay(&route, ask).await;
+        let request = relay_request(&format!("q{i}"), "/plain/x");
+        node.app().relay(&route, request).await;
     }
     let late = world.replicas.runs();
     assert!(late.iter().filter(|r| r.id.starts_with('q')).all(|r| &*r.replica == "p1"));
@@ -138,18 +142,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_without_a_disk_ignores_retirement_requests() {
+async fn a_node_without_a_disk_ignores_retirement_requests() {
     let world = World::new();
     let _node = world.node("a").await;
-    let notice = Directive::Retire { node: "a".into(), within: Duration::from_secs(9) };
-    world.words.write_directive(&world.kv, "retire/a", notice);
+    let directive = Directive::Retire { node: "a".into(), within: Duration::from_secs(9) };
+    world.schema.write_directive(&world.kv, "retire/a", directive);
     sleep_ms(1_000).await;
     assert!(world.kv.items("retired/").is_empty());
 }
 
-/// Guards against every node being woken once a second by the weight loads of all replicas, which
-/// only the owners of jobs use. If owners batched changes for as long, training steps would wait
-/// for weights.
+/// Guards against every node handling the weight loads of all replicas once a second, although only
+/// the owners of jobs use them. If owners batched changes for as long as other nodes, training steps
+/// would wait for weights.
 #[tokio::test(start_paused = true)]
 async fn changes_of_replicas_are_batched_longer_where_no_job_runs() {
     let world = World::new();
@@ -162,8 +166,8 @@
     owner.submit("j", &["i1"]).await;
     sleep_ms(3_000).await;
     let before = [answered_calls(&idle, "Watch"), answered_calls(&owner, "Watch")];
-    for turn in 0..100 {
-        world.replicas.write_entry("plain", "p1", turn % 2 == 0);
+    for i in 0..100 {
+        world.replicas.write_entry("plain", "p1", i % 2 == 0);
         sleep_ms(100).await;
     }
     let watches =
@@ -173,27 +177,27 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_draining_replica_gets_no_work_after_the_time_to_drain() {
+async fn a_draining_replica_gets_no_work_after_its_drain_time() {
     let world = World::new();
     let drain = Duration::from_secs(3);
     let node = world.node_with_drain_time("a", drain).await;
     sleep_ms(3_000).await;
     world.replicas.write_entry("plain", "p2", false);
     sleep_ms(50).await;
-    // The change before this one has just arrived, so this one is batched for the longest time.
+    // The previous change has just arrived, so this one is batched for the longest time.
     world.replicas.write_entry("plain", "p1", true);
     sleep_ms(2_000).await;
     assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
 }
 
-/// Guards against a replica whose entry is removed as a watch is cut being taken for one that
-/// expired in an outage, so that it gets work for two seconds more.
+/// Guards against a replica whose entry is removed as a watch ends being taken for one that expired
+/// in an outage, and getting work for two seconds more.
 #[tokio::test(start_paused = true)]
-async fn a_replica_that_vanishes_as_a_watch_is_cut_gets_no_new_work() {
+async fn a_replica_that_is_removed_as_a_watch_ends_gets_no_new_work() {
     let world = World::new();
     let node = world.node("a").await;
     sleep_ms(2_000).await;
-    world.words.remove_replica(&world.kv, "p1");
+    world.schema.remove_replica(&world.kv, "p1");
     world.kv.compact();
     sleep_ms(1_500).await;
     assert_eq!(plain_replicas_used(&world, &node, "t").await, ["p2"; 6]);
@@ -208,7 +212,7 @@
         let history = Duration::from_secs(history);
         let node = world.node_with_store_history("a", history).await;
         sleep_ms(60_000).await;
-        assert!(node.line.longest_wait() <= history * 3 / 4, "{:?}", node.line.longest_wait());
+        assert!(node.store.longest_wait() <= history * 3 / 4, "{:?}", node.store.longest_wait());
     }
 }
 
@@ -237,10 +241,10 @@
     }
 }
 
-/// An entry of another writer that cannot be read names no replica. The other entries stay in use,
-/// and the replica is used again once its entry can be read.
+/// A replica whose entry was written by another program and does not parse is not used. The other
+/// entries stay in use, and the replica is used again once its entry parses.
 #[tokio::test(start_paused = true)]
-async fn a_replica_whose_entry_can_not_be_read_gets_no_work() {
+async fn a_replica_with_an_invalid_entry_gets_no_work() {
     let world = World::new();
     let node = world.node("a").await;
     sleep_ms(2_000).await;
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -1,4 +1,4 @@
-//! The setting of the tests: entry nodes that share a key-value service and a fleet of replicas.
+//! The environment of the tests: entry nodes that share a key-value service and a fleet of replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,7 +21,9 @@
 
 use crate::links::{Link, Links};
 
+/// The host name of all routes.
 pub(crate) const HOST: &str = "host.example";
+/// The model that the engine replicas serve.
 pub(crate) const MODEL: &str = "coach";
 /// Keeps a test from hanging; no result depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
@@ -29,30 +31,32 @@
 /// The key-value service, the replicas, and what the nodes of a test have in common.
 pub(crate) struct World {
     pub(crate) kv: KvService,
-    pub(crate) words: TestSchema,
+    /// Writes routes, weight versions and replicas in the key-value service.
+    pub(crate) schema: TestSchema,
     pub(crate) replicas: ReplicaFleet,
     pub(crate) links: Links,
     pub(crate) duties: DutyLedger,
     /// The clock of the nodes that are started from now on.
     pub(crate) clock: TestClock,
-    /// The windows by which nodes report usage; none if they don't.
-    usage: Option<Windows>,
-    /// Whether nodes may order replicas.
-    ordering: bool,
+    /// The windows by which nodes report usage. `None` if they report none.
+    usage_windows: Option<Windows>,
+    /// Whether nodes have an address at which they order replicas.
+    orders_replicas: bool,
 }
 
 /// A node and its connections to the store and to other nodes.
 pub(crate) struct Node {
     pub(crate) entry: EntryNode,
-    pub(crate) line: KvClient,
+    pub(crate) store: KvClient,
     links: Links,
 }
 
 impl World {
-    /// Three engine replicas, two plain replicas, and routes of every kind.
+    /// Starts the key-value service with three engine replicas, two plain replicas, and routes of
+    /// every kind.
     pub(crate) fn new() -> Self {
-        let (kv, words) = (KvService::spawn(), TestSchema::default());
-        let replicas = ReplicaFleet::new(kv.clone(), words.clone());
+        let (kv, schema) = (KvService::spawn(), TestSchema::default());
+        let replicas = ReplicaFleet::new(kv.clone(), schema.clone());
         for id in ["e1", "e2", "e3"] {
             replicas.add("engines", id, &[MODEL]);
         }
@@ -61,23 +65,24 @@
         }
         let (duties, clock) = (DutyLedger::default(), TestClock::default());
         let links = Links::default();
-        let (usage, ordering) = (None, false);
-        let world = Self { kv, words, replicas, links, duties, clock, usage, ordering };
+        let (usage_windows, orders_replicas) = (None, false);
+        let world =
+            Self { kv, schema, replicas, links, duties, clock, usage_windows, orders_replicas };
         world.configure(1);
         world
     }
 
-    /// The same, with usage reported by windows of this length.
+    /// Makes the nodes that are started from now on report usage by windows of this length.
     pub(crate) fn with_usage(self, length: Duration) -> Self {
-        Self { usage: Some(Windows { length, report_grace: length * 2 }), ..self }
+        Self { usage_windows: Some(Windows { length, report_grace: length * 2 }), ..self }
     }
 
-    /// The same, with nodes that may order replicas.
+    /// Lets the nodes that are started from now on order replicas.
     pub(crate) fn with_duties(self) -> Self {
-        Self { ordering: true, ..self }
+        Self { orders_replicas: true, ..self }
     }
 
-    /// The index of the leader among these nodes.
+    /// Returns the index of the leader among these nodes.
     pub(crate) fn leader(&self, nodes: &[Node]) -> usize {
         let items = self.kv.items("mulberry/live/holder");
         let text = String::from_utf8(items[0].value.to_vec()).unwrap();
@@ -85,13 +90,13 @@
         nodes.iter().position(leads).unwrap()
     }
 
-    /// Writes the routes with a configuration version.
+    /// Writes the routes as this version of the configuration.
     pub(crate) fn configure(&self, version: u64) {
         self.configure_with(version, "");
     }
 
-    /// The same, with further routes as text.
-    pub(crate) fn configure_with(&self, version: u64, others: &str) {
+    /// Writes the routes as this version of the configuration, with further routes as text.
+    pub(crate) fn configure_with(&self, version: u64, extra_routes: &str) {
         let routes = vec![
             route("/jobs/", "engines", RetryPolicy::Never),
             route("/plain/", "plain", RetryPolicy::Rerun),
@@ -108,13 +113,18 @@
                 prices: [("z".into(), 1.0)].into(),
             },
         ]);
-        self.words.write_padded_directive(&self.kv, "config", Directive::Routes(routes), others);
+        self.schema.write_padded_directive(
+            &self.kv,
+            "config",
+            Directive::Routes(routes),
+            extra_routes,
+        );
     }
 
     /// Names a weight version, as a trainer does.
     pub(crate) fn name_version(&self, version: u64) {
-        let notice = Directive::Version { model: MODEL.into(), version };
-        self.words.write_directive(&self.kv, "version", notice);
+        let directive = Directive::Version { model: MODEL.into(), version };
+        self.schema.write_directive(&self.kv, "version", directive);
     }
 
     /// Starts a node and waits until it is ready.
@@ -122,22 +132,22 @@
         self.node_with_job_retention(name, Duration::from_secs(120)).await
     }
 
-    /// The same, with this `[jobs] kept`.
+    /// Starts a node with this `[jobs] kept`, and waits until it is ready.
     pub(crate) async fn node_with_job_retention(&self, name: &str, retention: Duration) -> Node {
         self.node_with_settings(EntrySettings { job_retention: retention, ..settings(name) }).await
     }
 
-    /// The same, with this `[replicas] drain`.
+    /// Starts a node with this `[replicas] drain`, and waits until it is ready.
     pub(crate) async fn node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         self.node_with_settings(EntrySettings { drain_time: drain, ..settings(name) }).await
     }
 
-    /// The same, with this `[store] value`, in bytes.
+    /// Starts a node with this `[store] value`, in bytes, and waits until it is ready.
     pub(crate) async fn node_with_value_bytes(&self, name: &str, value: usize) -> Node {
         self.node_with_settings(EntrySettings { value_bytes: value, ..settings(name) }).await
     }
 
-    /// The same, with this `[store] history`.
+    /// Starts a node with this `[store] history`, and waits until it is ready.
     pub(crate) async fn node_with_store_history(&self, name: &str, history: Duration) -> Node {
         self.node_with_settings(EntrySettings { store_history: history, ..settings(name) }).await
     }
@@ -147,7 +157,8 @@
         self.linked_node_with_drain_time(name, settings(name).drain_time).await
     }
 
-    /// The same, with this `[replicas] drain`.
+    /// Starts a node with this `[replicas] drain` that other nodes can connect to, and waits until
+    /// it is ready.
     pub(crate) async fn linked_node_with_drain_time(&self, name: &str, drain: Duration) -> Node {
         let port = 1_000 + u16::from(name.as_bytes()[0]);
         let at = SocketAddr::from(([127, 0, 0, 1], port));
@@ -162,8 +173,8 @@
         node
     }
 
-    /// Starts a linked node that knows another from its settings and whose store connection has
-    /// faults. Does not wait until it is ready.
+    /// Starts a node that other nodes can connect to, that has another node as its seed, and whose
+    /// connection to the store has these faults. Does not wait until it is ready.
     pub(crate) fn start_linked(&self, name: &str, seed: &Node, faults: Faults) -> Node {
         let at = SocketAddr::from(([127, 0, 0, 1], 1_000 + u16::from(name.as_bytes()[0])));
         let seeds = seed.app().settings.peer_address.into_iter().collect();
@@ -173,20 +184,20 @@
         node
     }
 
-    /// The peer address of a node that [`Self::start_crowd`] starts.
-    pub(crate) fn crowd_address(index: u16) -> SocketAddr {
+    /// The peer address of a node that [`Self::start_large_fleet`] starts.
+    pub(crate) fn fleet_address(index: u16) -> SocketAddr {
         SocketAddr::from(([127, 0, 0, 1], 2_000 + index))
     }
 
-    /// Starts this many linked nodes at once, which know the first three from their settings.
-    pub(crate) fn start_crowd(&self, count: u16) -> Vec<Node> {
-        let at = Self::crowd_address;
+    /// Starts this many nodes at once that can connect to each other and have the first three as
+    /// their seeds. Does not wait until they are ready.
+    pub(crate) fn start_large_fleet(&self, count: u16) -> Vec<Node> {
+        let address = Self::fleet_address;
         let start = |i| {
-            let (peers, seeds) = (Some(at(i)), (0..3).map(at).collect());
-            let settings =
-                EntrySettings { peer_address: peers, seeds, ..settings(&format!("n{i:03}")) };
+            let (peer_address, seeds) = (Some(address(i)), (0..3).map(address).collect());
+            let settings = EntrySettings { peer_address, seeds, ..settings(&format!("n{i:03}")) };
             let node = self.start(settings, Faults::default());
-            self.links.add_node(at(i), node.app().clone());
+            self.links.add_node(address(i), node.app().clone());
             node
         };
         (0..count).map(start).collect()
@@ -199,21 +210,21 @@
     }
 
     fn start(&self, settings: EntrySettings, faults: Faults) -> Node {
-        let duties = self.ordering.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
+        let duties = self.orders_replicas.then(|| SocketAddr::from(([127, 0, 0, 1], 3)));
         let settings =
-            EntrySettings { usage_windows: self.usage, duties_address: duties, ..settings };
-        let line = self.kv.client();
-        line.set_faults(faults);
+            EntrySettings { usage_windows: self.usage_windows, duties_address: duties, ..settings };
+        let store = self.kv.client();
+        store.set_faults(faults);
         let links = Arc::new(self.links.of_node(settings.peer_address));
         let ports = Ports {
-            store: Arc::new(line.clone()),
+            store: Arc::new(store.clone()),
             replicas: Arc::new(self.replicas.clone()),
-            schema: Arc::new(self.words.clone()),
+            schema: Arc::new(self.schema.clone()),
             duties: Arc::new(self.duties.clone()),
             clock: Arc::new(self.clock.clone()),
         };
         let entry = EntryNode::spawn(settings, ports, |_| links);
-        Node { entry, line, links: self.links.clone() }
+        Node { entry, store, links: self.links.clone() }
     }
 }
 
@@ -222,8 +233,8 @@
         self.entry.app()
     }
 
-    /// Sets how this node handles requests of other nodes.
-    pub(crate) fn link(&self, link: Link) {
+    /// Sets how this node treats requests of other nodes.
+    pub(crate) fn set_link(&self, link: Link) {
         self.links.set(self.app().settings.peer_address.unwrap(), link);
     }
 
@@ -232,14 +243,14 @@
         self.links.isolate(self.app().settings.peer_address.unwrap());
     }
 
-    /// Requests the results of a job from another node; none without a proper reply.
+    /// Sends another node a request for the results of a job. Returns `None` without a valid reply.
     pub(crate) async fn request_results(
         &self,
         to: &Node,
-        ask: PeerRequest,
+        request: PeerRequest,
     ) -> Option<Option<ReadResult>> {
         let to = to.app().settings.peer_address.unwrap();
-        match self.links.request(to, ask, Duration::from_secs(1)).await {
+        match self.links.request(to, request, Duration::from_secs(1)).await {
             Ok(PeerReply::Read(read)) => Some(read),
             _ => None,
         }
@@ -253,9 +264,9 @@
         }
     }
 
-    /// Reads until there are `total` results.
+    /// Reads until it has `total` results of a job, and returns them.
     pub(crate) async fn read_all(&self, job: &str, total: usize) -> Vec<Arc<ItemResult>> {
-        let reading = async {
+        let read = async {
             let mut all = Vec::new();
             while all.len() < total {
                 match self.app().read(job, all.len(), Duration::from_secs(1)).await {
@@ -265,18 +276,19 @@
             }
             all
         };
-        tokio::time::timeout(TEST_TIMEOUT, reading).await.unwrap()
+        tokio::time::timeout(TEST_TIMEOUT, read).await.unwrap()
     }
 
+    /// Submits a job with these items.
     pub(crate) async fn submit(&self, job: &str, items: &[&str]) -> SubmitResult {
         self.app().submit(job_spec(job, items)).await
     }
 }
 
-/// Waits until a condition holds.
-pub(crate) async fn wait_until(mut reached: impl FnMut() -> bool) {
+/// Waits until a condition holds, and fails after two minutes of the test's clock.
+pub(crate) async fn wait_until(mut condition: impl FnMut() -> bool) {
     let wait = async {
-        while !reached() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
@@ -287,6 +299,7 @@
     tokio::time::sleep(Duration::from_millis(millis)).await;
 }
 
+/// Returns the settings of a node, with the defaults of everything optional.
 fn settings(name: &str) -> EntrySettings {
     let text = format!(
         "[node]\nname = {name}\nzone = z\ncallers = 127.0.0.1:1\n[store]\naddress = 127.0.0.1:2\n"
@@ -294,12 +307,12 @@
     EntrySettings::read(&Document::parse("test", &text).unwrap()).unwrap()
 }
 
-fn route(prefix: &str, service: &str, again: RetryPolicy) -> Route {
+fn route(prefix: &str, service: &str, retry_policy: RetryPolicy) -> Route {
     Route {
         name: prefix.into(),
         host: HOST.into(),
         prefix: prefix.into(),
-        retry_policy: again,
+        retry_policy,
         streaming: prefix == "/text/",
         batch: prefix == "/jobs/",
         timeout: Some(Duration::from_secs(4)),
@@ -313,6 +326,7 @@
     }
 }
 
+/// Returns the submission of a job with these items, for weight version 1 or later.
 pub(crate) fn job_spec(job: &str, items: &[&str]) -> JobSpec {
     JobSpec {
         id: job.into(),
@@ -326,9 +340,9 @@
     }
 }
 
-/// The same, with this minimum weight version.
-pub(crate) fn job_spec_from(job: &str, items: &[&str], oldest: u64) -> JobSpec {
-    JobSpec { min_version: oldest, ..job_spec(job, items) }
+/// Returns the submission of a job with these items, for this weight version or later.
+pub(crate) fn job_spec_from(job: &str, items: &[&str], min_version: u64) -> JobSpec {
+    JobSpec { min_version, ..job_spec(job, items) }
 }
 
 fn item(id: &str) -> ItemSpec {
@@ -348,6 +362,7 @@
     }
 }
 
+/// Returns a client's request, with a deadline of two seconds.
 pub(crate) fn relay_request(id: &str, path: &str) -> RelayRequest {
     let mut headers = HeaderMap::new();
     headers.insert("model", MODEL.parse().unwrap());
@@ -364,7 +379,7 @@
     }
 }
 
-/// The text that the replicas generate for a sample.
+/// Returns the text that the replicas generate for a sample.
 pub(crate) fn expected_text(item: &str, events: u64) -> String {
     let lines: Vec<String> = (1..=events).map(|e| ReplicaFleet::event_data(item, e)).collect();
     lines.join("\n")
@@ -380,23 +395,24 @@
     assert_eq!(score.as_deref(), Some(&*format!("signed score-{}", result.id)));
 }
 
-/// The number of a node's store calls of one kind that succeeded.
+/// Returns the number of a node's store calls of one kind that succeeded.
 pub(crate) fn answered_calls(node: &Node, call: &str) -> u64 {
     count_calls(node, &format!("{{call=\"{call}\",end=\"Answered\","))
 }
 
-/// The number of all store calls of some nodes; a lease renewal counts as a tenth of a call.
+/// Returns the number of all store calls of some nodes. A lease renewal counts as a tenth of a call.
 pub(crate) fn charged_calls(nodes: &[Node]) -> u64 {
-    let of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
-    nodes.iter().map(of).map(|(all, keeps)| (all - keeps) * 10 + keeps).sum::<u64>() / 10
+    let counts_of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
+    nodes.iter().map(counts_of).map(|(all, renewals)| (all - renewals) * 10 + renewals).sum::<u64>()
+        / 10
 }
 
-/// The number of a node's store calls that the store refused.
+/// Returns the number of a node's store calls that the store refused.
 pub(crate) fn refused_calls(node: &Node) -> u64 {
     count_calls(node, "end=\"Refused\",")
 }
 
-/// The number of a node's store calls whose metric labels contain this text.
+/// Returns the number of a node's store calls whose metric labels contain this text.
 fn count_calls(node: &Node, labels: &str) -> u64 {
     let text = node.app().metrics();
     let calls = text.lines().filter(|l| l.starts_with("mulberry_store_calls_total{"));
@@ -404,14 +420,21 @@
     counts.map(|count| count.parse::<u64>().unwrap()).sum()
 }
 
-/// Sends six plain requests by a node and returns the replicas that ran them.
-pub(crate) async fn plain_replicas_used(world: &World, node: &Node, turn: &str) -> Vec<String> {
+/// Sends six plain requests through a node and returns the replicas that ran them. The request ids
+/// begin with `id_prefix`, which must differ between the calls of a test.
+pub(crate) async fn plain_replicas_used(
+    world: &World,
+    node: &Node,
+    id_prefix: &str,
+) -> Vec<String> {
     let route = node.app().routes().unwrap().find("host.example", "/plain/x").cloned().unwrap();
     let name = &node.app().settings.name;
     for i in 0..6 {
-        node.app().relay(&route, relay_request(&format!("{turn}-{name}-{i}"), "/plain/x")).await;
+        node.app()
+            .relay(&route, relay_request(&format!("{id_prefix}-{name}-{i}"), "/plain/x"))
+            .await;
     }
-    let prefix = format!("{turn}-{name}-");
+    let prefix = format!("{id_prefix}-{name}-");
     let ran = world.replicas.runs();
     let ran = ran.iter().filter(|r| r.id.starts_with(&prefix));
     ran.map(|r| r.replica.to_string()).collect()
