--- a/src/bin/mulberryctl.rs
+++ b/src/bin/mulberryctl.rs
@@ -156,9 +156,9 @@
     let output = args.output;
     match run(args).await {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            report(output, &failure);
-            ExitCode::from(failure.status())
+        Err(error) => {
+            report(output, &error);
+            ExitCode::from(error.status())
         }
     }
 }
@@ -182,7 +182,7 @@
         Command::Rollout { node, number, wait } => {
             let rollout = follow_rollout(node, number, wait.into(), progress).await;
             end_progress();
-            print(output, &rollout?, RolloutProgress::line);
+            print(output, &rollout?, RolloutProgress::summary);
         }
         Command::Completions { shell } => {
             let mut command = Args::command();
@@ -280,7 +280,7 @@
 #[allow(clippy::print_stderr)]
 fn progress(rollout: &RolloutProgress) {
     if std::io::stderr().is_terminal() {
-        eprint!("\r\x1b[2K{}", rollout.line());
+        eprint!("\r\x1b[2K{}", rollout.summary());
     }
 }
 
@@ -292,11 +292,11 @@
 }
 
 #[allow(clippy::print_stderr)]
-fn report(output: Output, failure: &CommandError) {
+fn report(output: Output, error: &CommandError) {
     match output {
-        Output::Text => eprintln!("mulberryctl: {failure}"),
+        Output::Text => eprintln!("mulberryctl: {error}"),
         Output::Json => {
-            eprintln!("{}", serde_json::to_string_pretty(&failure.report()).unwrap_or_default());
+            eprintln!("{}", serde_json::to_string_pretty(&error.report()).unwrap_or_default());
         }
     }
 }
--- a/src/cli/rollout.rs
+++ b/src/cli/rollout.rs
@@ -36,12 +36,12 @@
 
 impl RolloutProgress {
     /// Whether it is done.
-    pub fn done(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.number > 0 && self.behind.is_empty()
     }
 
     /// One line of progress.
-    pub fn line(&self) -> String {
+    pub fn summary(&self) -> String {
         let Self { number, nodes, all_nodes, engines, all_engines, .. } = self;
         format!("bundle {number}: {nodes} of {all_nodes} nodes, {engines} of {all_engines} engines")
     }
@@ -60,12 +60,12 @@
     loop {
         let rollout = look(node, number, &engines).await?;
         show(&rollout);
-        if rollout.done() {
+        if rollout.is_complete() {
             return Ok(rollout);
         }
         if Instant::now() >= until {
             let behind = rollout.behind.join(", ");
-            return Err(CommandError::TimedOut(format!("{}; behind: {behind}", rollout.line())));
+            return Err(CommandError::TimedOut(format!("{}; behind: {behind}", rollout.summary())));
         }
         tokio::time::sleep(PERIOD).await;
     }
--- a/src/decide/dispatch/dispatch.rs
+++ b/src/decide/dispatch/dispatch.rs
@@ -332,7 +332,7 @@
         let after = self.retries.schedule(pending.call.cost, &estimate, now, &mut self.rng);
         // An earlier attempt may have run, whatever the outcome of the last one.
         let kind = if pending.may_have_run { Kind::OutcomeUnknown } else { kind };
-        let refusal = Refusal::new(kind, detail).after(after);
+        let refusal = Refusal::new(kind, detail).with_retry_after(after);
         self.actions.push(DispatchAction::Refuse { ticket, refusal });
     }
 }
--- a/src/edge/http/body.rs
+++ b/src/edge/http/body.rs
@@ -80,12 +80,12 @@
 /// Creates the response for a refusal: `application/problem+json`, with `Retry-After` rounded up
 /// to whole seconds.
 pub fn problem_response(refusal: &Refusal) -> Response<Body> {
-    let status = refusal.kind.answer().status;
+    let status = refusal.kind.response().status;
     let bytes = serde_json::to_vec(&refusal.problem()).unwrap_or_default();
     let mut response = response_with_type(status, "application/problem+json", bytes);
     let headers = response.headers_mut();
     headers.insert("mulberry-run", HeaderValue::from_static(refusal.run().as_str()));
-    if let Some(after) = refusal.after {
+    if let Some(after) = refusal.retry_after {
         headers.insert(RETRY_AFTER, HeaderValue::from(after.as_millis().div_ceil(1_000) as u64));
     }
     response
--- a/src/entry/scale/orders.rs
+++ b/src/entry/scale/orders.rs
@@ -176,7 +176,7 @@
             Term { leader: self.app.settings.name.clone(), fencing_token: self.fencing_token };
         *self.app.last_duty.lock() = Some(self.app.now());
         let end = self.app.duties.order_scale(term, order.clone(), ORDER_TIMEOUT).await;
-        self.app.tally.scale(end);
+        self.app.tally.count_scale_order(end);
         tracing::info!(
             event = "replicas_ordered",
             service = %order.service,
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -144,7 +144,7 @@
     let txn = Txn::when(key.clone(), seen.revision).put(key, written);
     match app.store.txn(txn).await {
         Ok(TxnOutcome::Done(revision)) => {
-            app.tally.job(JobEvent::Taken);
+            app.tally.count_job_event(JobEvent::Taken);
             tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
             resume_job(app, job, Stored { value, revision }).await
         }
--- a/src/error/refusal.rs
+++ b/src/error/refusal.rs
@@ -9,7 +9,7 @@
 /// A final answer that is not the one asked for.
 ///
 /// Whether the request ran is the kind's to say. It can be made less certain by
-/// [`Refusal::unsure`]; nothing makes it more certain:
+/// [`Refusal::with_unknown_outcome`]; nothing makes it more certain:
 ///
 /// ```compile_fail
 /// use mulberrycourse::error::{Kind, Refusal, RunStatus};
@@ -30,13 +30,13 @@
     /// What exactly, for people.
     pub detail: String,
     /// When to come back, if that helps.
-    pub after: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
     /// A refusal with the kind's own answer.
     pub fn new(kind: Kind, detail: impl Into<String>) -> Self {
-        Self { kind, run: kind.answer().run, detail: detail.into(), after: None }
+        Self { kind, run: kind.response().run, detail: detail.into(), retry_after: None }
     }
 
     /// What is known about whether the request ran.
@@ -45,26 +45,26 @@
     }
 
     /// The request may have run after all, which the kind is to say.
-    pub fn unsure(self, kind: Kind) -> Self {
+    pub fn with_unknown_outcome(self, kind: Kind) -> Self {
         Self { kind, run: RunStatus::Unknown, ..self }
     }
 
     /// Says when to come back.
-    pub fn after(mut self, after: Duration) -> Self {
-        self.after = Some(after);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
     /// The problem document (RFC 9457) of this refusal.
     pub fn problem(&self) -> Problem {
-        let answer = self.kind.answer();
+        let response = self.kind.response();
         Problem {
             kind: format!("urn:mulberrycourse:{}", self.kind),
-            title: answer.title.to_owned(),
-            status: answer.status.as_u16(),
+            title: response.title.to_owned(),
+            status: response.status.as_u16(),
             detail: self.detail.clone(),
             run: self.run,
-            retry_after_ms: self.after.map(|d| d.as_millis() as u64),
+            retry_after_ms: self.retry_after.map(|d| d.as_millis() as u64),
         }
     }
 }
--- a/src/error/response.rs
+++ b/src/error/response.rs
@@ -36,7 +36,7 @@
     /// Whether the request ran.
     pub run: RunStatus,
     /// Whether it is worth asking again later.
-    pub again: bool,
+    pub retryable: bool,
     /// One sentence for people.
     pub title: &'static str,
 }
@@ -44,15 +44,15 @@
 const fn row(
     status: StatusCode,
     run: RunStatus,
-    again: bool,
+    retryable: bool,
     title: &'static str,
 ) -> ErrorResponse {
-    ErrorResponse { status, run, again, title }
+    ErrorResponse { status, run, retryable, title }
 }
 
 impl Kind {
     /// The answer to this kind.
-    pub fn answer(self) -> ErrorResponse {
+    pub fn response(self) -> ErrorResponse {
         use RunStatus::{NotRun, Ran, Unknown};
         use StatusCode as S;
         match self {
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -15,26 +15,26 @@
 
 /// A filter that does not parse.
 #[derive(Debug, thiserror::Error)]
-#[error("log level {level}: {reason}")]
+#[error("log level {filter}: {reason}")]
 pub struct InvalidLogFilter {
     /// The filter.
-    pub level: String,
+    pub filter: String,
     /// What is wrong.
     pub reason: String,
 }
 
 /// Checks a filter.
-pub fn check(level: &str) -> Result<(), InvalidLogFilter> {
+pub fn check_filter(level: &str) -> Result<(), InvalidLogFilter> {
     filter(level).map(drop)
 }
 
 /// Starts logging on standard error at a level, or by a filter such as `mulberrycourse=debug`.
 pub fn start(level: &str) -> Result<(), InvalidLogFilter> {
-    start_on(level, std::io::stderr)
+    start_with_writer(level, std::io::stderr)
 }
 
 /// The same on another writer.
-pub fn start_on<W>(level: &str, writer: W) -> Result<(), InvalidLogFilter>
+pub fn start_with_writer<W>(level: &str, writer: W) -> Result<(), InvalidLogFilter>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
@@ -42,13 +42,13 @@
     let lines = tracing_logfmt::builder().layer().with_writer(writer);
     // A second start in one process keeps the first.
     let _ = tracing_subscriber::registry()
-        .with(lines.with_filter(Budget::default()).with_filter(filter))
+        .with(lines.with_filter(RateLimit::default()).with_filter(filter))
         .try_init();
     Ok(())
 }
 
 fn filter(level: &str) -> Result<EnvFilter, InvalidLogFilter> {
-    let bad = |reason: String| InvalidLogFilter { level: level.to_owned(), reason };
+    let bad = |reason: String| InvalidLogFilter { filter: level.to_owned(), reason };
     let filter = EnvFilter::try_new(level).map_err(|e| bad(e.to_string()))?;
     // A word that is no level parses as the name of a module, and nothing would be logged.
     let words = level.split(',').map(str::trim);
@@ -71,26 +71,26 @@
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
 /// How many lines were left out for their number.
-pub fn dropped() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
 /// A writer on standard output that never blocks: lines wait for a thread of their own, and
 /// are left out once too many do. The guard writes what waits when it is dropped.
-pub fn waiting() -> (NonBlocking, WorkerGuard) {
+pub fn stdout_writer() -> (NonBlocking, WorkerGuard) {
     let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING);
     builder.finish(std::io::stdout())
 }
 
 /// Lets through so many lines a second of each place in the code.
 #[derive(Debug, Default)]
-pub struct Budget {
+pub struct RateLimit {
     spent: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
-impl Budget {
+impl RateLimit {
     /// Whether a line of this place may be written at this moment.
-    pub fn spend(&self, place: Identifier, now: Instant) -> bool {
+    pub fn allow(&self, place: Identifier, now: Instant) -> bool {
         let mut spent = self.spent.lock();
         let (since, count) = spent.entry(place).or_insert((now, 0));
         if now.saturating_duration_since(*since) >= SECOND {
@@ -105,12 +105,12 @@
     }
 }
 
-impl<S: Subscriber> Filter<S> for Budget {
+impl<S: Subscriber> Filter<S> for RateLimit {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        self.spend(event.metadata().callsite(), Instant::now())
+        self.allow(event.metadata().callsite(), Instant::now())
     }
 }
--- a/src/node/app.rs
+++ b/src/node/app.rs
@@ -122,7 +122,8 @@
     pub(super) fn bundle(&self) -> Result<AdoptedBundle, Refusal> {
         let wait = self.settings.platform.timeout;
         self.bundles.current().ok_or_else(|| {
-            Refusal::new(Kind::NoBundle, "this node has no active bundle yet").after(wait)
+            Refusal::new(Kind::NoBundle, "this node has no active bundle yet")
+                .with_retry_after(wait)
         })
     }
 
@@ -140,7 +141,7 @@
 
     /// Updates the dispatchers to a bundle that becomes active.
     pub(super) fn apply_bundle(&self, adopted: &AdoptedBundle) {
-        self.metrics.bundle.set(adopted.bundle.number as i64);
+        self.metrics.bundle_number.set(adopted.bundle.number as i64);
         self.members.set_bundle(adopted.bundle.number);
         let mut dispatchers = self.dispatchers.write();
         for (name, service) in &adopted.bundle.services {
@@ -150,7 +151,7 @@
                 Arc::new(Dispatcher::new(limits, zone, self.clock, self.metrics.clone()))
             });
             dispatcher.set_limits(limits);
-            dispatcher.set_weights(adopted.bundle.shares());
+            dispatcher.set_weights(adopted.bundle.caller_weights());
         }
         dispatchers.retain(|name, _| adopted.bundle.services.contains_key(name));
     }
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -58,18 +58,18 @@
     let mut specs: Vec<StepSpec> = (1..=STEPS + 1).map(spec).collect();
     // The next step is submitted at the version before its own.
     specs.iter_mut().skip(1).for_each(|s| s.version -= 1);
-    let mut now = trainer.resume(1, &specs[0], BTreeMap::new());
+    let mut now = trainer.resume_step(1, &specs[0], BTreeMap::new());
     for step in 1..=STEPS {
-        trainer.advance(step);
+        trainer.set_version(step);
         let waited = Instant::now();
-        while !now.next().await?.is_empty() {}
+        while !now.next_groups().await?.is_empty() {}
         idle += waited.elapsed();
-        doubled += now.report().doubled;
+        doubled += now.report().duplicates;
         for sample in now.report().groups.values().flat_map(|g| &g.samples) {
             behind += step - sample.oldest().unwrap_or(step).min(step);
             samples += 1;
         }
-        let mut next = trainer.resume(step + 1, &specs[step as usize], BTreeMap::new());
+        let mut next = trainer.resume_step(step + 1, &specs[step as usize], BTreeMap::new());
         next.prepare().await?;
         tokio::time::sleep(TRAIN).await;
         fleet.apply(step + 2, &weighed(step + 2, step + 1, weight)).await?;
--- a/standins/src/experiment/run.rs
+++ b/standins/src/experiment/run.rs
@@ -283,7 +283,7 @@
     fn refused(&mut self, ticket: Ticket, refusal: &Refusal) {
         let Some(mut asked) = self.asked.remove(&ticket) else { return };
         self.recount(&mut asked);
-        let after = refusal.after.unwrap_or(Duration::from_secs(1));
+        let after = refusal.retry_after.unwrap_or(Duration::from_secs(1));
         let result = self.result_of(asked.source);
         if asked.counted {
             *self.results[result].refused.entry(refusal.kind).or_default() += 1;
--- a/standins/src/experiment/scenario.rs
+++ b/standins/src/experiment/scenario.rs
@@ -155,7 +155,7 @@
     }
 
     fn read(name: &str, doc: &Document) -> Result<Self, SettingsError> {
-        doc.only(&["scenario"], &["flow", "trainer", "change"])?;
+        doc.check_sections(&["scenario"], &["flow", "trainer", "change"])?;
         let head = doc.section("scenario")?;
         let kinds = [("engine", true), ("plain", false)];
         let mut scales = head.list("scales")?;
@@ -170,13 +170,13 @@
             engine,
             scales,
             limits: ServiceLimits {
-                max_queued: head.within("queue", 1..=100_000, 1_000)?,
-                max_concurrency: head.within(
+                max_queued: head.in_range("queue", 1..=100_000, 1_000)?,
+                max_concurrency: head.in_range(
                     "concurrency",
                     1..=10_000,
                     if engine { 64 } else { 32 },
                 )?,
-                training_percent: head.within("training_floor", 0..=90, 10)?,
+                training_percent: head.in_range("training_floor", 0..=90, 10)?,
             },
             flows: all(doc, "flow", flow)?,
             trainers: all(doc, "trainer", trainer)?,
@@ -203,13 +203,13 @@
     /// Reads the deployments of a file.
     pub fn open(path: &Path) -> Result<Vec<Self>, SettingsError> {
         let doc = Document::open(path)?;
-        doc.only(&[], &["deployment"])?;
+        doc.check_sections(&[], &["deployment"])?;
         all(&doc, "deployment", |name, section| {
             Ok(Self {
                 name,
-                zones: section.within("zones", 1..=100, 3)?,
-                engines: section.within("engines", 1..=10_000, 9)?,
-                plain: section.within("plain", 1..=10_000, 3)?,
+                zones: section.in_range("zones", 1..=100, 3)?,
+                engines: section.in_range("engines", 1..=10_000, 9)?,
+                plain: section.in_range("plain", 1..=10_000, 3)?,
             })
         })
     }
@@ -226,7 +226,7 @@
     one: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
 ) -> Result<Vec<T>, SettingsError> {
     let mut items = Vec::new();
-    for (name, section) in doc.named(kind) {
+    for (name, section) in doc.named_sections(kind) {
         items.push(one(name, &section)?);
         section.finish()?;
     }
@@ -241,14 +241,14 @@
         name,
         class: section.choice("class", &classes, Class::Live)?,
         repeat: section.choice("repeat", &repeats, Repeat::Idempotent)?,
-        load: section.within("load", 0.0..=100.0, 0.5)?,
+        load: section.in_range("load", 0.0..=100.0, 0.5)?,
         scaled: section.value_or("scaled", true)?,
-        cost: section.within("cost", 1..=100_000, 1)?,
+        cost: section.in_range("cost", 1..=100_000, 1)?,
         deadline: section.duration("deadline", Duration::from_secs(5))?,
-        share: section.within("share", 1..=1_000, 1)?,
-        keys: section.within("keys", 0..=1_000_000, 0)?,
-        hot: section.within("hot", 0.0..=1.0, 0.0)?,
-        returns: section.within("returns", 0..=10, 0)?,
+        share: section.in_range("share", 1..=1_000, 1)?,
+        keys: section.in_range("keys", 0..=1_000_000, 0)?,
+        hot: section.in_range("hot", 0.0..=1.0, 0.0)?,
+        returns: section.in_range("returns", 0..=10, 0)?,
         poison: section.value_or("poison", false)?,
     })
 }
@@ -256,12 +256,12 @@
 fn trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, SettingsError> {
     Ok(TrainerFlow {
         name,
-        samples: section.within("samples", 1..=100_000, 256)?,
-        group: section.within("group", 1..=1_000, 8)?,
-        cost: section.within("cost", 1..=100_000, 256)?,
+        samples: section.in_range("samples", 1..=100_000, 256)?,
+        group: section.in_range("group", 1..=1_000, 8)?,
+        cost: section.in_range("cost", 1..=100_000, 256)?,
         train: section.duration("train", Duration::from_secs(10))?,
-        share: section.within("share", 1..=1_000, 1)?,
-        ahead: section.within("ahead", 0.0..=1.0, 0.0)?,
+        share: section.in_range("share", 1..=1_000, 1)?,
+        ahead: section.in_range("ahead", 0.0..=1.0, 0.0)?,
         scaled: section.value_or("scaled", false)?,
     })
 }
@@ -280,9 +280,9 @@
         kind: section.choice("kind", &kinds, ChangeKind::Slow)?,
         at: section.duration("at", Duration::from_secs(20))?,
         until: section.duration("until", Duration::from_secs(40))?,
-        upstreams: section.within("upstreams", 0..=10_000, 1)?,
+        upstreams: section.in_range("upstreams", 0..=10_000, 1)?,
         zone: if zone { Some(section.value("zone")?) } else { None },
-        factor: section.within("factor", 0.0..=1_000.0, 10.0)?,
+        factor: section.in_range("factor", 0.0..=1_000.0, 10.0)?,
         flow: section.text("flow").unwrap_or_default().into(),
     })
 }
--- a/tests/claims/parts.rs
+++ b/tests/claims/parts.rs
@@ -209,7 +209,7 @@
 /// "not run".
 #[test]
 fn only_unrecorded_claims_are_not_run() {
-    let run = |kind: Kind| kind.answer().run;
+    let run = |kind: Kind| kind.response().run;
     assert_eq!(run(Kind::ClaimUnavailable), RunStatus::NotRun);
     assert_eq!(run(Kind::KeyReused), RunStatus::NotRun);
     assert_eq!(run(Kind::InProgress), RunStatus::Unknown);
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -60,7 +60,7 @@
     let begun = tokio::time::Instant::now();
     let RelayResponse::Refused(refusal) = relayed(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!(refusal.run(), RunStatus::NotRun);
-    assert!(refusal.after.is_some());
+    assert!(refusal.retry_after.is_some());
     assert!(begun.elapsed().as_millis() < 100);
     assert_eq!(runs(&world, "r1"), 0);
 }
--- a/tests/load_invariants.rs
+++ b/tests/load_invariants.rs
@@ -199,7 +199,7 @@
                 DispatchAction::Refuse { ticket, refusal } => {
                     let state = self.open.remove(&ticket);
                     assert_eq!(state, Some(State::Waiting), "refused while it ran, or twice");
-                    assert!(refusal.after.is_some());
+                    assert!(refusal.retry_after.is_some());
                     if self.unsure.contains(&ticket) {
                         assert_ne!(refusal.run(), RunStatus::NotRun, "an attempt may have run");
                     }
