--- a/src/node/steps/sampling.rs
+++ b/src/node/steps/sampling.rs
@@ -80,7 +80,12 @@
                 attempt += 1;
             }
             Err(refusal) => {
-                tracing::debug!(event = "sample_failed", trainer = %active.trainer, ?slot, %refusal);
+                tracing::debug!(
+                    event = "sample_failed",
+                    trainer = %active.trainer,
+                    ?slot,
+                    %refusal,
+                );
                 app.metrics.count_refusal(refusal.kind);
                 tokio::time::sleep(refusal.retry_after.unwrap_or(RETRY_DELAY)).await;
             }
