--- a/src/bundle/spec.rs
+++ b/src/bundle/spec.rs
@@ -22,9 +22,9 @@
     /// Whether its upstreams refuse orders with an old fencing number.
     pub fenced: bool,
     /// The most upstreams that may swap at the same time, in percent.
-    pub swapping: u32,
+    pub swap_percent: u32,
     /// Versions that the weight store hands out in a second, to all upstreams together.
-    pub loads: u32,
+    pub load_rate: u32,
 }
 
 /// A service: `[service NAME]`.
@@ -37,24 +37,24 @@
     /// Whether its calls may be repeated.
     pub repeat: Repeat,
     /// Requests of one class that may wait at one node.
-    pub queue: usize,
+    pub max_queued: usize,
     /// Attempts in flight from one node at one upstream.
-    pub concurrency: u32,
+    pub max_concurrency: u32,
     /// The part of the work that training keeps while live requests wait, in percent.
-    pub floor: u32,
+    pub training_percent: u32,
     /// Upstreams that one node uses, if there are more.
-    pub subset: usize,
+    pub max_upstreams: usize,
     /// How long a caller waits when it does not say.
-    pub deadline: Duration,
+    pub default_deadline: Duration,
 }
 
 impl ServiceSpec {
     /// The limits as dispatch takes them.
     pub fn limits(&self) -> ServiceLimits {
         ServiceLimits {
-            max_queued: self.queue,
-            max_concurrency: self.concurrency,
-            training_percent: self.floor,
+            max_queued: self.max_queued,
+            max_concurrency: self.max_concurrency,
+            training_percent: self.training_percent,
         }
     }
 }
@@ -65,7 +65,7 @@
     /// Its priority class.
     pub class: Class,
     /// Its weight against other callers of its class.
-    pub share: u32,
+    pub weight: u32,
 }
 
 /// A trainer: `[trainer NAME]`.
@@ -74,9 +74,9 @@
     /// The service that makes its samples.
     pub service: Name,
     /// How many versions the oldest token may be behind the trainer.
-    pub staleness: u64,
+    pub staleness_bound: u64,
     /// Its weight against other trainers.
-    pub share: u32,
+    pub weight: u32,
     /// A step that nobody pulls for so long is dropped.
-    pub abandoned: Duration,
+    pub abandon_after: Duration,
 }
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -6,7 +6,7 @@
 
 use serde::de::DeserializeOwned;
 
-use super::store::difference;
+use super::bundle_store::difference;
 use super::{BundleStore, CommandError};
 use crate::bundle::{Bundle, Envelope};
 use crate::edge::http::JsonClient;
--- a/src/client/addresses.rs
+++ b/src/client/addresses.rs
@@ -67,18 +67,18 @@
 
     /// A book that stays with the home of a trainer's steps, and goes down the
     /// order of the answer only when a node does not do.
-    pub fn homed(seeds: Vec<SocketAddr>, trainer: Name) -> Self {
+    pub fn for_trainer(seeds: Vec<SocketAddr>, trainer: Name) -> Self {
         Self { trainer: Some(trainer), ..Self::new(seeds) }
     }
 
     /// An address to use now; `None` if no node answers.
-    pub async fn get(&self) -> Option<SocketAddr> {
+    pub async fn next_address(&self) -> Option<SocketAddr> {
         if let Some(address) = self.kept() {
             return Some(address);
         }
         for node in self.known() {
             if let Ok(addresses) = self.ask(node).await {
-                self.learn(addresses);
+                self.update(addresses);
                 return self.answer.lock().addresses.first().copied();
             }
         }
@@ -86,13 +86,13 @@
     }
 
     /// Takes an answer, also one that came unasked from a node that lets a stream go.
-    pub fn learn(&self, addresses: Addresses) {
+    pub fn update(&self, addresses: Addresses) {
         let ttl = Duration::from_millis(addresses.ttl_ms);
         self.answer.lock().take(addresses.addresses, ttl);
     }
 
     /// The address did not do: the next one is used, or asked for.
-    pub fn failed(&self, address: SocketAddr) {
+    pub fn mark_failed(&self, address: SocketAddr) {
         let mut answer = self.answer.lock();
         answer.failed.push((address, Instant::now()));
         answer.addresses.retain(|a| *a != address);
--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -118,13 +118,13 @@
     ) -> Result<M::Reply, PeerError> {
         let bytes = pack(request)?;
         let traffic = (self.traffic)(request);
-        traffic.sent(bytes.len());
+        traffic.count_sent(bytes.len());
         let exchanged = self.exchange(to, bytes, timeout).await;
         if let Err(PeerError::Interrupted { .. } | PeerError::Timeout { .. }) = &exchanged {
             self.connections.lock().remove(&to);
         }
         let reply = exchanged?;
-        traffic.received(reply.len());
+        traffic.count_received(reply.len());
         Ok(unpack(&reply)?)
     }
 
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -66,7 +66,7 @@
         call: ReplicaCall,
     ) -> AttemptResult {
         let result = self.call_and_read(slot, call).await;
-        self.app.tally.sample_attempt(match result {
+        self.app.tally.count_sample_attempt(match result {
             AttemptResult::Complete => AttemptEnd::Answered,
             AttemptResult::Failed | AttemptResult::Impossible => AttemptEnd::Failed,
             AttemptResult::Continue(end) => end,
--- a/src/entry/counted_store.rs
+++ b/src/entry/counted_store.rs
@@ -69,7 +69,7 @@
                 Err(StoreError::Compacted) => StoreEnd::Compacted,
             };
             let timed = result.is_ok() && call != StoreCall::Watch;
-            tally.store(call, end, purpose, timed.then(|| started.elapsed()));
+            tally.count_store_call(call, end, purpose, timed.then(|| started.elapsed()));
             result
         })
     }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -216,7 +216,7 @@
         sequence = status.accepted_orders,
         outcome = ?end
     );
-    app.tally.order(end);
+    app.tally.count_order(end);
     match end {
         OrderOutcome::Accepted | OrderOutcome::Unknown => await_load(app, &target, &load).await,
         OrderOutcome::Holds => {
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -38,7 +38,7 @@
         FinishEffect::Sample => {}
         FinishEffect::Group => owned.sample_ended.notify_one(),
     }
-    app.tally.sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
+    app.tally.count_sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
     let job = owned.job.lock().spec.id.clone();
     tracing::info!(event = "sample_made", %job, item = %item.id, dead);
 }
--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -64,7 +64,7 @@
     /// Accepts a job at this node, and counts the outcome.
     pub(super) async fn accept_here(self: &Arc<Self>, spec: JobSpec) -> SubmitResult {
         let submitted = self.store_job(spec).await;
-        self.tally.job(match submitted {
+        self.tally.count_job_event(match submitted {
             SubmitResult::Accepted => JobEvent::Accepted,
             SubmitResult::Refused(_) => JobEvent::Refused,
             SubmitResult::Unknown => JobEvent::Unsure,
--- a/src/metrics/entry_metrics.rs
+++ b/src/metrics/entry_metrics.rs
@@ -12,7 +12,7 @@
 use prometheus_client::registry::Registry;
 
 use super::labels::KindLabel;
-use super::metrics::encoded;
+use super::metrics::encode_text;
 use super::process::Process;
 use super::{Direction, Traffic};
 use crate::edge::duty::DutyOutcome;
@@ -189,20 +189,20 @@
     samples: Family<SampleLabel, Counter>,
     jobs: Family<JobLabel, Counter>,
     orders: Family<OrderLabel, Counter>,
-    usage: Family<DutyLabel, Counter>,
-    scale: Family<DutyLabel, Counter>,
-    store: Family<StoreLabel, Counter>,
+    usage_reports: Family<DutyLabel, Counter>,
+    scale_orders: Family<DutyLabel, Counter>,
+    store_calls: Family<StoreLabel, Counter>,
     peer_bytes: Family<PeerLabel, Counter>,
     peer_messages: Family<PeerLabel, Counter>,
-    peer_given_up: Family<UseLabel, Counter>,
+    peer_failures: Family<UseLabel, Counter>,
     store_seconds: Histogram,
     request_seconds: Histogram,
     /// Jobs that run here.
     pub open_jobs: Gauge<i64, AtomicI64>,
     /// The version of the configuration in force; 0 for none.
-    pub routes: Gauge<i64, AtomicI64>,
+    pub routes_version: Gauge<i64, AtomicI64>,
     /// Log lines that were left out for their number.
-    pub lines_dropped: Gauge<i64, AtomicI64>,
+    pub dropped_lines: Gauge<i64, AtomicI64>,
 }
 
 impl Default for EntryMetrics {
@@ -217,17 +217,17 @@
             samples: Family::default(),
             jobs: Family::default(),
             orders: Family::default(),
-            usage: Family::default(),
-            scale: Family::default(),
-            store: Family::default(),
+            usage_reports: Family::default(),
+            scale_orders: Family::default(),
+            store_calls: Family::default(),
             peer_bytes: Family::default(),
             peer_messages: Family::default(),
-            peer_given_up: Family::default(),
+            peer_failures: Family::default(),
             store_seconds: seconds(),
             request_seconds: seconds(),
             open_jobs: Gauge::default(),
-            routes: Gauge::default(),
-            lines_dropped: Gauge::default(),
+            routes_version: Gauge::default(),
+            dropped_lines: Gauge::default(),
         };
         metrics.register();
         for kind in Kind::ALL.iter().copied() {
@@ -247,99 +247,103 @@
         all.register("samples", "Samples that ended here", self.samples.clone());
         all.register("jobs", "What jobs went through here", self.jobs.clone());
         all.register("orders", "Orders given, by result", self.orders.clone());
-        all.register("usage_reports", "Usage reports sent, by result", self.usage.clone());
-        all.register("scale_orders", "Orders of replicas, by result", self.scale.clone());
-        all.register("store_calls", "Calls to the store, by end and purpose", self.store.clone());
+        all.register("usage_reports", "Usage reports sent, by result", self.usage_reports.clone());
+        all.register("scale_orders", "Orders of replicas, by result", self.scale_orders.clone());
+        all.register(
+            "store_calls",
+            "Calls to the store, by end and purpose",
+            self.store_calls.clone(),
+        );
         let help = "Bytes between nodes, by purpose and way";
         all.register("peer_bytes", help, self.peer_bytes.clone());
         let help = "Messages between nodes, by purpose and way";
         all.register("peer_messages", help, self.peer_messages.clone());
         let help = "Requests to other nodes that ended without a reply, by purpose";
-        all.register("peer_given_up", help, self.peer_given_up.clone());
+        all.register("peer_given_up", help, self.peer_failures.clone());
         let help = "Time of answered calls to the store, watches aside";
         all.register("store_seconds", help, self.store_seconds.clone());
         let help = "Time from a request's head to the head of its answer";
         all.register("request_seconds", help, self.request_seconds.clone());
         all.register("open_jobs", "Jobs that run here", self.open_jobs.clone());
-        all.register("routes_version", "Configuration in force", self.routes.clone());
+        all.register("routes_version", "Configuration in force", self.routes_version.clone());
         let help = "Log lines left out for their number";
-        all.register("log_lines_dropped", help, self.lines_dropped.clone());
+        all.register("log_lines_dropped", help, self.dropped_lines.clone());
         all.register_collector(Box::new(Process));
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, kind: Kind) {
+    pub fn count_refusal(&self, kind: Kind) {
         self.refusals.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Counts an attempt at a request.
-    pub fn attempt(&self, end: AttemptEnd) {
+    pub fn count_attempt(&self, end: AttemptEnd) {
         self.attempts.get_or_create(&AttemptLabel { end }).inc();
     }
 
     /// Counts an attempt at a sample.
-    pub fn sample_attempt(&self, end: AttemptEnd) {
+    pub fn count_sample_attempt(&self, end: AttemptEnd) {
         self.sample_attempts.get_or_create(&AttemptLabel { end }).inc();
     }
 
     /// Counts a sample.
-    pub fn sample(&self, end: SampleEnd) {
+    pub fn count_sample(&self, end: SampleEnd) {
         self.samples.get_or_create(&SampleLabel { end }).inc();
     }
 
     /// Counts a step of a job.
-    pub fn job(&self, step: JobEvent) {
+    pub fn count_job_event(&self, step: JobEvent) {
         self.jobs.get_or_create(&JobLabel { step }).inc();
     }
 
     /// Counts an order.
-    pub fn order(&self, result: OrderOutcome) {
+    pub fn count_order(&self, result: OrderOutcome) {
         self.orders.get_or_create(&OrderLabel { result }).inc();
     }
 
     /// Counts a usage report.
-    pub fn usage(&self, result: DutyOutcome) {
-        self.usage.get_or_create(&DutyLabel { result }).inc();
+    pub fn count_usage_report(&self, result: DutyOutcome) {
+        self.usage_reports.get_or_create(&DutyLabel { result }).inc();
     }
 
     /// Counts an order of replicas.
-    pub fn scale(&self, result: DutyOutcome) {
-        self.scale.get_or_create(&DutyLabel { result }).inc();
+    pub fn count_scale_order(&self, result: DutyOutcome) {
+        self.scale_orders.get_or_create(&DutyLabel { result }).inc();
     }
 
     /// Counts a call to the store; `took` for one that was to be answered at once.
-    pub fn store(
+    pub fn count_store_call(
         &self,
         call: StoreCall,
         end: StoreEnd,
         purpose: StorePurpose,
         took: Option<Duration>,
     ) {
-        self.store.get_or_create(&StoreLabel { call, end, purpose }).inc();
+        self.store_calls.get_or_create(&StoreLabel { call, end, purpose }).inc();
         if let Some(took) = took {
             self.store_seconds.observe(took.as_secs_f64());
         }
     }
 
     /// The counters of what nodes ask each other for.
-    pub fn peer(&self, purpose: PeerPurpose) -> Traffic {
+    pub fn peer_traffic(&self, purpose: PeerPurpose) -> Traffic {
         let bytes = |way| self.peer_bytes.get_or_create(&PeerLabel { purpose, way }).clone();
         let messages = |way| self.peer_messages.get_or_create(&PeerLabel { purpose, way }).clone();
         Traffic::new(bytes, messages)
     }
 
     /// Counts a request to another node that ended without a reply.
-    pub fn peer_given_up(&self, purpose: PeerPurpose) {
-        self.peer_given_up.get_or_create(&UseLabel { purpose }).inc();
+    pub fn count_peer_failure(&self, purpose: PeerPurpose) {
+        self.peer_failures.get_or_create(&UseLabel { purpose }).inc();
     }
 
     /// A request has its answer.
-    pub fn answered(&self, took: Duration) {
+    pub fn observe_request(&self, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
     }
 
     /// The text that `/metrics` answers.
-    pub fn text(&self) -> String {
-        encoded(&self.registry)
+    pub fn text_format(&self) -> String {
+        encode_text(&self.registry)
     }
 }
--- a/src/node/bundles.rs
+++ b/src/node/bundles.rs
@@ -82,7 +82,7 @@
     /// knows becomes active.
     pub(super) fn peers_asked(&self, app: &App) {
         let mut adoption = self.adoption.lock();
-        let activated = adoption.asked();
+        let activated = adoption.peers_asked();
         self.activate(app, activated);
     }
 
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -52,10 +52,14 @@
     /// Binds the listeners and starts the tasks of the node.
     pub async fn spawn(settings: Settings) -> Result<Self, StartError> {
         let node = &settings.node;
-        let client = Listener::bind(node.callers).await;
-        let client = client.map_err(bind_error("callers", node.callers))?;
-        let admin = Listener::bind(node.admin).await.map_err(bind_error("admin", node.admin))?;
-        let peer = PeerListener::bind(node.peers).await.map_err(bind_error("peers", node.peers))?;
+        let client = Listener::bind(node.client_address).await;
+        let client = client.map_err(bind_error("callers", node.client_address))?;
+        let admin = Listener::bind(node.admin_address)
+            .await
+            .map_err(bind_error("admin", node.admin_address))?;
+        let peer = PeerListener::bind(node.peer_address)
+            .await
+            .map_err(bind_error("peers", node.peer_address))?;
         let identity = Identity::new(client.address(), peer.address());
         let app = Arc::new(App::new(settings, identity));
         let stop_accepting = app.cancel.child_token();
@@ -145,7 +149,7 @@
     pub async fn stop(&self) -> bool {
         let drain = self.app.settings.drain;
         if self.app.handle_event(LifecycleEvent::StopRequested) == Phase::Draining {
-            tokio::time::sleep(drain.ttl + drain.margin).await;
+            tokio::time::sleep(drain.address_ttl + drain.margin).await;
             self.app.handle_event(LifecycleEvent::AddressesExpired);
         }
         self.stop_accepting.cancel();
--- a/src/node/orders/rollout_loop.rs
+++ b/src/node/orders/rollout_loop.rs
@@ -57,7 +57,7 @@
             rollout.set_target(target, fleet.engine.fenced, now);
             rollout.retain(&fleet.names);
             let owned = fleet.owned_by(&app.settings.node.name).count();
-            rollout.set_load_budget(fleet.engine.loads, owned, fleet.names.len(), now);
+            rollout.set_load_budget(fleet.engine.load_rate, owned, fleet.names.len(), now);
             (engines_to_poll(app, fleet, rollout), engines_to_order(app, fleet, rollout))
         };
         for engine in poll_due {
@@ -91,7 +91,7 @@
         match rollout.next_order(engine, fleet.chains.of(engine), now) {
             OrderDecision::None | OrderDecision::Wait => {}
             OrderDecision::Order(cause) => {
-                app.metrics.ordered(OrderCause::from(cause));
+                app.metrics.count_order(OrderCause::from(cause));
                 tracing::info!(event = "order", upstream = %engine, ?cause);
                 engines.push(engine.clone());
             }
@@ -150,7 +150,7 @@
             Ok(EngineOrderReply { taken: true }) => {}
             // Another node has sent an order of a newer bundle, which this node will adopt soon.
             Ok(EngineOrderReply { taken: false }) => {
-                app.metrics.ordered(OrderCause::Fenced);
+                app.metrics.count_order(OrderCause::Fenced);
                 tracing::warn!(event = "order_fenced", upstream = %engine);
             }
             Err(e) => tracing::warn!(event = "order_failed", upstream = %engine, error = %e),
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -60,18 +60,18 @@
     let mut specs: Vec<StepSpec> = (1..=STEP_COUNT + 1).map(step_spec).collect();
     // The next step is submitted at the version before its own.
     specs.iter_mut().skip(1).for_each(|s| s.version -= 1);
-    let mut current = trainer.resume(1, &specs[0], BTreeMap::new());
+    let mut current = trainer.resume_step(1, &specs[0], BTreeMap::new());
     for step in 1..=STEP_COUNT {
-        trainer.advance(step);
+        trainer.set_version(step);
         let waited = Instant::now();
-        while !current.next().await?.is_empty() {}
+        while !current.next_groups().await?.is_empty() {}
         idle += waited.elapsed();
-        doubled += current.report().doubled;
+        doubled += current.report().duplicates;
         for sample in current.report().groups.values().flat_map(|g| &g.samples) {
             staleness += step - sample.oldest().unwrap_or(step).min(step);
             samples += 1;
         }
-        let mut next = trainer.resume(step + 1, &specs[step as usize], BTreeMap::new());
+        let mut next = trainer.resume_step(step + 1, &specs[step as usize], BTreeMap::new());
         next.prepare().await?;
         tokio::time::sleep(TRAINING_TIME).await;
         fleet.apply(step + 2, &bundle_with_idle_weight(step + 2, step + 1, weight)).await?;
--- a/standins/src/bin/mulberry-demo.rs
+++ b/standins/src/bin/mulberry-demo.rs
@@ -58,7 +58,7 @@
     let prompt = |g| GroupSpec { prompt: format!("force card {g}"), samples: 4, max_tokens: 64 };
     let spec = StepSpec { version: 1, groups: (0..8).map(prompt).collect() };
     let request = completion("patter for a double lift", 7, 96);
-    let step = trainer.step(1, &spec);
+    let step = trainer.run_step(1, &spec);
     let session = shop.stream(&request, CALL_TIMEOUT);
     let change = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -78,7 +78,7 @@
     let samples: Vec<_> = report.groups.values().flat_map(|g| &g.samples).collect();
     let mixed = samples.iter().filter(|s| s.label.len() > 1).count();
     check(samples.len() == 32, format!("the step has {} of 32 samples", samples.len()))?;
-    check(report.doubled == 0, format!("{} groups were received twice", report.doubled))?;
+    check(report.duplicates == 0, format!("{} groups were received twice", report.duplicates))?;
     println!("trainer, step 1: 8 groups, 32 samples, {mixed} made by two weight versions");
     for sample in &samples {
         let made = sample.text.split_whitespace().count();
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -145,9 +145,9 @@
                 name: format!("node-{index}").into(),
                 region: "trondheim".into(),
                 zone: zones[index % zones.len()].into(),
-                callers: ANY,
-                peers: ANY,
-                admin: ANY,
+                client_address: ANY,
+                peer_address: ANY,
+                admin_address: ANY,
             },
             platform: PlatformSettings {
                 address: self.platform.address(),
@@ -155,13 +155,13 @@
             },
             peers: PeerSettings { seeds: self.nodes.iter().map(Node::peer_address).collect() },
             drain: DrainSettings {
-                ttl: Duration::from_millis(300),
+                address_ttl: Duration::from_millis(300),
                 margin: Duration::from_millis(200),
                 grace: Duration::from_secs(20),
             },
             connections: ConnectionSettings::default(),
             operators: self.signers.operators(),
-            level: "info".to_owned(),
+            log_level: "info".to_owned(),
         }
     }
 
--- a/standins/src/trainer/mod.rs
+++ b/standins/src/trainer/mod.rs
@@ -46,10 +46,10 @@
         let one = |g| GroupSpec { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
         let spec = StepSpec { version, groups: (0..groups).map(one).collect() };
         let waited = Instant::now();
-        let report = trainer.step(version, &spec).await?;
+        let report = trainer.run_step(version, &spec).await?;
         tally.idle += waited.elapsed();
         tally.steps += 1;
-        tally.doubled += report.doubled;
+        tally.doubled += report.duplicates;
         for group in report.groups.values() {
             tally.samples += group.samples.len() as u64;
             tally.missing += u64::from(prompt.samples) - group.samples.len() as u64;
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -77,12 +77,12 @@
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
     let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
     let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
-    trainer.advance(5);
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-    assert_eq!(pulling.next().await.unwrap(), [group(0, &[5, 4])]);
-    assert_eq!(pulling.next().await.unwrap(), [group(1, &[5, 5])]);
-    assert_eq!(pulling.next().await.unwrap(), []);
+    trainer.set_version(5);
+    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
+    assert_eq!(pulling.next_groups().await.unwrap(), [group(0, &[5, 4])]);
+    assert_eq!(pulling.next_groups().await.unwrap(), [group(1, &[5, 5])]);
+    assert_eq!(pulling.next_groups().await.unwrap(), []);
     let report = pulling.report();
-    assert_eq!((report.stale, report.thin, report.doubled), (1, 2, 2));
+    assert_eq!((report.stale, report.incomplete, report.duplicates), (1, 2, 2));
     assert_eq!(report.groups[&0], group(0, &[5, 4]));
 }
--- a/tests/claims/components.rs
+++ b/tests/claims/components.rs
@@ -214,7 +214,7 @@
 /// with another body report "not run".
 #[test]
 fn only_unrecorded_claims_report_not_run() {
-    let run = |kind: Kind| kind.answer().run;
+    let run = |kind: Kind| kind.response().run;
     assert_eq!(run(Kind::ClaimUnavailable), RunStatus::NotRun);
     assert_eq!(run(Kind::KeyReused), RunStatus::NotRun);
     assert_eq!(run(Kind::InProgress), RunStatus::Unknown);
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -65,7 +65,7 @@
     let begun = tokio::time::Instant::now();
     let RelayResponse::Refused(refusal) = relay(&node, "r1", "/once/x").await else { panic!() };
     assert_eq!(refusal.run(), RunStatus::NotRun);
-    assert!(refusal.after.is_some());
+    assert!(refusal.retry_after.is_some());
     assert!(begun.elapsed().as_millis() < 100);
     assert_eq!(run_count(&world, "r1"), 0);
 }
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -37,9 +37,9 @@
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let prompt = GroupSpec { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
     let spec = StepSpec { version: 1, groups: vec![prompt; 5] };
-    let report = trainer.step(1, &spec).await.unwrap();
+    let report = trainer.run_step(1, &spec).await.unwrap();
     assert_eq!(report.groups.len(), 5);
-    assert_eq!(report.doubled, 0);
+    assert_eq!(report.duplicates, 0);
     assert!(report.groups.values().all(|g| g.samples.len() == 4));
 }
 
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -29,8 +29,8 @@
 }
 
 fn assert_complete(report: &StepReport, spec: &StepSpec) {
-    assert_eq!(report.doubled, 0);
-    assert_eq!(report.thin, 0);
+    assert_eq!(report.duplicates, 0);
+    assert_eq!(report.incomplete, 0);
     assert!(report.groups.keys().copied().eq(0..spec.groups.len() as u32));
     for (number, group) in &report.groups {
         let samples = spec.groups[*number as usize].samples;
@@ -54,7 +54,12 @@
         loop {
             let mut owners = Vec::new();
             for node in fleet.callers() {
-                owners.push(AddressBook::homed(vec![node], "coach".into()).get().await.unwrap());
+                owners.push(
+                    AddressBook::for_trainer(vec![node], "coach".into())
+                        .next_address()
+                        .await
+                        .unwrap(),
+                );
             }
             if owners.iter().all(|owner| *owner == owners[0]) {
                 return owners[0];
@@ -135,12 +140,12 @@
     let at = agreed_owner(&fleet).await;
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(6, 2, 60);
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-    let first = pulling.next().await.unwrap();
+    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
+    let first = pulling.next_groups().await.unwrap();
     assert!(!first.is_empty());
     fleet.nodes.retain(|n| n.client_address() != at);
     let before = started_samples(&fleet);
-    while !pulling.next().await.unwrap().is_empty() {}
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     for group in first {
         let slot = format!("coach/1/{}/0", group.group);
@@ -178,13 +183,13 @@
     let spec = spec(6, 2, 60);
     let kept = {
         let trainer = TrainerClient::new("coach".into(), fleet.callers());
-        let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-        let groups = pulling.next().await.unwrap();
+        let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
+        let groups = pulling.next_groups().await.unwrap();
         groups.into_iter().map(|g| (g.group, g)).collect::<BTreeMap<u32, Group>>()
     };
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
-    let mut pulling = trainer.resume(1, &spec, kept.clone());
-    while !pulling.next().await.unwrap().is_empty() {}
+    let mut pulling = trainer.resume_step(1, &spec, kept.clone());
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     let groups = &pulling.report().groups;
     assert!(kept.iter().all(|(number, group)| groups[number] == *group));
@@ -209,7 +214,7 @@
         }
         assert!(node.stop().await);
     };
-    let both = async { tokio::join!(trainer.step(1, &spec), drain) };
+    let both = async { tokio::join!(trainer.run_step(1, &spec), drain) };
     let (report, ()) = tokio::time::timeout(TEST_TIMEOUT, both).await.unwrap();
     let report = report.unwrap();
     assert_complete(&report, &spec);
@@ -320,10 +325,10 @@
         while !fleet.engines.iter().all(|e| e.ledger().values().any(|l| l.len() > 10)) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        trainer.advance(4);
+        trainer.set_version(4);
         fleet.apply(2, &bundle(2, 4)).await.unwrap();
     };
-    let (report, ()) = tokio::join!(trainer.step(1, &spec), moves);
+    let (report, ()) = tokio::join!(trainer.run_step(1, &spec), moves);
     let report = report.unwrap();
     assert_complete(&report, &spec);
     let samples = report.groups.values().flat_map(|g| &g.samples);
@@ -368,7 +373,8 @@
     fleet.engines[0].set_faults(Faults { slowdown: 200, ..Faults::default() });
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
     let spec = spec(8, 4, 400);
-    let report = tokio::time::timeout(TEST_TIMEOUT, trainer.step(1, &spec)).await.unwrap().unwrap();
+    let report =
+        tokio::time::timeout(TEST_TIMEOUT, trainer.run_step(1, &spec)).await.unwrap().unwrap();
     assert_complete(&report, &spec);
     let started = fleet.engines[0].ledger().len();
     let slow = report.groups.values().flat_map(|g| &g.samples);
@@ -393,7 +399,7 @@
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let spec = spec(4, 3, 8);
     let trainer = TrainerClient::new("coach".into(), fleet.callers());
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
+    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
     pulling.prepare().await.unwrap();
     let made = async {
         while started_samples(&fleet).len() < 10 || fleet.engines.iter().any(|e| e.running() > 0) {
@@ -402,7 +408,7 @@
     };
     tokio::time::timeout(TEST_TIMEOUT, made).await.unwrap();
     assert_eq!(started_samples(&fleet).len(), 10);
-    while !pulling.next().await.unwrap().is_empty() {}
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     assert_eq!(started_samples(&fleet).len(), 12);
 }
