--- a/standins/src/bin/bundle-bench.rs
+++ b/standins/src/bin/bundle-bench.rs
@@ -6,7 +6,7 @@
 
 use clap::Parser;
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, FleetError, bundle};
+use standins::fleet::{Fleet, FleetError, bundle_text};
 
 /// Pause between looks at the nodes: the resolution of the figures.
 const POLL: Duration = Duration::from_millis(1);
@@ -46,7 +46,7 @@
         let before: u64 = calls(&fleet);
         let mut times = Vec::new();
         for number in 2..2 + args.changes {
-            fleet.apply(number, &bundle(number, 1)).await?;
+            fleet.apply_bundle(number, &bundle_text(number, 1)).await?;
             let accepted = Instant::now();
             while fleet.nodes.iter().any(|n| n.bundle_number() < number) {
                 tokio::time::sleep(POLL).await;
@@ -70,6 +70,6 @@
 
 /// Calls for the bundle so far: reads, writes and watches.
 fn calls(fleet: &Fleet) -> u64 {
-    let calls = fleet.platform.calls();
+    let calls = fleet.platform.call_counts();
     ["/v3/kv/range", "/v3/kv/txn", "/v3/watch"].iter().filter_map(|path| calls.get(*path)).sum()
 }
--- a/standins/src/bin/claims-bench.rs
+++ b/standins/src/bin/claims-bench.rs
@@ -119,7 +119,7 @@
 async fn fleet(args: &Args, nodes: usize) -> Result<(), Failure> {
     let fleet = Fleet::spawn(nodes, 0, EngineSettings::default()).await?;
     fleet.platform.set_faults(Faults { slow_ms: args.platform_ms, ..Faults::default() });
-    let callers = fleet.callers();
+    let callers = fleet.client_addresses();
     let stop = Instant::now() + Duration::from_secs(args.seconds);
     let number = Arc::new(AtomicU64::new(0));
     let times = Arc::new(Mutex::new(Histogram::<u64>::new_with_max(LONGEST, 3)?));
@@ -166,5 +166,5 @@
 }
 
 fn writes(fleet: &Fleet) -> u64 {
-    fleet.platform.calls().get("/v3/kv/txn").copied().unwrap_or_default()
+    fleet.platform.call_counts().get("/v3/kv/txn").copied().unwrap_or_default()
 }
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -8,7 +8,7 @@
 use mulberrycourse::client::TrainerClient;
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 use tokio::time::Instant;
 
 /// Steps of one run.
@@ -38,7 +38,7 @@
 
 /// The bundle with a number, a weight version and an idle weight.
 fn weighed(number: u64, version: u64, weight: f64) -> String {
-    bundle(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
+    bundle_text(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
 }
 
 fn spec(version: u64) -> StepSpec {
@@ -50,9 +50,9 @@
     let settings =
         EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() };
     let fleet = Fleet::spawn(2, 2, settings).await?;
-    fleet.apply(2, &weighed(2, 1, weight)).await?;
-    fleet.settled(2).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    fleet.apply_bundle(2, &weighed(2, 1, weight)).await?;
+    fleet.wait_until_settled(2).await;
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let began = Instant::now();
     let (mut idle, mut behind, mut samples, mut doubled) = (Duration::ZERO, 0, 0_u64, 0);
     let mut specs: Vec<StepSpec> = (1..=STEPS + 1).map(spec).collect();
@@ -72,7 +72,7 @@
         let mut next = trainer.resume(step + 1, &specs[step as usize], BTreeMap::new());
         next.prepare().await?;
         tokio::time::sleep(TRAIN).await;
-        fleet.apply(step + 2, &weighed(step + 2, step + 1, weight)).await?;
+        fleet.apply_bundle(step + 2, &weighed(step + 2, step + 1, weight)).await?;
         now = next;
     }
     let idle = idle.as_secs_f64() / began.elapsed().as_secs_f64();
--- a/standins/src/bin/mulberry-demo.rs
+++ b/standins/src/bin/mulberry-demo.rs
@@ -6,9 +6,9 @@
 
 use mulberrycourse::client::{CallerClient, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec};
-use standins::caller::{completion, expected};
+use standins::caller::{completion_request, expected_text};
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 
 /// The whole demo takes no longer.
 const LIMIT: Duration = Duration::from_secs(20);
@@ -42,7 +42,7 @@
         EngineSettings { token_time: Duration::from_millis(20), ..EngineSettings::default() };
     let fleet = Fleet::spawn(3, 4, settings).await?;
     println!("3 nodes serve bundle 1, with 4 engines and 2 plain services");
-    let shop = CallerClient::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
     let answer = shop.call("stock", "/items/7", "", None, WAIT).await?;
     check(answer.body == "ran /items/7 ", "the stock answer is not whole".to_owned())?;
     println!("shop, stock lookup: {}", String::from_utf8_lossy(&answer.body));
@@ -51,20 +51,20 @@
     let ran: usize = fleet.sync.iter().map(|p| p.ledger().len()).sum();
     check(ran == 1, format!("the sync ran {ran} times"))?;
 
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let prompt = |g| GroupSpec { prompt: format!("force card {g}"), samples: 4, max_tokens: 64 };
     let spec = StepSpec { version: 1, groups: (0..8).map(prompt).collect() };
-    let request = completion("patter for a double lift", 7, 96);
+    let request = completion_request("patter for a double lift", 7, 96);
     let step = trainer.step(1, &spec);
     let session = shop.stream(&request, WAIT);
     let change = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
-        fleet.apply(2, &bundle(2, 2)).await
+        fleet.apply_bundle(2, &bundle_text(2, 2)).await
     };
     let (step, session, change) = tokio::join!(step, session, change);
     change?;
     let session = session?;
-    check(session.body == expected(&request), "the session's answer is not whole".to_owned())?;
+    check(session.body == expected_text(&request), "the session's answer is not whole".to_owned())?;
     let tokens = String::from_utf8_lossy(&session.body).split_whitespace().count();
     println!("shop, session: {tokens} tokens, whole, over a change of weights");
 
@@ -84,7 +84,7 @@
     if let Some(sample) = longest {
         println!("one label: {:?}", sample.label);
     }
-    fleet.settled(2).await;
+    fleet.wait_until_settled(2).await;
     while !fleet.engines.iter().all(|e| e.version() == Some(2)) {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/standins/src/bin/standin.rs
+++ b/standins/src/bin/standin.rs
@@ -9,9 +9,9 @@
 use mulberrycourse::client::{CallerClient, CallerResponse, TrainerClient};
 use mulberrycourse::decide::GroupSpec;
 use mulberrycourse::edge::platform::{Vm, VmState};
-use standins::caller::completion;
+use standins::caller::completion_request;
 use standins::engine::{Engine, EngineSettings};
-use standins::plain::Plain;
+use standins::plain::PlainService;
 use standins::platform::Platform;
 use standins::trainer;
 use standins::weights::WeightStore;
@@ -158,7 +158,7 @@
         Command::Engine { listen, version, store, unfenced, token_ms } => {
             let settings = EngineSettings {
                 version,
-                store,
+                weight_store: store,
                 fenced: !unfenced,
                 token_time: Duration::from_millis(token_ms),
                 ..EngineSettings::default()
@@ -167,7 +167,7 @@
             serve(engine.address()).await
         }
         Command::Plain { listen } => {
-            let plain = Plain::bind(listen).await?;
+            let plain = PlainService::bind(listen).await?;
             serve(plain.address()).await
         }
         Command::Weights { listen, rate } => {
@@ -177,7 +177,7 @@
         Command::Call { name, nodes, service, path, key } => {
             let caller = CallerClient::new(name, nodes);
             let answer = match service.as_str() {
-                "patter" => caller.stream(&completion(&path, 1, 24), WAIT).await?,
+                "patter" => caller.stream(&completion_request(&path, 1, 24), WAIT).await?,
                 plain => caller.call(plain, &path, "", key.as_deref(), WAIT).await?,
             };
             say(&answer);
@@ -187,7 +187,7 @@
             let prompt = GroupSpec { prompt: format!("{name} practises"), samples, max_tokens: 32 };
             let client = TrainerClient::new(name, nodes);
             let train = Duration::from_millis(100);
-            let tally = trainer::run(&client, first, steps, &prompt, groups, train).await?;
+            let tally = trainer::run_steps(&client, first, steps, &prompt, groups, train).await?;
             print(&tally);
             Ok(())
         }
@@ -208,15 +208,15 @@
 }
 
 #[allow(clippy::print_stdout)]
-fn print(tally: &trainer::Tally) {
+fn print(tally: &trainer::StepsSummary) {
     println!(
         "steps {} samples {} missing {} doubled {} staleness {} idle {:?} of {:?}",
         tally.steps,
         tally.samples,
-        tally.missing,
-        tally.doubled,
-        tally.staleness,
-        tally.idle,
-        tally.total,
+        tally.missing_samples,
+        tally.duplicates,
+        tally.max_staleness,
+        tally.wait_time,
+        tally.total_time,
     );
 }
--- a/standins/src/bin/training-bench.rs
+++ b/standins/src/bin/training-bench.rs
@@ -7,7 +7,7 @@
 use mulberrycourse::decide::{GroupSpec, Slot, Step, StepSpec, TargetWeights};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use standins::rollout::{TICK, World};
+use standins::rollout::{RolloutSimulation, TICK_DURATION};
 
 /// Measures the decisions of training.
 #[derive(Debug, Parser)]
@@ -49,31 +49,31 @@
 }
 
 fn rollout(engines: usize, nodes: usize, swap_ms: u64, loads: u32) {
-    let swap = (swap_ms / TICK.as_millis() as u64) as u32;
+    let swap = (swap_ms / TICK_DURATION.as_millis() as u64) as u32;
     println!("percent,chains,seconds,most_swapping,most_loads_a_second,looks,micros_a_node_second");
     for percent in [10, 25, 34, 50] {
-        let mut world = World::new(engines, nodes, percent);
-        world.rate = loads;
+        let mut world = RolloutSimulation::new(engines, nodes, percent);
+        world.load_rate = loads;
         let mut ticks = 0_u32;
         for _ in 0..40 {
             world.tick(TargetWeights { generation: 1, version: 1 }, swap, None);
         }
-        (world.looks, world.loads) = (0, Vec::new());
+        (world.observations, world.tick_loads) = (0, Vec::new());
         let began = Instant::now();
-        while !world.settled(2) && ticks < 20_000 {
+        while !world.is_settled(2) && ticks < 20_000 {
             world.tick(TargetWeights { generation: 2, version: 2 }, swap, None);
             ticks += 1;
         }
-        let seconds = (TICK * ticks).as_secs_f64();
-        let second = (Duration::from_secs(1).as_millis() / TICK.as_millis()) as usize;
-        let worst = world.loads.windows(second).map(|w| w.iter().sum::<u32>()).max();
+        let seconds = (TICK_DURATION * ticks).as_secs_f64();
+        let second = (Duration::from_secs(1).as_millis() / TICK_DURATION.as_millis()) as usize;
+        let worst = world.tick_loads.windows(second).map(|w| w.iter().sum::<u32>()).max();
         let micros = began.elapsed().as_micros() as f64 / nodes as f64 / seconds;
         println!(
             "{percent},{},{seconds:.1},{},{},{},{micros:.0}",
             world.chains.len(),
-            world.swapping,
+            world.peak_swapping,
             worst.unwrap_or_default(),
-            world.looks,
+            world.observations,
         );
     }
 }
--- a/standins/src/daemon.rs
+++ b/standins/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A `mulberryd` process, for tests that kill or freeze one.
+//! A `mulberryd` process, for tests that kill or pause one.
 
 use std::io::{BufRead, BufReader, Error};
 use std::net::SocketAddr;
@@ -13,27 +13,28 @@
 
 use crate::fleet::Fleet;
 
-/// How long the daemon may take to answer about its state.
-const LIMIT: Duration = Duration::from_secs(5);
-/// Pause between looks at a condition.
-const POLL: Duration = Duration::from_millis(20);
+/// Timeout of a request for the daemon's state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running process; killed when dropped.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Its name.
+    /// The name of its node.
     pub name: String,
-    /// Where peers connect.
-    pub peers: SocketAddr,
-    /// Where callers connect.
-    pub callers: SocketAddr,
-    /// Where operators connect.
-    pub admin: SocketAddr,
+    /// The address for peers.
+    pub peer_address: SocketAddr,
+    /// The address for callers.
+    pub client_address: SocketAddr,
+    /// The address for operators.
+    pub admin_address: SocketAddr,
 }
 
 impl Daemon {
-    /// Starts the program `exe` beside a fleet, with its settings in `folder`.
+    /// Starts the program `exe` with a fleet's operators, and writes its settings to `folder`.
+    /// Fails if the process ends before it listens.
     pub fn spawn(
         exe: &str,
         name: &str,
@@ -41,11 +42,11 @@
         platform: SocketAddr,
         folder: &Path,
     ) -> std::io::Result<Self> {
-        Self::spawn_seeded(exe, name, fleet, platform, folder, &[])
+        Self::spawn_with_seeds(exe, name, fleet, platform, folder, &[])
     }
 
-    /// The same, with peer addresses to ask when the platform does not answer.
-    pub fn spawn_seeded(
+    /// Like [`Self::spawn`], with the addresses of peers to use when the platform is unreachable.
+    pub fn spawn_with_seeds(
         exe: &str,
         name: &str,
         fleet: &Fleet,
@@ -68,7 +69,7 @@
         let path = folder.join(format!("{name}.ini"));
         std::fs::write(&path, text)?;
         let mut child = Command::new(exe).arg("run").arg(&path).stderr(Stdio::piped()).spawn()?;
-        let ended = || Error::other("the daemon ended before it listened");
+        let ended = || Error::other("the daemon ended before it was listening");
         let stderr = child.stderr.take().ok_or_else(ended)?;
         let mut lines = BufReader::new(stderr).lines().map_while(Result::ok);
         let line = lines.find(|l| l.contains("event=listening")).ok_or_else(ended)?;
@@ -78,60 +79,64 @@
             let found = words.find(|(k, _)| *k == key).map(|(_, v)| v.trim_matches('"'));
             found.and_then(|v| v.parse().ok()).ok_or_else(|| Error::other(line.clone()))
         };
-        let (peers, callers, admin) = (field("peers")?, field("callers")?, field("admin")?);
-        Ok(Self { child, name: name.to_owned(), peers, callers, admin })
+        let (peer_address, client_address) = (field("peers")?, field("callers")?);
+        let admin_address = field("admin")?;
+        Ok(Self { child, name: name.to_owned(), peer_address, client_address, admin_address })
     }
 
-    /// The nodes that it knows, itself included.
+    /// The nodes that it knows, including itself; empty if it does not respond.
     pub async fn nodes(&self) -> Vec<NodeInfo> {
-        JsonClient::default().get(self.admin, "/v1/state/nodes", LIMIT).await.unwrap_or_default()
+        JsonClient::default()
+            .get(self.admin_address, "/v1/state/nodes", STATE_TIMEOUT)
+            .await
+            .unwrap_or_default()
     }
 
-    /// Waits until it counts exactly these nodes as serving.
-    pub async fn sees(&self, names: &[&str]) {
+    /// Waits until the nodes that it knows as serving are exactly these, in this order.
+    pub async fn wait_for_nodes(&self, names: &[&str]) {
         loop {
             let nodes = self.nodes().await;
             let serving = nodes.iter().filter(|n| n.state == NodeState::Serving);
             if serving.map(|n| &*n.name).eq(names.iter().copied()) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until it has a bundle of at least this number in force.
-    pub async fn holds(&self, bundle: u64) {
+    /// Waits until it uses a bundle of at least this number.
+    pub async fn wait_for_bundle(&self, bundle: u64) {
         loop {
             let nodes = self.nodes().await;
             if nodes.iter().any(|n| *n.name == self.name && n.bundle >= bundle) {
                 return;
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Asks it to stop (SIGTERM).
+    /// Sends SIGTERM, which starts an orderly stop.
     pub fn terminate(&self) -> std::io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits until it has ended by itself.
-    pub async fn ended(&mut self) -> std::io::Result<ExitStatus> {
+    /// Waits until the process has exited by itself.
+    pub async fn wait_for_exit(&mut self) -> std::io::Result<ExitStatus> {
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Stands still, as a paused VM does (SIGSTOP).
-    pub fn freeze(&self) -> std::io::Result<()> {
+    /// Sends SIGSTOP: the process stops running, as that of a paused VM does.
+    pub fn pause(&self) -> std::io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Goes on (SIGCONT).
-    pub fn thaw(&self) -> std::io::Result<()> {
+    /// Sends SIGCONT: the process continues.
+    pub fn resume(&self) -> std::io::Result<()> {
         self.signal(Signal::CONT)
     }
 
@@ -147,15 +152,15 @@
     }
 }
 
-/// A temporary folder of its own, removed when dropped.
+/// A new temporary directory, removed when dropped.
 #[derive(Debug)]
-pub struct Folder {
+pub struct TempDir {
     path: PathBuf,
 }
 
-impl Folder {
-    /// Makes a new one.
-    pub fn open() -> std::io::Result<Self> {
+impl TempDir {
+    /// Creates a directory.
+    pub fn create() -> std::io::Result<Self> {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let next = NEXT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("mulberry-{}-{next}", std::process::id()));
@@ -163,13 +168,13 @@
         Ok(Self { path })
     }
 
-    /// Where it is.
+    /// The path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.path);
     }
--- a/standins/src/engine/engine.rs
+++ b/standins/src/engine/engine.rs
@@ -1,4 +1,5 @@
-//! The engine stand-in: batches, streams, swaps weights and keeps a ledger.
+//! The engine stand-in: it batches and streams, swaps weights on orders, and records which
+//! version produced each token.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,31 +19,33 @@
 use serde_json::json;
 use tokio::time::Instant;
 
-use super::{Faults, length, token};
-use crate::server::{Answer, Cut, Server, Service, json as answer, text};
+use super::{Faults, token_count, token_text};
+use crate::server::{ConnectionCut, Server, Service, ServiceResult, json_response, text_response};
 
-/// Pause between looks at a condition.
-const POLL: Duration = Duration::from_millis(5);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of one request to the weight store, which is repeated until it succeeds.
+const WEIGHT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How the stand-in behaves when nothing is wrong.
+/// How the stand-in behaves without faults.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// The version that it starts with.
+    /// The weight version that it starts with.
     pub version: u64,
-    /// Time of one token while the batch is not full.
+    /// The time to produce one token while the batch is not full.
     pub token_time: Duration,
-    /// Requests that run at full speed together; more slow all down.
-    pub batch: u32,
+    /// How many requests run at full speed together; more of them slow down all.
+    pub batch_size: u32,
     /// How long loading weights takes.
     pub swap_time: Duration,
-    /// How old the load report is.
+    /// How old the reported status is.
     pub report_lag: Duration,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an old generation, which is the fencing token.
     pub fenced: bool,
-    /// Where it gets weights; none for nowhere.
-    pub store: Option<SocketAddr>,
+    /// The address of the weight store; none to swap without loading.
+    pub weight_store: Option<SocketAddr>,
     /// How long it stays down after a crash.
-    pub restart: Duration,
+    pub restart_time: Duration,
 }
 
 impl Default for EngineSettings {
@@ -50,34 +53,38 @@
         Self {
             version: 1,
             token_time: Duration::from_millis(2),
-            batch: 16,
+            batch_size: 16,
             swap_time: Duration::from_millis(100),
             report_lag: Duration::from_millis(200),
             fenced: true,
-            store: None,
-            restart: Duration::from_millis(300),
+            weight_store: None,
+            restart_time: Duration::from_millis(300),
         }
     }
 }
 
-/// One token in the ledger.
+/// One token that the engine produced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Produced {
-    /// Its index in the answer.
+pub struct ProducedToken {
+    /// Its index in the output.
     pub index: u32,
-    /// The version that produced it.
+    /// The weight version that produced it.
     pub version: u64,
 }
 
 #[derive(Debug, Default)]
 struct State {
+    /// The weight version; none after a failed swap.
     version: Option<u64>,
+    /// The highest generation of an order received.
     generation: u64,
     swapping: bool,
     running: u32,
-    reports: Vec<(Instant, EngineStatus)>,
-    ledger: BTreeMap<String, Vec<Produced>>,
-    started: u64,
+    /// Recent statuses with their times, to report them with a lag.
+    statuses: Vec<(Instant, EngineStatus)>,
+    /// The tokens produced, by request id.
+    ledger: BTreeMap<String, Vec<ProducedToken>>,
+    started_requests: u64,
     crashes: u64,
     faults: Faults,
 }
@@ -87,7 +94,7 @@
     settings: EngineSettings,
     state: Mutex<State>,
     server: Mutex<Option<Server>>,
-    fetch: JsonClient,
+    weight_client: JsonClient,
 }
 
 /// A running engine.
@@ -105,7 +112,7 @@
             settings,
             state: Mutex::new(state),
             server: Mutex::new(None),
-            fetch: JsonClient::default(),
+            weight_client: JsonClient::default(),
         });
         let server = Server::bind(address, shared.clone()).await?;
         let address = server.address();
@@ -123,17 +130,17 @@
         self.shared.state.lock().faults = faults;
     }
 
-    /// Which version produced which token, by request id.
-    pub fn ledger(&self) -> BTreeMap<String, Vec<Produced>> {
+    /// The tokens produced, by request id.
+    pub fn ledger(&self) -> BTreeMap<String, Vec<ProducedToken>> {
         self.shared.state.lock().ledger.clone()
     }
 
     /// How many requests were started.
-    pub fn started(&self) -> u64 {
-        self.shared.state.lock().started
+    pub fn started_requests(&self) -> u64 {
+        self.shared.state.lock().started_requests
     }
 
-    /// How many requests run now.
+    /// How many requests are running.
     pub fn running(&self) -> u32 {
         self.shared.state.lock().running
     }
@@ -143,17 +150,17 @@
         self.shared.state.lock().crashes
     }
 
-    /// The version that it serves, if its weights are whole.
+    /// The weight version that it serves; none after a failed swap.
     pub fn version(&self) -> Option<u64> {
         self.shared.state.lock().version
     }
 
-    /// Dies at once, and stays dead.
+    /// Stops at once and cuts its connections, until a restart.
     pub fn kill(&self) {
         self.shared.server.lock().take();
     }
 
-    /// Starts again at the same address, with `version` loaded.
+    /// Starts again at the same address with weight version `version`.
     pub async fn restart(&self, version: u64) -> std::io::Result<()> {
         self.shared.start(self.address, version).await
     }
@@ -166,6 +173,7 @@
 }
 
 impl Shared {
+    /// Serves again at `address`, with no running requests and no known generation.
     async fn start(self: &Arc<Self>, address: SocketAddr, version: u64) -> std::io::Result<()> {
         self.server.lock().take();
         {
@@ -178,7 +186,7 @@
         let server = loop {
             match Server::bind(address, self.clone()).await {
                 Err(e) if e.kind() == std::io::ErrorKind::AddrInUse => {
-                    tokio::time::sleep(POLL).await;
+                    tokio::time::sleep(POLL_INTERVAL).await;
                 }
                 result => break result?,
             }
@@ -187,6 +195,7 @@
         Ok(())
     }
 
+    /// Stops at once, and starts again after the restart time.
     fn crash(self: &Arc<Self>) {
         let Some(server) = self.server.lock().take() else { return };
         let version = {
@@ -198,43 +207,48 @@
         drop(server);
         let shared = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(shared.settings.restart).await;
+            tokio::time::sleep(shared.settings.restart_time).await;
             let _ = shared.start(address, version).await;
         });
     }
 
-    fn complete(self: &Arc<Self>, request: CompletionRequest) -> Answer {
-        let poison = {
+    /// Starts a completion and streams its tokens.
+    fn complete(self: &Arc<Self>, request: CompletionRequest) -> ServiceResult {
+        let crashes = {
             let mut state = self.state.lock();
             if state.version.is_none() {
-                return text(StatusCode::TOO_MANY_REQUESTS, "the weights are not whole");
+                return text_response(
+                    StatusCode::TOO_MANY_REQUESTS,
+                    "the weights are not loaded completely",
+                );
             }
-            state.started += 1;
+            state.started_requests += 1;
             state.running += 1;
             !state.faults.poison.is_empty() && request.prompt.contains(&state.faults.poison)
         };
         let (sender, body) = streamed_body(1);
         let shared = self.clone();
         tokio::spawn(async move {
-            shared.generate(request, sender, poison).await;
+            shared.generate(request, sender, crashes).await;
             let mut state = shared.state.lock();
             state.running = state.running.saturating_sub(1);
         });
         let response = Response::builder().header("content-type", "text/event-stream");
-        response.body(body).map_err(|_| Cut)
+        response.body(body).map_err(|_| ConnectionCut)
     }
 
+    /// Produces and sends the tokens of a request; crashes the engine at the first one if told to.
     async fn generate(
         self: &Arc<Self>,
         request: CompletionRequest,
         mut sender: BodySender,
-        poison: bool,
+        crashes: bool,
     ) {
-        let total = length(&request.prompt, request.seed, request.max_tokens);
+        let total = token_count(&request.prompt, request.seed, request.max_tokens);
         let from = request.prior.as_ref().map_or(0, |p| p.tokens);
         for index in from..total {
-            tokio::time::sleep(self.pace()).await;
-            if poison {
+            tokio::time::sleep(self.token_interval()).await;
+            if crashes {
                 self.crash();
                 return;
             }
@@ -243,55 +257,57 @@
                 return;
             };
             let reason = (index + 1 == total).then_some("stop");
-            let line = self.event(&request, produced, reason);
+            let event = self.event(&request, produced, reason);
             let faults = self.state.lock().faults.clone();
-            if faults.doubled && sender.send_data(line.clone().into()).await.is_err() {
+            if faults.duplicate_chunks && sender.send_data(event.clone().into()).await.is_err() {
                 return;
             }
-            if sender.send_data(line.into()).await.is_err() {
+            if sender.send_data(event.into()).await.is_err() {
                 return;
             }
         }
-        if self.state.lock().faults.endless {
+        if self.state.lock().faults.omit_end {
             return;
         }
         let _ = sender.send_data("data: [DONE]\n\n".into()).await;
     }
 
-    /// Produces one token, once nothing holds the engine up; none if the stream is cut.
-    async fn produce(&self, id: &str, index: u32, from: u32) -> Option<Produced> {
+    /// Produces one token, once no swap or freeze stops the engine; none if the stream is cut or
+    /// the weights are not loaded completely.
+    async fn produce(&self, id: &str, index: u32, from: u32) -> Option<ProducedToken> {
         loop {
             {
                 let mut state = self.state.lock();
-                let cut = state.faults.cut_after;
-                if cut > 0 && index - from >= cut {
+                let cut_after = state.faults.cut_after;
+                if cut_after > 0 && index - from >= cut_after {
                     return None;
                 }
                 if !state.swapping && !state.faults.frozen {
                     let version = state.version?;
-                    let produced = Produced { index, version };
+                    let produced = ProducedToken { index, version };
                     state.ledger.entry(id.to_owned()).or_default().push(produced);
                     return Some(produced);
                 }
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
+    /// The stream event of one token.
     fn event(
         &self,
         request: &CompletionRequest,
-        produced: Produced,
+        produced: ProducedToken,
         reason: Option<&str>,
     ) -> String {
-        let (unlabelled, garbled) = {
+        let (unlabelled, malformed_at) = {
             let state = self.state.lock();
-            (state.faults.unlabelled, state.faults.garbled_at)
+            (state.faults.unlabelled, state.faults.malformed_at)
         };
-        if garbled > 0 && produced.index == garbled {
+        if malformed_at > 0 && produced.index == malformed_at {
             return "data: {\"choices\": [{\n\n".to_owned();
         }
-        let text = token(&request.prompt, request.seed, produced.index);
+        let text = token_text(&request.prompt, request.seed, produced.index);
         let mut event = json!({
             "object": "text_completion",
             "choices": [{ "index": 0, "text": text, "finish_reason": reason }],
@@ -304,36 +320,39 @@
         format!("data: {event}\n\n")
     }
 
-    fn pace(&self) -> Duration {
+    /// The present time to produce one token.
+    fn token_interval(&self) -> Duration {
         let state = self.state.lock();
-        let crowd = state.running.div_ceil(self.settings.batch.max(1)).max(1);
-        self.settings.token_time * crowd * state.faults.slowdown.max(1)
+        let load_factor = state.running.div_ceil(self.settings.batch_size.max(1)).max(1);
+        self.settings.token_time * load_factor * state.faults.slowdown.max(1)
     }
 
-    fn order(self: &Arc<Self>, order: EngineOrder) -> Answer {
+    /// Starts a swap, unless the order is fenced, a swap runs or the version is loaded already.
+    fn order(self: &Arc<Self>, order: EngineOrder) -> ServiceResult {
         {
             let mut state = self.state.lock();
             if self.settings.fenced && order.generation < state.generation {
-                return answer(StatusCode::OK, &EngineOrderReply { taken: false });
+                return json_response(StatusCode::OK, &EngineOrderReply { taken: false });
             }
             state.generation = order.generation;
             if state.version == Some(order.version) || state.swapping {
-                return answer(StatusCode::OK, &EngineOrderReply { taken: true });
+                return json_response(StatusCode::OK, &EngineOrderReply { taken: true });
             }
             state.swapping = true;
         }
         tokio::spawn(self.clone().swap(order));
-        answer(StatusCode::OK, &EngineOrderReply { taken: true })
+        json_response(StatusCode::OK, &EngineOrderReply { taken: true })
     }
 
+    /// Loads the ordered version, from the weight store if there is one.
     async fn swap(self: Arc<Self>, order: EngineOrder) {
-        while let Some(store) = self.settings.store {
+        while let Some(store) = self.settings.weight_store {
             let path = format!("/weights/{}", order.version);
-            let got = self.fetch.get::<serde_json::Value>(store, &path, Duration::from_secs(2));
-            match got.await {
-                // The stand-in's weights are no JSON: they are there all the same.
+            let loaded = self.weight_client.get::<serde_json::Value>(store, &path, WEIGHT_TIMEOUT);
+            match loaded.await {
+                // The weights are not JSON; a malformed body means that they were received.
                 Ok(_) | Err(JsonClientError::Malformed { .. }) => break,
-                Err(_) => tokio::time::sleep(POLL).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         }
         tokio::time::sleep(self.settings.swap_time).await;
@@ -347,59 +366,60 @@
         }
     }
 
-    fn load(&self) -> EngineStatus {
+    /// The status as of the report lag ago.
+    fn status(&self) -> EngineStatus {
         let now = Instant::now();
         let mut state = self.state.lock();
-        let load = EngineStatus {
-            running: state.running.min(self.settings.batch),
-            waiting: state.running.saturating_sub(self.settings.batch),
+        let status = EngineStatus {
+            running: state.running.min(self.settings.batch_size),
+            waiting: state.running.saturating_sub(self.settings.batch_size),
             version: state.version,
             generation: state.generation,
             swapping: state.swapping,
         };
-        state.reports.push((now, load.clone()));
+        state.statuses.push((now, status.clone()));
         let lag = self.settings.report_lag;
-        let old = state.reports.iter().rposition(|(at, _)| now - *at >= lag);
-        match old {
+        let reported = state.statuses.iter().rposition(|(at, _)| now - *at >= lag);
+        match reported {
             Some(index) => {
-                state.reports.drain(..index);
-                state.reports[0].1.clone()
+                state.statuses.drain(..index);
+                state.statuses[0].1.clone()
             }
-            None => load,
+            None => status,
         }
     }
 }
 
 impl Service for Shared {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> ServiceResult {
         let path = request.uri().path().to_owned();
-        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| ConnectionCut)?;
         if path == "/faults" {
             return match serde_json::from_slice(&body) {
                 Ok(faults) => {
                     self.state.lock().faults = faults;
-                    text(StatusCode::OK, "")
+                    text_response(StatusCode::OK, "")
                 }
-                Err(e) => text(StatusCode::BAD_REQUEST, e.to_string()),
+                Err(e) => text_response(StatusCode::BAD_REQUEST, e.to_string()),
             };
         }
         if path == "/ledger" {
-            return answer(StatusCode::OK, &self.state.lock().ledger.clone());
+            return json_response(StatusCode::OK, &self.state.lock().ledger.clone());
         }
         while self.state.lock().faults.frozen {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         match path.as_str() {
-            "/load" => answer(StatusCode::OK, &self.load()),
+            "/load" => json_response(StatusCode::OK, &self.status()),
             "/v1/completions" => match serde_json::from_slice(&body) {
                 Ok(request) => self.complete(request),
-                Err(e) => text(StatusCode::BAD_REQUEST, e.to_string()),
+                Err(e) => text_response(StatusCode::BAD_REQUEST, e.to_string()),
             },
             "/orders" => match serde_json::from_slice(&body) {
                 Ok(order) => self.order(order),
-                Err(e) => text(StatusCode::BAD_REQUEST, e.to_string()),
+                Err(e) => text_response(StatusCode::BAD_REQUEST, e.to_string()),
             },
-            _ => text(StatusCode::NOT_FOUND, "no such path"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such path"),
         }
     }
 }
--- a/standins/src/engine/faults.rs
+++ b/standins/src/engine/faults.rs
@@ -1,4 +1,4 @@
-//! What the engine stand-in does wrong, on order.
+//! The faults that the engine stand-in injects.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,22 +6,25 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Tokens take so many times longer; 0 counts as 1.
+    /// The factor by which tokens take longer; 0 counts as 1.
     pub slowdown: u32,
-    /// Nothing moves until this is off again.
+    /// Whether requests, tokens and orders wait until this is off again.
     pub frozen: bool,
-    /// So many of the next swaps fail partway.
+    /// How many of the next swaps fail partway and leave the engine without weights.
     pub fail_swaps: u32,
-    /// Chunks come without a version.
+    /// Whether chunks have no weight version.
     pub unlabelled: bool,
-    /// Streams are cut after so many of their own tokens; 0 for never.
+    /// After how many of its own tokens a stream is cut; 0 for never.
     pub cut_after: u32,
-    /// Every chunk is sent twice.
-    pub doubled: bool,
-    /// The end of the stream is lost after the last chunk.
-    pub endless: bool,
-    /// The event of this token is no JSON; 0 for never.
-    pub garbled_at: u32,
-    /// A prompt with this text crashes the engine; empty for none.
+    /// Whether every chunk is sent twice.
+    #[serde(rename = "doubled")]
+    pub duplicate_chunks: bool,
+    /// Whether the end marker after the last chunk is left out.
+    #[serde(rename = "endless")]
+    pub omit_end: bool,
+    /// The index of the token whose event is not valid JSON; 0 for none.
+    #[serde(rename = "garbled_at")]
+    pub malformed_at: u32,
+    /// The text that crashes the engine when a prompt contains it; empty for none.
     pub poison: String,
 }
--- a/standins/src/engine/mod.rs
+++ b/standins/src/engine/mod.rs
@@ -4,6 +4,6 @@
 mod faults;
 mod tokens;
 
-pub use engine::{Engine, EngineSettings, Produced};
+pub use engine::{Engine, EngineSettings, ProducedToken};
 pub use faults::Faults;
-pub use tokens::{length, token};
+pub use tokens::{token_count, token_text};
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A whole small deployment in one process: stand-ins, nodes and a first bundle.
+//! A small deployment in one process: stand-ins, nodes and a first bundle.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -15,30 +15,32 @@
 };
 
 use crate::engine::{Engine, EngineSettings};
-use crate::plain::Plain;
+use crate::plain::PlainService;
 use crate::platform::Platform;
 
 /// Any free port on the loopback interface.
-pub const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+pub const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Pause between looks at a condition.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The largest metrics page that is read.
+const MAX_METRICS_BYTES: usize = 1 << 20;
 
-/// Why a fleet did not come up.
+/// Why a fleet or its next bundle did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
-    /// A stand-in can't be bound.
+    /// A stand-in could not bind its address.
     #[error(transparent)]
     Bind(#[from] std::io::Error),
     /// A node did not start.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A bundle was not taken.
+    /// A bundle was not accepted.
     #[error(transparent)]
     Bundle(#[from] CommandError),
 }
 
-/// Two operators with their keys.
+/// Two operators with their signing keys.
 #[derive(Debug)]
 pub struct Signers {
     keys: [(Name, SigningKey); 2],
@@ -52,7 +54,7 @@
 }
 
 impl Signers {
-    /// Their public keys.
+    /// The operators with their public keys.
     pub fn operators(&self) -> Operators {
         let mut operators = Operators::default();
         for (name, key) in &self.keys {
@@ -61,12 +63,12 @@
         operators
     }
 
-    /// The two names and keys.
+    /// The operators' names and signing keys.
     pub fn keys(&self) -> &[(Name, SigningKey); 2] {
         &self.keys
     }
 
-    /// A bundle that both have signed.
+    /// A bundle that both operators have signed.
     pub fn signed(&self, number: u64, text: &str) -> Envelope {
         let mut envelope = Envelope {
             number,
@@ -82,17 +84,17 @@
     }
 }
 
-/// The deployment.
+/// A running deployment.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform.
+    /// The platform stand-in.
     pub platform: Platform,
     /// The engines of service `patter`.
     pub engines: Vec<Engine>,
     /// The replicas of service `stock`.
-    pub stock: Vec<Plain>,
-    /// The replicas of service `sync`, whose calls may not be repeated.
-    pub sync: Vec<Plain>,
+    pub stock: Vec<PlainService>,
+    /// The replicas of service `sync`, whose calls must not be repeated.
+    pub sync: Vec<PlainService>,
     /// The nodes.
     pub nodes: Vec<Node>,
     /// The operators.
@@ -100,13 +102,13 @@
 }
 
 impl Fleet {
-    /// Starts the stand-ins, and `nodes` nodes with the first bundle in force.
+    /// Starts the stand-ins and `nodes` nodes, and waits until the nodes use the first bundle.
     pub async fn spawn(
         nodes: usize,
         engines: usize,
         settings: EngineSettings,
     ) -> Result<Self, FleetError> {
-        let platform = Platform::bind(ANY).await?;
+        let platform = Platform::bind(ANY_PORT).await?;
         let mut fleet = Self {
             platform,
             engines: Vec::new(),
@@ -116,28 +118,28 @@
             signers: Signers::default(),
         };
         for _ in 0..engines {
-            fleet.engines.push(Engine::bind(ANY, settings.clone()).await?);
+            fleet.engines.push(Engine::bind(ANY_PORT, settings.clone()).await?);
         }
         for _ in 0..2 {
-            fleet.stock.push(Plain::bind(ANY).await?);
-            fleet.sync.push(Plain::bind(ANY).await?);
+            fleet.stock.push(PlainService::bind(ANY_PORT).await?);
+            fleet.sync.push(PlainService::bind(ANY_PORT).await?);
         }
         fleet.platform.set_vms(fleet.vms());
-        fleet.apply(1, &bundle(1, settings.version)).await?;
+        fleet.apply_bundle(1, &bundle_text(1, settings.version)).await?;
         for index in 0..nodes {
             let node = fleet.start_node(index).await?;
             fleet.nodes.push(node);
         }
-        fleet.settled(1).await;
+        fleet.wait_until_settled(1).await;
         Ok(fleet)
     }
 
-    /// Starts one more node; the caller keeps it.
+    /// Starts one more node, which the fleet does not keep.
     pub async fn start_node(&self, index: usize) -> Result<Node, FleetError> {
         Ok(Node::spawn(self.settings(index)).await?)
     }
 
-    /// The settings of a node.
+    /// The settings of the node with this index.
     pub fn settings(&self, index: usize) -> Settings {
         let zones = ["gloshaugen", "elgeseter", "heimdal"];
         Settings {
@@ -145,9 +147,9 @@
                 name: format!("node-{index}").into(),
                 region: "trondheim".into(),
                 zone: zones[index % zones.len()].into(),
-                callers: ANY,
-                peers: ANY,
-                admin: ANY,
+                callers: ANY_PORT,
+                peers: ANY_PORT,
+                admin: ANY_PORT,
             },
             platform: PlatformSettings {
                 address: self.platform.address(),
@@ -165,7 +167,7 @@
         }
     }
 
-    /// The list of VMs, all live.
+    /// The list of VMs of all engines and plain services, all live.
     pub fn vms(&self) -> Vec<Vm> {
         let zones = ["gloshaugen", "elgeseter", "heimdal"];
         let vm = |service: &str, index: usize, address| Vm {
@@ -177,8 +179,8 @@
             state: VmState::Live,
         };
         let engines = self.engines.iter().map(Engine::address).enumerate();
-        let stock = self.stock.iter().map(Plain::address).enumerate();
-        let sync = self.sync.iter().map(Plain::address).enumerate();
+        let stock = self.stock.iter().map(PlainService::address).enumerate();
+        let sync = self.sync.iter().map(PlainService::address).enumerate();
         engines
             .map(|(i, a)| vm("patter", i, a))
             .chain(stock.map(|(i, a)| vm("stock", i, a)))
@@ -186,31 +188,32 @@
             .collect()
     }
 
-    /// Where callers may ask.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    /// The addresses of all nodes for callers.
+    pub fn client_addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(Node::client_address).collect()
     }
 
-    /// What a node counts, as it tells it.
+    /// The metrics of a node as text; empty if it does not respond.
     pub async fn metrics(&self, node: &Node) -> String {
         let request = http::Request::get(format!("http://{}/metrics", node.admin_address()));
         let Ok(request) = request.body(empty_body()) else { return String::new() };
-        let answered = JsonClient::default().send(node.admin_address(), request).await;
-        let Ok(response) = answered else { return String::new() };
-        let text = read_body(response.into_body(), 1 << 20).await.unwrap_or_default();
+        let response = JsonClient::default().send(node.admin_address(), request).await;
+        let Ok(response) = response else { return String::new() };
+        let text = read_body(response.into_body(), MAX_METRICS_BYTES).await.unwrap_or_default();
         String::from_utf8_lossy(&text).into_owned()
     }
 
-    /// Puts a bundle into force at the platform.
-    pub async fn apply(&self, number: u64, text: &str) -> Result<(), FleetError> {
+    /// Makes a signed bundle the current one at the platform.
+    pub async fn apply_bundle(&self, number: u64, text: &str) -> Result<(), FleetError> {
         let store = BundleStore::new(self.platform.address());
         let (_, revision) = store.current().await?;
         store.apply(&self.signers.signed(number, text), revision).await?;
         Ok(())
     }
 
-    /// Waits until every node serves, with this bundle or a later one, and knows the others.
-    pub async fn settled(&self, bundle: u64) {
+    /// Waits until every node serves with this bundle or a later one, and knows all other nodes and
+    /// all upstreams.
+    pub async fn wait_until_settled(&self, bundle: u64) {
         let ready = |n: &Node| {
             n.phase() == Phase::Serving
                 && n.bundle_number() >= bundle
@@ -218,13 +221,13 @@
                 && n.routed_upstream_count() >= self.vms().len()
         };
         while !self.nodes.iter().all(ready) {
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// The bundle of the fleet, with a weight version.
-pub fn bundle(number: u64, version: u64) -> String {
+/// The text of the fleet's bundle, with this weight version.
+pub fn bundle_text(number: u64, version: u64) -> String {
     format!(
         "[bundle]
 number = {number}
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins for the systems around mulberrycourse: real sockets, and
-//! faults on order. They speak the published protocols and nothing more. [`kv`] and
-//! [`replicas`] stand behind the library's ports, for tests on a paused clock.
+//! Small stand-ins for the systems around mulberrycourse. They listen on real sockets, speak only
+//! the published protocols and inject faults on request. [`kv`], [`duties`] and [`replicas`]
+//! implement the library's traits in memory instead, for tests on a paused clock.
 
 pub mod caller;
 pub mod daemon;
@@ -8,10 +8,10 @@
 pub mod engine;
 pub mod experiment;
 pub mod fleet;
-pub mod gate;
 pub mod kv;
 pub mod plain;
 pub mod platform;
+pub mod proxy;
 pub mod replicas;
 pub mod rollout;
 pub mod server;
--- a/standins/src/platform/faults.rs
+++ b/standins/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! What the platform stand-in does wrong, on order.
+//! The faults that the platform stand-in injects.
 
 use std::time::Duration;
 
@@ -8,27 +8,30 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Faults {
-    /// Every connection is cut, and watches end.
+    /// Whether every connection is cut and watches end.
     pub down: bool,
-    /// Every answer takes this much longer, in milliseconds.
+    /// How much later every response is sent, in milliseconds.
     pub slow_ms: u64,
-    /// So many of the next writes take effect, but their replies are lost.
+    /// How many of the next writes take effect without a response.
     pub lose_replies: u32,
-    /// Reads of keys are cut; writes go on to take effect.
+    /// Whether reads of keys are cut; writes still take effect.
     pub unreadable: bool,
-    /// Reads answer as of this many revisions ago.
-    pub behind: u64,
-    /// Most writes in a second, 0 for no limit; more are refused.
-    pub writes: u32,
-    /// Most reads in a second, 0 for no limit; more are refused.
-    pub reads: u32,
-    /// How far the list of VMs lags, in milliseconds.
+    /// How many revisions old the state is that reads return.
+    #[serde(rename = "behind")]
+    pub stale_revisions: u64,
+    /// The most writes per second, 0 for no limit; further ones are refused.
+    #[serde(rename = "writes")]
+    pub max_writes: u32,
+    /// The most reads per second, 0 for no limit; further ones are refused.
+    #[serde(rename = "reads")]
+    pub max_reads: u32,
+    /// How old the list of VMs is, in milliseconds.
     pub vms_lag_ms: u64,
 }
 
 impl Faults {
-    /// The extra time of an answer.
-    pub fn slow(&self) -> Duration {
+    /// How much later every response is sent.
+    pub fn added_latency(&self) -> Duration {
         Duration::from_millis(self.slow_ms)
     }
 }
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: key-value service and list of VMs.
+//! A stand-in for the platform: its key-value service and its list of VMs.
 
 mod faults;
 mod server;
@@ -7,4 +7,4 @@
 
 pub use faults::Faults;
 pub use server::Platform;
-pub use store::{Entry, Store};
+pub use store::{KeyVersion, RevisionStore};
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that can cut, freeze and die on order.
+//! A small HTTP server that can cut single connections and stop without finishing requests.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,21 +15,24 @@
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
 
-/// Answered in place of a response: the connection is cut.
+/// Returned in place of a response to cut the connection.
 #[derive(Debug, thiserror::Error)]
-#[error("cut on order")]
-pub struct Cut;
+#[error("connection cut by an injected fault")]
+pub struct ConnectionCut;
 
-/// What a stand-in answers.
-pub type Answer = Result<Response<Body>, Cut>;
+/// The response of a stand-in.
+pub type ServiceResult = Result<Response<Body>, ConnectionCut>;
 
 /// The service behind a server.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request, or cuts its connection.
-    fn answer(self: Arc<Self>, request: Request<Incoming>) -> impl Future<Output = Answer> + Send;
+    /// Responds to one request, or cuts its connection.
+    fn handle(
+        self: Arc<Self>,
+        request: Request<Incoming>,
+    ) -> impl Future<Output = ServiceResult> + Send;
 }
 
-/// A running server. Dropping it ends it and cuts its connections.
+/// A running server. Dropping it stops it and cuts its connections.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -51,7 +54,7 @@
         self.address
     }
 
-    /// Ends at once: nothing in flight is finished.
+    /// Stops at once and cuts all connections; requests in flight are not finished.
     pub fn kill(&self) {
         self.cancel.cancel();
     }
@@ -74,7 +77,7 @@
         let service = service.clone();
         let cancel = cancel.clone();
         tokio::spawn(async move {
-            let service = service_fn(move |request| service.clone().answer(request));
+            let service = service_fn(move |request| service.clone().handle(request));
             let builder = auto::Builder::new(TokioExecutor::new());
             let connection = builder.serve_connection(TokioIo::new(stream), service);
             tokio::select! {
@@ -85,13 +88,13 @@
     }
 }
 
-/// A JSON answer.
-pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+/// A JSON response.
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> ServiceResult {
     Ok(mulberrycourse::edge::http::json_response(status, value))
 }
 
-/// An empty or textual answer.
-pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Answer {
+/// A response with a plain text, which may be empty.
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> ServiceResult {
     let mut response = Response::new(full_body(text));
     *response.status_mut() = status;
     Ok(response)
--- a/standins/src/slope/nodes.rs
+++ b/standins/src/slope/nodes.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use super::{Scrape, Table};
-use crate::daemon::{Daemon, Folder};
+use crate::daemon::{Daemon, TempDir};
 use crate::engine::EngineSettings;
-use crate::fleet::{Fleet, FleetError, bundle};
+use crate::fleet::{Fleet, FleetError, bundle_text};
 use crate::platform::Faults;
 
 /// Upstreams a node: 1,100 replicas before 380 nodes.
@@ -88,7 +88,7 @@
     window: Duration,
     table: &mut Table,
 ) -> Result<(), NodesError> {
-    let folder = Folder::open()?;
+    let folder = TempDir::create()?;
     let engines = EngineSettings::default();
     let fleet = Fleet::spawn(0, (size * REPLICAS) as usize, engines).await?;
     let platform = fleet.platform.address();
@@ -105,7 +105,7 @@
     nodes.answers(table).await?;
 
     let began = Instant::now();
-    nodes.fleet.apply(2, &bundle(2, 2)).await?;
+    nodes.fleet.apply_bundle(2, &bundle_text(2, 2)).await?;
     nodes.until("bundle", |n, a| Box::pin(n.in_force(a, 2))).await?;
     let name = "seconds until in force at all nodes";
     table.add("rollout", size, name, began.elapsed().as_secs_f64());
@@ -157,7 +157,7 @@
         what: &str,
     ) -> Result<T, JsonClientError> {
         let path = format!("/v1/state/{what}");
-        self.fetch.get(at.admin, &path, Duration::from_secs(5)).await
+        self.fetch.get(at.admin_address, &path, Duration::from_secs(5)).await
     }
 
     /// Whether a node sees all nodes alive, and none that is gone.
@@ -204,7 +204,7 @@
     /// Reads and writes that the platform has served.
     fn calls(&self) -> (f64, f64) {
         let is_write = |path: &str| matches!(path, "/v3/kv/put" | "/v3/kv/txn" | "/v3/lease/grant");
-        let calls = self.fleet.platform.calls();
+        let calls = self.fleet.platform.call_counts();
         let sum = |write| {
             let of = calls.iter().filter(|(path, _)| is_write(path) == write);
             of.map(|(_, count)| *count as f64).sum()
@@ -215,7 +215,7 @@
     async fn scrapes(&self) -> Result<Vec<Scrape>, JsonClientError> {
         let mut all = Vec::new();
         for daemon in &self.daemons {
-            all.push(Scrape::of(daemon.admin, &self.fetch).await?);
+            all.push(Scrape::of(daemon.admin_address, &self.fetch).await?);
         }
         Ok(all)
     }
@@ -225,10 +225,10 @@
         let Some(first) = self.daemons.first() else { return Ok(()) };
         let limit = Duration::from_secs(5);
         let answer: serde_json::Value =
-            self.fetch.get(first.callers, "/v1/addresses", limit).await?;
+            self.fetch.get(first.client_address, "/v1/addresses", limit).await?;
         let bytes = answer.to_string().len();
         table.add("steady", self.size, "bytes of an address answer", bytes as f64);
-        let bytes = Scrape::of(first.admin, &self.fetch).await?.bytes;
+        let bytes = Scrape::of(first.admin_address, &self.fetch).await?.bytes;
         table.add("steady", self.size, "bytes of /metrics", bytes as f64);
         Ok(())
     }
--- a/standins/src/slope/serving.rs
+++ b/standins/src/slope/serving.rs
@@ -9,10 +9,10 @@
 use tokio::time::Instant;
 
 use super::{NodesError, Scrape, Table};
-use crate::caller::completion;
-use crate::daemon::{Daemon, Folder};
+use crate::caller::completion_request;
+use crate::daemon::{Daemon, TempDir};
 use crate::engine::EngineSettings;
-use crate::fleet::{Fleet, Signers, bundle as text};
+use crate::fleet::{Fleet, Signers, bundle_text};
 use crate::trainer;
 
 /// Calls of one measurement.
@@ -35,7 +35,7 @@
 
 impl One {
     async fn spawn(exe: &str, engines: usize, each: EngineSettings) -> Result<Self, NodesError> {
-        let folder = Folder::open()?;
+        let folder = TempDir::create()?;
         let fleet = Fleet::spawn(0, engines, each).await?;
         let platform = fleet.platform.address();
         let daemon = Daemon::spawn(exe, "node", &fleet, platform, folder.path())?;
@@ -48,12 +48,12 @@
     }
 
     fn caller(&self) -> CallerClient {
-        CallerClient::new("shop".into(), vec![self.daemon.callers])
+        CallerClient::new("shop".into(), vec![self.daemon.client_address])
     }
 
     /// Processor time of the node so far, in seconds, and its memory, in bytes.
     async fn spent(&self) -> Result<(f64, f64), NodesError> {
-        let scrape = Scrape::of(self.daemon.admin, &self.fetch).await?;
+        let scrape = Scrape::of(self.daemon.admin_address, &self.fetch).await?;
         let seconds = scrape.get("mulberry_processor_seconds_total");
         Ok((seconds, scrape.get("mulberry_resident_bytes")))
     }
@@ -72,7 +72,7 @@
     table.add("plain", size, "processor microseconds a call", micros(after - before, whole));
 
     let (before, _) = one.spent().await?;
-    let requests = (0..200).map(|n| completion("patter", n, TOKENS));
+    let requests = (0..200).map(|n| completion_request("patter", n, TOKENS));
     let streams = requests.map(|request| {
         let caller = &caller;
         async move { caller.stream(&request, WAIT).await }
@@ -101,7 +101,7 @@
     let one = One::spawn(exe, 1, EngineSettings::default()).await?;
     let caller = one.caller();
     let writes = || {
-        let calls = one.fleet.platform.calls();
+        let calls = one.fleet.platform.call_counts();
         calls.get("/v3/kv/txn").copied().unwrap_or(0)
             + calls.get("/v3/kv/put").copied().unwrap_or(0)
     };
@@ -133,15 +133,15 @@
 pub async fn handover(exe: &str, size: u32, table: &mut Table) -> Result<(), NodesError> {
     let engines = EngineSettings {
         token_time: Duration::from_micros(500),
-        batch: 64,
+        batch_size: 64,
         ..EngineSettings::default()
     };
     let one = One::spawn(exe, 16, engines).await?;
     let (before, at_rest) = one.spent().await?;
-    let client = TrainerClient::new("coach".into(), vec![one.daemon.callers]);
+    let client = TrainerClient::new("coach".into(), vec![one.daemon.client_address]);
     let prompt = GroupSpec { prompt: "force card".to_owned(), samples: GROUP, max_tokens: 8 };
     let began = Instant::now();
-    let run = trainer::run(&client, 1, 1, &prompt, size / GROUP, Duration::ZERO);
+    let run = trainer::run_steps(&client, 1, 1, &prompt, size / GROUP, Duration::ZERO);
     tokio::pin!(run);
     let mut most = at_rest;
     let tally = loop {
@@ -155,7 +155,7 @@
     let (after, _) = one.spent().await?;
     let tally = tally.unwrap_or_default();
     table.add("step", size, "samples received", tally.samples as f64);
-    table.add("step", size, "groups that came twice", tally.doubled as f64);
+    table.add("step", size, "groups that came twice", tally.duplicates as f64);
     table.add("step", size, "seconds of the step", began.elapsed().as_secs_f64());
     table.add("step", size, "resident bytes above rest", most - at_rest);
     table.add("step", size, "processor microseconds a sample", micros(after - before, size));
@@ -165,7 +165,7 @@
 /// Size and processor time of a bundle's check, by the number of its services, callers and
 /// trainers.
 pub fn bundle(size: u32, table: &mut Table) {
-    let mut whole = text(2, 1);
+    let mut whole = bundle_text(2, 1);
     for index in 0..size {
         whole.push_str(&format!("\n[service service-{index}]\nkind = plain\nqueue = 500\n"));
         whole.push_str(&format!("\n[caller caller-{index}]\nclass = live\nshare = 2\n"));
--- a/standins/src/trainer/mod.rs
+++ b/standins/src/trainer/mod.rs
@@ -1,8 +1,9 @@
-//! A stand-in for a trainer: pulls steps, trains, and counts what it cares about.
+//! A stand-in for a trainer: it pulls steps, trains, and counts lost and stale samples and the
+//! time that it waits.
 
-mod truth;
+mod produced;
 
-pub use truth::{flat, tokens, truth};
+pub use produced::{label_versions, produced_versions, sample_token_count};
 
 use std::time::Duration;
 
@@ -10,55 +11,55 @@
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use tokio::time::Instant;
 
-/// What a run of steps came to.
+/// The totals of a run of steps.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Steps that became whole.
+pub struct StepsSummary {
+    /// Steps that were completed.
     pub steps: u64,
     /// Samples received.
     pub samples: u64,
-    /// Groups that came twice.
-    pub doubled: u64,
-    /// Samples missing from a group.
-    pub missing: u64,
-    /// How far the oldest token was behind, over all samples.
-    pub staleness: u64,
-    /// Time spent waiting for samples.
-    pub idle: Duration,
-    /// Time in all.
-    pub total: Duration,
+    /// Groups received twice.
+    pub duplicates: u64,
+    /// Samples that groups lacked.
+    pub missing_samples: u64,
+    /// How many versions the oldest token of all samples was behind its step.
+    pub max_staleness: u64,
+    /// The time spent waiting for samples.
+    pub wait_time: Duration,
+    /// The duration of the run.
+    pub total_time: Duration,
 }
 
-/// Runs `steps` steps of `groups` groups; each step trains for `train`, after
-/// which the trainer is one version on.
-pub async fn run(
+/// Runs `steps` steps of `groups` groups each. Every step trains for `train_time` and raises the
+/// trainer's version, which starts at `first`, by one.
+pub async fn run_steps(
     trainer: &TrainerClient,
     first: u64,
     steps: u64,
     prompt: &GroupSpec,
     groups: u32,
-    train: Duration,
-) -> Result<Tally, TrainerError> {
-    let mut tally = Tally::default();
-    let began = Instant::now();
+    train_time: Duration,
+) -> Result<StepsSummary, TrainerError> {
+    let mut summary = StepsSummary::default();
+    let started = Instant::now();
     for step in 0..steps {
         let version = first + step;
-        let one = |g| GroupSpec { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
-        let spec = StepSpec { version, groups: (0..groups).map(one).collect() };
-        let waited = Instant::now();
+        let group = |g| GroupSpec { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
+        let spec = StepSpec { version, groups: (0..groups).map(group).collect() };
+        let requested_at = Instant::now();
         let report = trainer.step(version, &spec).await?;
-        tally.idle += waited.elapsed();
-        tally.steps += 1;
-        tally.doubled += report.doubled;
+        summary.wait_time += requested_at.elapsed();
+        summary.steps += 1;
+        summary.duplicates += report.doubled;
         for group in report.groups.values() {
-            tally.samples += group.samples.len() as u64;
-            tally.missing += u64::from(prompt.samples) - group.samples.len() as u64;
+            summary.samples += group.samples.len() as u64;
+            summary.missing_samples += u64::from(prompt.samples) - group.samples.len() as u64;
             let oldest = group.samples.iter().filter_map(|s| s.oldest());
             let behind = oldest.map(|o| version.saturating_sub(o)).max().unwrap_or(0);
-            tally.staleness = tally.staleness.max(behind);
+            summary.max_staleness = summary.max_staleness.max(behind);
         }
-        tokio::time::sleep(train).await;
+        tokio::time::sleep(train_time).await;
     }
-    tally.total = began.elapsed();
-    Ok(tally)
+    summary.total_time = started.elapsed();
+    Ok(summary)
 }
--- a/standins/src/trainer/truth.rs
+++ b/standins/src/trainer/produced.rs
@@ -1,19 +1,19 @@
-//! Which version truly produced each token of a sample, from the engines' own ledgers.
+//! Which weight version produced each token of a sample, by the engines' own records.
 
 use std::collections::BTreeMap;
 
 use mulberrycourse::decide::{Sample, Span};
 
-use crate::engine::{Engine, Produced};
+use crate::engine::{Engine, ProducedToken};
 
-/// The version of each token of the sample in `slot`, which is named
-/// `trainer/step/group/index`, over all engines that took part.
+/// The version of each token of the sample in `slot`, over all engines that took part. `slot` has
+/// the form `trainer/step/group/index`.
 ///
-/// Request ids go on with the attempt and, where an attempt went over several
-/// engines, its part. A later part starts where the tokens that arrived end, so
-/// the last part that produced a token produced the one that counts.
-pub fn truth(engines: &[Engine], slot: &str) -> Vec<u64> {
-    let mut parts: BTreeMap<(u32, u32), Vec<Produced>> = BTreeMap::new();
+/// A request id consists of the slot, the attempt and, if the attempt used several engines, the
+/// part. A later part starts after the last token that was received, so the last part that
+/// produced a token produced the one that was delivered.
+pub fn produced_versions(engines: &[Engine], slot: &str) -> Vec<u64> {
+    let mut parts: BTreeMap<(u32, u32), Vec<ProducedToken>> = BTreeMap::new();
     for engine in engines {
         for (id, tokens) in engine.ledger() {
             let Some(rest) = id.strip_prefix(slot).and_then(|r| r.strip_prefix('/')) else {
@@ -35,12 +35,12 @@
     tokens.into_values().collect()
 }
 
-/// A label, token by token.
-pub fn flat(label: &[Span]) -> Vec<u64> {
+/// The version of each token by a label.
+pub fn label_versions(label: &[Span]) -> Vec<u64> {
     label.iter().flat_map(|s| (s.from..s.to).map(|_| s.version)).collect()
 }
 
 /// How many tokens a sample of the stand-in engine has.
-pub fn tokens(sample: &Sample) -> usize {
+pub fn sample_token_count(sample: &Sample) -> usize {
     sample.text.split_whitespace().count()
 }
--- a/standins/src/weights/mod.rs
+++ b/standins/src/weights/mod.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the weight store: it hands out versions at a limited rate.
+//! A stand-in for the weight store, which serves weight versions at a limited rate.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,13 +9,15 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 
-use crate::server::{Answer, Server, Service, text};
+use crate::server::{Server, Service, ServiceResult, text_response};
 
 #[derive(Debug)]
 struct Shared {
+    /// Versions served per second.
     rate: f64,
+    /// The token bucket: its tokens, and when it was last refilled.
     tokens: Mutex<(f64, Instant)>,
-    given: AtomicU64,
+    served: AtomicU64,
     refused: AtomicU64,
 }
 
@@ -27,21 +29,21 @@
 }
 
 impl WeightStore {
-    /// Binds an address; `rate` is how many versions it hands out in a second.
+    /// Binds an address; serves at most `rate` versions per second.
     pub async fn bind(address: SocketAddr, rate: f64) -> std::io::Result<Self> {
         let tokens = Mutex::new((rate.max(1.0), Instant::now()));
-        let (given, refused) = (AtomicU64::new(0), AtomicU64::new(0));
-        let shared = Arc::new(Shared { rate, tokens, given, refused });
+        let (served, refused) = (AtomicU64::new(0), AtomicU64::new(0));
+        let shared = Arc::new(Shared { rate, tokens, served, refused });
         let server = Server::bind(address, shared.clone()).await?;
         Ok(Self { server, shared })
     }
 
-    /// Versions handed out so far.
-    pub fn given(&self) -> u64 {
-        self.shared.given.load(Ordering::Relaxed)
+    /// Versions served so far.
+    pub fn served_loads(&self) -> u64 {
+        self.shared.served.load(Ordering::Relaxed)
     }
 
-    /// Calls refused as over the rate so far.
+    /// Calls refused so far because of the rate limit.
     pub fn refused(&self) -> u64 {
         self.shared.refused.load(Ordering::Relaxed)
     }
@@ -53,19 +55,19 @@
 }
 
 impl Service for Shared {
-    async fn answer(self: Arc<Self>, _: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, _: Request<Incoming>) -> ServiceResult {
         let mut tokens = self.tokens.lock();
-        let (left, at) = *tokens;
+        let (left, refilled_at) = *tokens;
         let now = Instant::now();
-        let left = (left + (now - at).as_secs_f64() * self.rate).min(self.rate.max(1.0));
+        let left = (left + (now - refilled_at).as_secs_f64() * self.rate).min(self.rate.max(1.0));
         let fits = left >= 1.0;
         *tokens = (if fits { left - 1.0 } else { left }, now);
         if fits {
-            self.given.fetch_add(1, Ordering::Relaxed);
-            text(StatusCode::OK, "weights")
+            self.served.fetch_add(1, Ordering::Relaxed);
+            text_response(StatusCode::OK, "weights")
         } else {
             self.refused.fetch_add(1, Ordering::Relaxed);
-            text(StatusCode::TOO_MANY_REQUESTS, "over the rate")
+            text_response(StatusCode::TOO_MANY_REQUESTS, "over the rate limit")
         }
     }
 }
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -6,13 +6,13 @@
 
 use mulberrycourse::bundle::{AdoptedBundle, Adoption, OfferOrder};
 use proptest::prelude::*;
-use standins::fleet::{Signers, bundle};
+use standins::fleet::{Signers, bundle_text};
 
 /// Verified bundles by number and version, created once: signing is slow without optimisation.
 static BUNDLES: LazyLock<BTreeMap<(u64, u64), AdoptedBundle>> = LazyLock::new(|| {
     let signers = Signers::default();
     let one = |(number, version)| {
-        let envelope = signers.signed(number, &bundle(number, version));
+        let envelope = signers.signed(number, &bundle_text(number, version));
         let bundle = Arc::new(envelope.verify(&signers.operators()).unwrap());
         ((number, version), AdoptedBundle { bundle, envelope: Arc::new(envelope) })
     };
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -5,8 +5,8 @@
 
 use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
-use standins::caller::{completion, expected};
-use standins::engine::{EngineSettings, Faults, token};
+use standins::caller::{completion_request, expected_text};
+use standins::engine::{EngineSettings, Faults, token_text};
 use standins::fleet::Fleet;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
@@ -14,7 +14,7 @@
 async fn faulty(faults: &Faults, request: &CompletionRequest) -> String {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
     fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
-    let shop = CallerClient::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
     let answer = shop.stream(request, CALL_TIMEOUT).await.unwrap();
     String::from_utf8(answer.body.to_vec()).unwrap()
 }
@@ -22,34 +22,34 @@
 /// Every chunk is sent twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn chunks_come_twice() {
-    let request = completion("double lift", 1, 40);
-    let faults = Faults { doubled: true, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    let request = completion_request("double lift", 1, 40);
+    let faults = Faults { duplicate_chunks: true, ..Faults::default() };
+    assert_eq!(faulty(&faults, &request).await, expected_text(&request));
 }
 
 /// The last chunk arrives and the end of the stream is lost: the answer is complete nevertheless.
 #[tokio::test(flavor = "multi_thread")]
 async fn end_of_stream_is_lost() {
-    let request = completion("false cut", 2, 40);
-    let faults = Faults { endless: true, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    let request = completion_request("false cut", 2, 40);
+    let faults = Faults { omit_end: true, ..Faults::default() };
+    assert_eq!(faulty(&faults, &request).await, expected_text(&request));
 }
 
 /// The upstream body is cut after every 15 tokens: each engine continues where the last stopped.
 #[tokio::test(flavor = "multi_thread")]
 async fn body_is_truncated() {
-    let request = completion("top change", 3, 60);
+    let request = completion_request("top change", 3, 60);
     let faults = Faults { cut_after: 15, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(faulty(&faults, &request).await, expected_text(&request));
 }
 
 /// A caller that has a part of the answer requests the rest, and the stream of the engine that
 /// continues it is cut: no token is lost or doubled.
 #[tokio::test(flavor = "multi_thread")]
 async fn rest_of_an_answer_is_cut() {
-    let request = completion("side steal", 4, 60);
-    let prior: String = (0..5).map(|i| token(&request.prompt, request.seed, i)).collect();
-    let rest = expected(&request).strip_prefix(&prior).unwrap().to_owned();
+    let request = completion_request("side steal", 4, 60);
+    let prior: String = (0..5).map(|i| token_text(&request.prompt, request.seed, i)).collect();
+    let rest = expected_text(&request).strip_prefix(&prior).unwrap().to_owned();
     let request =
         CompletionRequest { prior: Some(PriorOutput { text: prior, tokens: 5 }), ..request };
     let faults = Faults { cut_after: 15, ..Faults::default() };
@@ -61,12 +61,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn event_is_garbled() {
     let fleet = Fleet::spawn(1, 2, EngineSettings::default()).await.unwrap();
-    fleet.engines[0].set_faults(Faults { garbled_at: 7, ..Faults::default() });
-    let shop = CallerClient::new("shop".into(), fleet.callers());
+    fleet.engines[0].set_faults(Faults { malformed_at: 7, ..Faults::default() });
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
     for seed in 0..4 {
-        let request = completion("pass", seed, 40);
+        let request = completion_request("pass", seed, 40);
         let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
-        assert_eq!(answer.body, expected(&request));
+        assert_eq!(answer.body, expected_text(&request));
     }
 }
 
@@ -76,11 +76,11 @@
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
     let ask = |prompt, seed| {
         let request =
-            CompletionRequest { request_id: "one".into(), ..completion(prompt, seed, 60) };
-        let shop = CallerClient::new("shop".into(), fleet.callers());
+            CompletionRequest { request_id: "one".into(), ..completion_request(prompt, seed, 60) };
+        let shop = CallerClient::new("shop".into(), fleet.client_addresses());
         async move {
             let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
-            assert_eq!(answer.body, expected(&request));
+            assert_eq!(answer.body, expected_text(&request));
         }
     };
     tokio::join!(ask("riffle", 1), ask("overhand", 2));
@@ -93,7 +93,7 @@
 /// has attempts: each attempt makes progress, and the answer is completed.
 #[tokio::test(flavor = "multi_thread")]
 async fn body_is_truncated_again_and_again() {
-    let request = completion("color change", 3, 80);
+    let request = completion_request("color change", 3, 80);
     let faults = Faults { cut_after: 2, ..Faults::default() };
-    assert_eq!(faulty(&faults, &request).await, expected(&request));
+    assert_eq!(faulty(&faults, &request).await, expected_text(&request));
 }
--- a/tests/arrival.rs
+++ b/tests/arrival.rs
@@ -12,8 +12,8 @@
 use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse};
 use serde_json::json;
-use standins::fleet::ANY;
-use standins::server::{Answer, Cut, Server, Service, json as answer};
+use standins::fleet::ANY_PORT;
+use standins::server::{ConnectionCut, Server, Service, ServiceResult, json_response};
 
 /// A node that hands over one group in each pull, regardless of the groups that the trainer has.
 struct Node {
@@ -24,17 +24,20 @@
 }
 
 impl Service for Node {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> ServiceResult {
         let path = request.uri().path().to_owned();
         if path == "/v1/addresses" {
             let addresses = self.address.get().into_iter().collect::<Vec<_>>();
-            return answer(StatusCode::OK, &json!({ "addresses": addresses, "ttl_ms": 60_000 }));
+            return json_response(
+                StatusCode::OK,
+                &json!({ "addresses": addresses, "ttl_ms": 60_000 }),
+            );
         }
-        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| ConnectionCut)?;
         if !path.ends_with("/pull") {
-            return answer(StatusCode::OK, &json!({}));
+            return json_response(StatusCode::OK, &json!({}));
         }
-        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| Cut)?;
+        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| ConnectionCut)?;
         let index = self.pulled.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
         let pulled = PullGroupsResponse {
@@ -44,7 +47,7 @@
             draining: false,
             partial_groups: Vec::new(),
         };
-        answer(StatusCode::OK, &pulled)
+        json_response(StatusCode::OK, &pulled)
     }
 }
 
@@ -72,7 +75,7 @@
         group(1, &[5, 5]),
     ];
     let node = Arc::new(Node { pulls, pulled: AtomicU64::new(0), address: Default::default() });
-    let server = Server::bind(ANY, node.clone()).await.unwrap();
+    let server = Server::bind(ANY_PORT, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
     let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -14,7 +14,7 @@
 use mulberrycourse::node::{CURRENT_BUNDLE_KEY, Node};
 use mulberrycourse::settings::ConnectionSettings;
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -37,7 +37,7 @@
 }
 
 async fn answers(fleet: &Fleet) {
-    let caller = CallerClient::new("shop".into(), fleet.callers());
+    let caller = CallerClient::new("shop".into(), fleet.client_addresses());
     let answer = caller.call("stock", "/items/1", "", None, WAIT).await.unwrap();
     assert_eq!(answer.body, "ran /items/1 ");
 }
@@ -167,8 +167,8 @@
     }
     raw(at, &[0xff; 4_096]).await;
     raw(at, b"GET / HTTP/1.1\r\n\r\n").await;
-    fleet.apply(2, &bundle(2, 1)).await.unwrap();
-    fleet.settled(2).await;
+    fleet.apply_bundle(2, &bundle_text(2, 1)).await.unwrap();
+    fleet.wait_until_settled(2).await;
     answers(&fleet).await;
 }
 
@@ -177,10 +177,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_bundles_change_nothing() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    fleet.apply(5, &bundle(5, 1)).await.unwrap();
-    fleet.settled(5).await;
+    fleet.apply_bundle(5, &bundle_text(5, 1)).await.unwrap();
+    fleet.wait_until_settled(5).await;
     let store = BundleStore::new(fleet.platform.address());
-    let good = |number| fleet.signers.signed(number, &bundle(number, 1));
+    let good = |number| fleet.signers.signed(number, &bundle_text(number, 1));
     let (ada, ada_key) = &fleet.signers.keys()[0];
     let mut unsigned = good(10);
     unsigned.signatures.clear();
--- a/tests/bundles.rs
+++ b/tests/bundles.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use mulberrycourse::node::{Node, Phase};
-use standins::daemon::{Daemon, Folder};
+use standins::daemon::{Daemon, TempDir};
 use standins::engine::EngineSettings;
-use standins::fleet::{ANY, Fleet, bundle};
+use standins::fleet::{ANY_PORT, Fleet, bundle_text};
 use standins::platform::Faults;
 
 /// Time limit against a hang; no assertion depends on it.
@@ -16,7 +16,7 @@
 const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_mulberryd");
 
 async fn apply(fleet: &Fleet, number: u64) {
-    fleet.apply(number, &bundle(number, 1)).await.unwrap();
+    fleet.apply_bundle(number, &bundle_text(number, 1)).await.unwrap();
 }
 
 /// Waits until the node serves with bundle `to`. Fails if it is ever seen with a bundle before
@@ -39,11 +39,11 @@
     let mut fleet = Fleet::spawn(3, 1, EngineSettings::default()).await.unwrap();
     apply(&fleet, 2).await;
     apply(&fleet, 3).await;
-    fleet.settled(3).await;
+    fleet.wait_until_settled(3).await;
     drop(fleet.nodes.pop());
     // The platform answers with its state of two writes ago: bundle 1, or bundle 2 once the new
     // node has written its registration.
-    fleet.platform.set_faults(Faults { behind: 2, ..Faults::default() });
+    fleet.platform.set_faults(Faults { stale_revisions: 2, ..Faults::default() });
     let node = fleet.start_node(2).await.unwrap();
     tokio::time::timeout(TEST_TIMEOUT, wait_for_bundle(&node, 3, 3)).await.unwrap();
 }
@@ -52,7 +52,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_without_the_platform_follows_its_peers() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    let closed = tokio::net::TcpListener::bind(ANY).await.unwrap().local_addr().unwrap();
+    let closed = tokio::net::TcpListener::bind(ANY_PORT).await.unwrap().local_addr().unwrap();
     let mut settings = fleet.settings(2);
     settings.platform.address = closed;
     let node = Node::spawn(settings).await.unwrap();
@@ -67,17 +67,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_frozen_across_two_bundles_catches_up() {
     let fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    let folder = Folder::open().unwrap();
+    let folder = TempDir::create().unwrap();
     let platform = fleet.platform.address();
     let daemon = Daemon::spawn(DAEMON_PATH, "frozen", &fleet, platform, folder.path()).unwrap();
     let all = async {
-        daemon.holds(1).await;
-        daemon.freeze().unwrap();
+        daemon.wait_for_bundle(1).await;
+        daemon.pause().unwrap();
         apply(&fleet, 2).await;
         apply(&fleet, 3).await;
-        fleet.settled(3).await;
-        daemon.thaw().unwrap();
-        daemon.holds(3).await;
+        fleet.wait_until_settled(3).await;
+        daemon.resume().unwrap();
+        daemon.wait_for_bundle(3).await;
         let own = daemon.nodes().await.into_iter().find(|n| &*n.name == "frozen").unwrap();
         assert_eq!(own.bundle, 3);
     };
@@ -90,6 +90,6 @@
     let fleet = Fleet::spawn(11, 1, EngineSettings::default()).await.unwrap();
     for number in 2..6 {
         apply(&fleet, number).await;
-        tokio::time::timeout(TEST_TIMEOUT, fleet.settled(number)).await.unwrap();
+        tokio::time::timeout(TEST_TIMEOUT, fleet.wait_until_settled(number)).await.unwrap();
     }
 }
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -9,12 +9,12 @@
 use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::error::RunStatus;
 use mulberrycourse::node::{Addresses, Node};
-use standins::caller::{Answered, send, send_within};
+use standins::caller::{CallResponse, send, send_within};
 use standins::engine::EngineSettings;
-use standins::fleet::{ANY, Fleet};
-use standins::gate::{Gate, Hold};
+use standins::fleet::{ANY_PORT, Fleet};
 use standins::plain::{CutAt, Faults as PlainFaults};
 use standins::platform::Faults;
+use standins::proxy::{HeldTraffic, HoldingProxy};
 use tokio::task::JoinSet;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
@@ -46,17 +46,17 @@
     fleet.sync.iter().for_each(|p| p.set_faults(faults.clone()));
 }
 
-fn kind(answer: &Answered) -> &str {
+fn kind(answer: &CallResponse) -> &str {
     let kind = answer.problem.as_ref().map(|p| p.kind.as_str()).unwrap_or("answered");
     kind.rsplit(':').next().unwrap_or(kind)
 }
 
-async fn ask(fleet: &Fleet, node: usize, key: &str, body: &str) -> Answered {
+async fn ask(fleet: &Fleet, node: usize, key: &str, body: &str) -> CallResponse {
     send(fleet.nodes[node].client_address(), "/sync/count", Some(key), body).await.unwrap()
 }
 
 /// Repeats the call until it is no longer in progress, like a caller that honours `Retry-After`.
-async fn settled(fleet: &Fleet, node: usize, key: &str, body: &str) -> Answered {
+async fn settled(fleet: &Fleet, node: usize, key: &str, body: &str) -> CallResponse {
     loop {
         let answer = ask(fleet, node, key, body).await;
         if !["in_progress", "claim_unavailable"].contains(&kind(&answer)) {
@@ -178,7 +178,9 @@
         let faults = PlainFaults { cut, ..PlainFaults::default() };
         fleet.sync.iter().for_each(|p| p.set_faults(faults.clone()));
     };
-    for (round, at) in [CutAt::Before, CutAt::After, CutAt::Body].into_iter().enumerate() {
+    for (round, at) in
+        [CutAt::BeforeRun, CutAt::AfterRun, CutAt::ResponseBody].into_iter().enumerate()
+    {
         cut(at);
         let key = format!("key-{round}");
         let broken = ask(&fleet, 0, &key, &key).await;
@@ -230,21 +232,21 @@
 /// continues. The compare-and-swap fences it: no call runs twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn paused_home_goes_on_after_its_successor() {
-    for hold in [Hold::Requests, Hold::Replies] {
+    for hold in [HeldTraffic::Requests, HeldTraffic::Responses] {
         let mut fleet = fleet(0).await;
-        let gate = Gate::bind(ANY, fleet.platform.address()).await.unwrap();
+        let gate = HoldingProxy::bind(ANY_PORT, fleet.platform.address()).await.unwrap();
         let mut settings = fleet.settings(0);
         settings.platform.address = gate.address();
         settings.platform.timeout = Duration::from_secs(20);
         settings.drain.ttl = Duration::from_secs(60);
         let owner = Node::spawn(settings).await.unwrap();
         fleet.nodes.push(owner);
-        fleet.settled(1).await;
+        fleet.wait_until_settled(1).await;
         let first = ask(&fleet, 0, "warm", "warm").await;
         assert_eq!(first.status, StatusCode::OK);
 
         // This is the only node, so it owns every key.
-        gate.set(hold);
+        gate.hold(hold);
         let keys: Vec<String> = (0..8).map(|k| format!("key-{k}")).collect();
         let node = fleet.nodes[0].client_address();
         let asked = keys.iter().map(|key| {
@@ -252,7 +254,7 @@
             tokio::spawn(async move { send(node, "/sync/count", Some(&key), &key).await })
         });
         let asked: Vec<_> = asked.collect();
-        gate.caught().await;
+        gate.wait_until_held().await;
         let successor = fleet.start_node(1).await.unwrap();
         fleet.nodes.push(successor);
         let old = fleet.nodes[0].client_address();
@@ -265,7 +267,7 @@
                 let answer = settled(&fleet, 1, key, key).await;
                 assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
             }
-            gate.set(Hold::Nothing);
+            gate.hold(HeldTraffic::Nothing);
             for call in asked {
                 let answer = call.await.unwrap().unwrap();
                 let run = answer.problem.map(|p| p.run);
--- a/tests/claims_processes.rs
+++ b/tests/claims_processes.rs
@@ -6,12 +6,12 @@
 
 use mulberrycourse::decide::claim::{ClaimKey, partition_owner};
 use mulberrycourse::edge::peer::NodeState;
-use standins::caller::{Answered, send};
+use standins::caller::{CallResponse, send};
 use standins::daemon::Daemon;
 use standins::engine::EngineSettings;
-use standins::fleet::{ANY, Fleet};
-use standins::gate::{Gate, Hold};
+use standins::fleet::{ANY_PORT, Fleet};
 use standins::plain::Faults;
+use standins::proxy::{HeldTraffic, HoldingProxy};
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const NODE_NAMES: [&str; 3] = ["a", "b", "c"];
@@ -19,7 +19,7 @@
 struct Deployment {
     fleet: Fleet,
     /// Holds back the traffic between node `a` and the platform.
-    gate: Gate,
+    gate: HoldingProxy,
     daemons: Vec<Daemon>,
     folder: std::path::PathBuf,
 }
@@ -27,7 +27,7 @@
 impl Deployment {
     async fn spawn(test: &str) -> Self {
         let fleet = Fleet::spawn(0, 0, EngineSettings::default()).await.unwrap();
-        let gate = Gate::bind(ANY, fleet.platform.address()).await.unwrap();
+        let gate = HoldingProxy::bind(ANY_PORT, fleet.platform.address()).await.unwrap();
         let folder = std::env::temp_dir().join(format!("mulberry-{test}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let spawn = |name: &&str| {
@@ -58,11 +58,11 @@
         entries.filter(|e| e.body == body).count()
     }
 
-    async fn ask(&self, node: usize, key: &str) -> Answered {
-        at(self.daemons[node].callers, key).await
+    async fn ask(&self, node: usize, key: &str) -> CallResponse {
+        at(self.daemons[node].client_address, key).await
     }
 
-    async fn settled(&self, node: usize, key: &str) -> Answered {
+    async fn settled(&self, node: usize, key: &str) -> CallResponse {
         loop {
             let answer = self.ask(node, key).await;
             let kind = answer.problem.as_ref().map(|p| p.kind.clone()).unwrap_or_default();
@@ -80,7 +80,7 @@
     }
 }
 
-async fn at(node: SocketAddr, key: &str) -> Answered {
+async fn at(node: SocketAddr, key: &str) -> CallResponse {
     send(node, "/sync/count", Some(key), key).await.unwrap()
 }
 
@@ -102,15 +102,15 @@
     assert!(test.settled(1, &keys[0]).await.problem.is_none());
 
     let before = test.fleet.platform.value(&head);
-    test.gate.set(Hold::Replies);
-    let node = test.daemons[1].callers;
+    test.gate.hold(HeldTraffic::Responses);
+    let node = test.daemons[1].client_address;
     let key = keys[1].clone();
     let asked = tokio::spawn(async move { at(node, &key).await });
     while test.fleet.platform.value(&head) == before {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    test.daemons[0].freeze().unwrap();
-    test.gate.set(Hold::Nothing);
+    test.daemons[0].pause().unwrap();
+    test.gate.hold(HeldTraffic::Nothing);
     // The commit that changed the head may have contained only the outcome of the first call. Then
     // the owner was frozen before it handled this claim. In both cases the claim is not granted.
     let refused = asked.await.unwrap();
@@ -119,7 +119,7 @@
 
     let answer = test.settled(2, &keys[1]).await;
     assert_eq!(answer.body, format!("ran /count {}", keys[1]));
-    test.daemons[0].thaw().unwrap();
+    test.daemons[0].resume().unwrap();
     for node in [0, 1, 2, 0] {
         let again = test.settled(node, &keys[1]).await;
         assert!(again.replayed, "{again:?}");
@@ -135,18 +135,18 @@
     let (keys, _) = keys_owned_by("b");
     let slow = Faults { slow_ms: 300, ..Faults::default() };
     test.fleet.sync.iter().for_each(|p| p.set_faults(slow.clone()));
-    let node = test.daemons[0].callers;
+    let node = test.daemons[0].client_address;
     let key = keys[0].clone();
     let asked = tokio::spawn(async move { at(node, &key).await });
     while test.runs(&keys[0]) == 0 {
         tokio::time::sleep(POLL_INTERVAL).await;
     }
-    test.daemons[0].freeze().unwrap();
+    test.daemons[0].pause().unwrap();
     for node in [1, 2] {
         let problem = test.ask(node, &keys[0]).await.problem.unwrap();
         assert_eq!(problem.run, mulberrycourse::error::RunStatus::Unknown, "{problem:?}");
     }
-    test.daemons[0].thaw().unwrap();
+    test.daemons[0].resume().unwrap();
     assert!(asked.await.unwrap().problem.is_none());
     for node in [1, 2] {
         assert!(test.settled(node, &keys[0]).await.replayed);
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -47,7 +47,7 @@
     let before = fleet.stock[0].ledger().len();
 
     fleet.platform.set_vms(live.clone());
-    let reads = || fleet.platform.calls().get("/vms").copied().unwrap_or_default();
+    let reads = || fleet.platform.call_counts().get("/vms").copied().unwrap_or_default();
     let seen = reads();
     while reads() < seen + 24 {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -8,8 +8,8 @@
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use mulberrycourse::edge::upstream::{EngineClient, EngineOrder};
 use standins::engine::{Engine, EngineSettings, Faults};
-use standins::fleet::{Fleet, bundle};
-use standins::trainer::{flat, tokens, truth};
+use standins::fleet::{Fleet, bundle_text};
+use standins::trainer::{label_versions, produced_versions, sample_token_count};
 
 /// Time limit against a hang; no assertion depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -27,7 +27,7 @@
 /// Runs a step while `disturb` runs, and checks each label against the ledgers. Returns the versions
 /// in the labels.
 async fn run_disturbed(fleet: &Fleet, disturb: impl Future<Output = ()>) -> BTreeSet<u64> {
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(1);
     let (report, ()) =
         tokio::time::timeout(TEST_TIMEOUT, async { tokio::join!(trainer.step(1, &spec), disturb) })
@@ -44,9 +44,17 @@
         assert_eq!(group.samples.len(), 4);
         for sample in &group.samples {
             let slot = format!("coach/1/{}/{}", group.group, sample.index);
-            assert_eq!(flat(&sample.label), truth(&fleet.engines, &slot), "label of {slot}");
-            assert_eq!(flat(&sample.label).len(), tokens(sample), "tokens of {slot}");
-            versions.extend(flat(&sample.label));
+            assert_eq!(
+                label_versions(&sample.label),
+                produced_versions(&fleet.engines, &slot),
+                "label of {slot}"
+            );
+            assert_eq!(
+                label_versions(&sample.label).len(),
+                sample_token_count(sample),
+                "tokens of {slot}"
+            );
+            versions.extend(label_versions(&sample.label));
         }
     }
     versions
@@ -78,7 +86,7 @@
 async fn run_weight_change(fleet: &Fleet) {
     let versions = run_disturbed(fleet, async {
         wait_for_streams(fleet).await;
-        fleet.apply(2, &bundle(2, 2)).await.unwrap();
+        fleet.apply_bundle(2, &bundle_text(2, 2)).await.unwrap();
         wait_for_version(fleet, 2).await;
     })
     .await;
@@ -100,7 +108,7 @@
     fleet.engines[0].set_faults(Faults { fail_swaps: 2, ..Faults::default() });
     run_disturbed(&fleet, async {
         wait_for_streams(&fleet).await;
-        fleet.apply(2, &bundle(2, 2)).await.unwrap();
+        fleet.apply_bundle(2, &bundle_text(2, 2)).await.unwrap();
     })
     .await;
     while !fleet.engines.iter().all(|e| e.version() == Some(2)) {
@@ -179,7 +187,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn chunks_come_twice() {
     let fleet = Fleet::spawn(2, 2, slow_engines()).await.unwrap();
-    let twice = Faults { doubled: true, ..Faults::default() };
+    let twice = Faults { duplicate_chunks: true, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(twice.clone()));
     run_disturbed(&fleet, std::future::ready(())).await;
 }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_running_node_counts() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let caller = CallerClient::new("shop".into(), fleet.callers());
+    let caller = CallerClient::new("shop".into(), fleet.client_addresses());
     caller.call("nowhere", "/", "", None, Duration::from_secs(5)).await.unwrap_err();
     let mut refusals = 0.0;
     for node in &fleet.nodes {
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -7,19 +7,19 @@
 use mulberrycourse::decide::{AttemptHistory, AttemptOutcome};
 use mulberrycourse::edge::platform::{Vm, VmState};
 use mulberrycourse::error::{Kind, Refusal, RunStatus};
-use standins::caller::{Answered, complete, send, send_within};
+use standins::caller::{CallResponse, complete, send, send_within};
 use standins::engine::{EngineSettings, Faults};
-use standins::fleet::{ANY, Fleet};
-use standins::plain::{Cutter, Point};
+use standins::fleet::{ANY_PORT, Fleet};
+use standins::plain::{CutPoint, CuttingServer};
 use tokio::task::JoinSet;
 
 /// Larger than a socket buffer, so that the connection can be cut within the body.
 const BODY: usize = 300_000;
 
 /// One node, with a server that cuts connections as the only upstream of both plain services.
-async fn cut_at(point: Point, once: bool) -> (Fleet, Cutter) {
+async fn cut_at(point: CutPoint, once: bool) -> (Fleet, CuttingServer) {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
-    let cutter = Cutter::bind(ANY, point, once).await.unwrap();
+    let cutter = CuttingServer::bind(ANY_PORT, point, once).await.unwrap();
     let vm = |service: &str| Vm {
         name: format!("{service}-cut").into(),
         service: service.into(),
@@ -35,7 +35,7 @@
     (fleet, cutter)
 }
 
-fn reported_run(answer: &Answered) -> RunStatus {
+fn reported_run(answer: &CallResponse) -> RunStatus {
     answer.problem.as_ref().map_or(RunStatus::Ran, |p| p.run)
 }
 
@@ -44,7 +44,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn cut_at_each_point() {
     let mut cases = JoinSet::new();
-    for point in Point::ALL {
+    for point in CutPoint::ALL {
         for key in [None, Some("key")] {
             cases.spawn(one_cut(point, key));
         }
@@ -54,22 +54,25 @@
     }
 }
 
-async fn one_cut(point: Point, key: Option<&str>) {
+async fn one_cut(point: CutPoint, key: Option<&str>) {
     let body = "x".repeat(BODY);
     let (fleet, cutter) = cut_at(point, false).await;
     let node = fleet.nodes[0].client_address();
     let answer = send_within(node, "/sync/count", key, &body, Some(3_000)).await.unwrap();
-    let (reported, ran) = (reported_run(&answer), cutter.ran());
+    let (reported, ran) = (reported_run(&answer), cutter.run_count());
     assert!(ran <= 1, "{point:?} {key:?}: ran {ran} times");
     assert!(reported != RunStatus::NotRun || ran == 0, "{point:?} {key:?}: {answer:?}");
     let certain = match point {
-        Point::Connect => Some(RunStatus::NotRun),
+        CutPoint::Connect => Some(RunStatus::NotRun),
         // Bytes may have been sent before the close was seen or not, so both answers are right.
-        Point::Accept => None,
-        Point::Head | Point::Headers | Point::Body | Point::Read => Some(RunStatus::Unknown),
-        Point::Ran | Point::AnswerHead => Some(RunStatus::Unknown),
-        Point::AnswerHeaders | Point::AnswerBody => Some(RunStatus::Unknown),
-        Point::Nowhere => Some(RunStatus::Ran),
+        CutPoint::Accept => None,
+        CutPoint::RequestHead
+        | CutPoint::AfterRequestHead
+        | CutPoint::RequestBody
+        | CutPoint::AfterRequest => Some(RunStatus::Unknown),
+        CutPoint::AfterRun | CutPoint::ResponseHead => Some(RunStatus::Unknown),
+        CutPoint::AfterResponseHead | CutPoint::ResponseBody => Some(RunStatus::Unknown),
+        CutPoint::Never => Some(RunStatus::Ran),
     };
     assert!(certain.is_none_or(|c| c == reported), "{point:?} {key:?}: {answer:?}");
 }
@@ -79,12 +82,12 @@
 /// refusal must not report "not run".
 #[tokio::test(flavor = "multi_thread")]
 async fn earlier_attempt_counts() {
-    for point in [Point::Ran, Point::AnswerHead, Point::AnswerBody] {
+    for point in [CutPoint::AfterRun, CutPoint::ResponseHead, CutPoint::ResponseBody] {
         let (fleet, cutter) = cut_at(point, true).await;
         let node = fleet.nodes[0].client_address();
         let answer = send_within(node, "/stock/items", None, "x", Some(2_000)).await.unwrap();
         assert_eq!(
-            (reported_run(&answer), cutter.ran()),
+            (reported_run(&answer), cutter.run_count()),
             (RunStatus::Unknown, 1),
             "{point:?}: {answer:?}"
         );
@@ -96,13 +99,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn earlier_attempt_counts_for_completions() {
     let restart = Duration::from_secs(3_600);
-    let settings = EngineSettings { restart, ..EngineSettings::default() };
+    let settings = EngineSettings { restart_time: restart, ..EngineSettings::default() };
     let fleet = Fleet::spawn(1, 1, settings).await.unwrap();
     let faults = Faults { poison: "palm".to_owned(), ..Faults::default() };
     fleet.engines[0].set_faults(faults);
     let body = r#"{"model":"patter","prompt":"palm","max_tokens":8}"#;
     let answer = complete(fleet.nodes[0].client_address(), body, 2_000).await.unwrap();
-    assert_eq!(fleet.engines[0].started(), 1);
+    assert_eq!(fleet.engines[0].started_requests(), 1);
     assert_eq!(reported_run(&answer), RunStatus::Unknown, "{answer:?}");
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -8,7 +8,7 @@
 use mulberrycourse::bundle::BundleError;
 use mulberrycourse::cli::{BundleStore, CommandError, ErrorReport, RolloutProgress, commands};
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 use standins::platform::Faults;
 
 /// A folder with key files, settings and bundles. It is removed when dropped.
@@ -91,7 +91,7 @@
 async fn a_bundle_goes_its_way() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let operator = OperatorFolder::new("way", &fleet);
-    let two = operator.bundle("two.ini", &bundle(2, 7));
+    let two = operator.bundle("two.ini", &bundle_text(2, 7));
     assert!(stdout(&operator.propose(&two, "ada")).contains("\"number\": 2"));
     // Proposing it again changes nothing.
     stdout(&operator.propose(&two, "ada"));
@@ -117,7 +117,7 @@
 
     assert!(stdout(&operator.run(&["bundle", "show"])).contains("\"number\": 2"));
     assert!(stdout(&operator.run(&["bundle", "history"])).contains("\"number\": 1"));
-    let three = operator.bundle("three.ini", &bundle(3, 8));
+    let three = operator.bundle("three.ini", &bundle_text(3, 8));
     stdout(&operator.propose(&three, "ben"));
     let diff: String =
         serde_json::from_str(&stdout(&operator.run(&["bundle", "diff", "3"]))).unwrap();
@@ -131,21 +131,21 @@
 async fn refusals_have_their_status() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let operator = OperatorFolder::new("refused", &fleet);
-    fleet.apply(5, &bundle(5, 1)).await.unwrap();
-    let low = operator.bundle("low.ini", &bundle(4, 1));
+    fleet.apply_bundle(5, &bundle_text(5, 1)).await.unwrap();
+    let low = operator.bundle("low.ini", &bundle_text(4, 1));
     stdout(&operator.propose(&low, "ada"));
     stdout(&operator.sign("4", "ben", "ben"));
     let lower = failure(&operator.apply("4"));
     assert_eq!(lower.status, 3);
     assert!(lower.message.contains("bundle 5 is in force; 4 is not later"), "{}", lower.message);
 
-    let high = operator.bundle("high.ini", &bundle(6, 1));
+    let high = operator.bundle("high.ini", &bundle_text(6, 1));
     stdout(&operator.propose(&high, "ada"));
     stdout(&operator.sign("6", "ben", "eve"));
     let forged = failure(&operator.apply("6"));
     assert_eq!(forged.status, 3);
     assert!(forged.message.contains("signature of ben does not fit"), "{}", forged.message);
-    let next = operator.bundle("next.ini", &bundle(7, 1));
+    let next = operator.bundle("next.ini", &bundle_text(7, 1));
     stdout(&operator.propose(&next, "ada"));
     stdout(&operator.sign("7", "eve", "eve"));
     let stranger = failure(&operator.apply("7"));
@@ -170,8 +170,8 @@
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let operator = OperatorFolder::new("race", &fleet);
     for number in 2..8 {
-        let one = operator.bundle("one.ini", &bundle(number, 7));
-        let other = operator.bundle("other.ini", &bundle(number, 8));
+        let one = operator.bundle("one.ini", &bundle_text(number, 7));
+        let other = operator.bundle("other.ini", &bundle_text(number, 8));
         let (first, second) = std::thread::scope(|scope| {
             let first = scope.spawn(|| operator.propose(&one, "ada"));
             let second = scope.spawn(|| operator.propose(&other, "ben"));
@@ -199,7 +199,7 @@
     let [(ada, ada_key), (ben, ben_key)] = fleet.signers.keys();
     let store = BundleStore::new(fleet.platform.address());
     for number in 2..12 {
-        let mut bare = fleet.signers.signed(number, &bundle(number, 1));
+        let mut bare = fleet.signers.signed(number, &bundle_text(number, 1));
         bare.signatures.clear();
         store.propose(&bare, 0).await.unwrap();
         let (one, other) = tokio::join!(
@@ -223,14 +223,14 @@
         let faults = Faults { lose_replies: 1, unreadable, ..Faults::default() };
         fleet.platform.set_faults(faults);
     };
-    let two = fleet.signers.signed(2, &bundle(2, 1));
+    let two = fleet.signers.signed(2, &bundle_text(2, 1));
     lose(false);
     store.propose(&two, 0).await.unwrap();
     lose(false);
     commands::apply(&store, 2, &fleet.signers.operators()).await.unwrap();
     assert_eq!(store.current().await.unwrap().0.unwrap().number, 2);
 
-    let three = fleet.signers.signed(3, &bundle(3, 1));
+    let three = fleet.signers.signed(3, &bundle_text(3, 1));
     lose(true);
     let unsure = store.propose(&three, 0).await.unwrap_err();
     assert!(matches!(unsure, CommandError::OutcomeUnknown(_)), "{unsure}");
@@ -251,8 +251,8 @@
 async fn a_lower_bundle_is_refused() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let store = BundleStore::new(fleet.platform.address());
-    fleet.apply(3, &bundle(3, 1)).await.unwrap();
-    store.propose(&fleet.signers.signed(2, &bundle(2, 1)), 0).await.unwrap();
+    fleet.apply_bundle(3, &bundle_text(3, 1)).await.unwrap();
+    store.propose(&fleet.signers.signed(2, &bundle_text(2, 1)), 0).await.unwrap();
     let refused = commands::apply(&store, 2, &fleet.signers.operators()).await.unwrap_err();
     let lower = BundleError::NotLater { current: 3, offered: 2 }.to_string();
     assert_eq!(refused.to_string(), lower);
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -8,7 +8,7 @@
 use mulberrycourse::edge::upstream::{EngineClient, EngineOrder, EngineOrderReply};
 use mulberrycourse::node::EngineState;
 use standins::engine::{EngineSettings, Faults};
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 
 /// Time limit against a hang; no assertion depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(60);
@@ -74,8 +74,8 @@
 async fn frozen_engine_holds_up_nobody() {
     let fleet = Fleet::spawn(2, 3, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { frozen: true, ..Faults::default() });
-    let text = bundle(2, 2).replace("swapping = 50", "swapping = 100");
-    fleet.apply(2, &text).await.unwrap();
+    let text = bundle_text(2, 2).replace("swapping = 50", "swapping = 100");
+    fleet.apply_bundle(2, &text).await.unwrap();
     wait_until(|| fleet.engines[1..].iter().all(|e| e.version() == Some(2))).await;
     assert_eq!(fleet.engines[0].version(), Some(1));
     fleet.engines[0].set_faults(Faults::default());
@@ -86,7 +86,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn fenced_engine_refuses_an_old_order() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    fleet.apply(2, &bundle(2, 2)).await.unwrap();
+    fleet.apply_bundle(2, &bundle_text(2, 2)).await.unwrap();
     wait_for_all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported_version == Some(2))
         .await;
     assert!(!send_old_order(&fleet, 0).await.taken);
@@ -100,8 +100,8 @@
 async fn unfenced_engine_is_corrected() {
     let settings = EngineSettings { fenced: false, ..EngineSettings::default() };
     let fleet = Fleet::spawn(2, 2, settings).await.unwrap();
-    let text = bundle(2, 2).replace("kind = engine", "kind = engine\nfenced = false");
-    fleet.apply(2, &text).await.unwrap();
+    let text = bundle_text(2, 2).replace("kind = engine", "kind = engine\nfenced = false");
+    fleet.apply_bundle(2, &text).await.unwrap();
     wait_for_all(&fleet, |s| s.stage == RolloutStage::Settled && s.reported_version == Some(2))
         .await;
     assert!(send_old_order(&fleet, 0).await.taken);
@@ -116,7 +116,7 @@
 async fn failed_swaps_are_repaired() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     fleet.engines[1].set_faults(Faults { fail_swaps: 3, ..Faults::default() });
-    fleet.apply(2, &bundle(2, 2)).await.unwrap();
+    fleet.apply_bundle(2, &bundle_text(2, 2)).await.unwrap();
     let states =
         wait_for_all(&fleet, |s| s.stage == RolloutStage::Settled && s.target_version == 2).await;
     assert!(states.iter().all(|s| s.reported_version == Some(2)));
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -8,9 +8,9 @@
 use mulberrycourse::edge::http::JsonClient;
 use mulberrycourse::error::RunStatus;
 use mulberrycourse::node::Addresses;
-use standins::caller::{completion, expected};
+use standins::caller::{completion_request, expected_text};
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
@@ -25,16 +25,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn whole_path() {
     let fleet = Fleet::spawn(3, 3, EngineSettings::default()).await.unwrap();
-    let shop = CallerClient::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
 
     let answer = shop.call("stock", "/items/7?size=s", "", None, CALL_TIMEOUT).await.unwrap();
     assert_eq!(answer.body, "ran /items/7?size=s ");
 
-    let request = completion("patter", 3, 64);
+    let request = completion_request("patter", 3, 64);
     let answer = shop.stream(&request, CALL_TIMEOUT).await.unwrap();
-    assert_eq!(answer.body, expected(&request));
+    assert_eq!(answer.body, expected_text(&request));
 
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let prompt = GroupSpec { prompt: "force".to_owned(), samples: 4, max_tokens: 16 };
     let spec = StepSpec { version: 1, groups: vec![prompt; 5] };
     let report = trainer.step(1, &spec).await.unwrap();
@@ -48,8 +48,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bundle_reaches_nodes_and_engines() {
     let fleet = Fleet::spawn(3, 3, EngineSettings::default()).await.unwrap();
-    fleet.apply(2, &bundle(2, 9)).await.unwrap();
-    fleet.settled(2).await;
+    fleet.apply_bundle(2, &bundle_text(2, 9)).await.unwrap();
+    fleet.wait_until_settled(2).await;
     while !fleet.engines.iter().all(|e| e.version() == Some(9)) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -63,7 +63,7 @@
         plain.kill();
         wait_until_closed(plain.address()).await;
     }
-    let shop = CallerClient::new("shop".into(), fleet.callers());
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
     let refused = shop.call("sync", "/count", "1", None, CALL_TIMEOUT).await.unwrap_err();
     let CallerError::Refused(problem) = refused else { panic!("{refused}") };
     assert_eq!(problem.run, RunStatus::NotRun);
@@ -76,7 +76,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn dead_node_in_a_kept_answer() {
     let mut fleet = Fleet::spawn(2, 1, EngineSettings::default()).await.unwrap();
-    let first = fleet.callers()[0];
+    let first = fleet.client_addresses()[0];
     let fetch = JsonClient::default();
     while fetch
         .get::<Addresses>(first, "/v1/addresses", CALL_TIMEOUT)
--- a/tests/processes.rs
+++ b/tests/processes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mulberrycourse::client::CallerClient;
-use standins::daemon::{Daemon, Folder};
+use standins::daemon::{Daemon, TempDir};
 use standins::engine::EngineSettings;
 use standins::fleet::Fleet;
 use standins::platform::Faults;
@@ -27,7 +27,7 @@
 
 async fn settle(daemons: &[Daemon], names: &[&str]) {
     for daemon in daemons {
-        daemon.sees(names).await;
+        daemon.wait_for_nodes(names).await;
     }
 }
 
@@ -36,7 +36,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn processes_serve_and_one_is_killed() {
     let fleet = fleet().await;
-    let folder = Folder::open().unwrap();
+    let folder = TempDir::create().unwrap();
     let mut daemons = spawn(&fleet, folder.path(), &["a", "b", "c"]);
     for daemon in &daemons {
         while daemon.nodes().await.iter().filter(|n| n.bundle == 1).count() < 3 {
@@ -44,7 +44,7 @@
         }
     }
     drop(daemons.remove(0));
-    let shop = CallerClient::new("shop".into(), daemons.iter().map(|d| d.callers).collect());
+    let shop = CallerClient::new("shop".into(), daemons.iter().map(|d| d.client_address).collect());
     let answer = shop.call("stock", "/items/1", "", None, CALL_TIMEOUT).await.unwrap();
     assert_eq!(answer.body, "ran /items/1 ");
     tokio::time::timeout(TEST_TIMEOUT, settle(&daemons, &["b", "c"])).await.unwrap();
@@ -55,13 +55,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_process_goes_and_comes_back() {
     let fleet = fleet().await;
-    let folder = Folder::open().unwrap();
+    let folder = TempDir::create().unwrap();
     let daemons = spawn(&fleet, folder.path(), &["a", "b", "c"]);
     let all = async {
         settle(&daemons, &["a", "b", "c"]).await;
-        daemons[2].freeze().unwrap();
+        daemons[2].pause().unwrap();
         settle(&daemons[..2], &["a", "b"]).await;
-        daemons[2].thaw().unwrap();
+        daemons[2].resume().unwrap();
         settle(&daemons, &["a", "b", "c"]).await;
     };
     tokio::time::timeout(TEST_TIMEOUT, all).await.unwrap();
@@ -72,18 +72,19 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_process_joins_during_an_outage() {
     let fleet = fleet().await;
-    let folder = Folder::open().unwrap();
+    let folder = TempDir::create().unwrap();
     let mut daemons = spawn(&fleet, folder.path(), &["a", "b"]);
     let all = async {
         settle(&daemons, &["a", "b"]).await;
         fleet.platform.set_faults(Faults { down: true, ..Faults::default() });
         let platform = fleet.platform.address();
-        let seeds = [daemons[0].peers];
-        let third = Daemon::spawn_seeded(DAEMON_PATH, "c", &fleet, platform, folder.path(), &seeds)
-            .unwrap();
+        let seeds = [daemons[0].peer_address];
+        let third =
+            Daemon::spawn_with_seeds(DAEMON_PATH, "c", &fleet, platform, folder.path(), &seeds)
+                .unwrap();
         daemons.push(third);
         settle(&daemons, &["a", "b", "c"]).await;
-        daemons[2].holds(1).await;
+        daemons[2].wait_for_bundle(1).await;
     };
     tokio::time::timeout(TEST_TIMEOUT, all).await.unwrap();
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -5,7 +5,7 @@
 
 use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::upstream::CompletionRequest;
-use standins::caller::{Answered, complete, completion, expected};
+use standins::caller::{CallResponse, complete, completion_request, expected_text};
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::Fleet;
 
@@ -15,7 +15,7 @@
 async fn fleet(nodes: usize, engines: usize) -> Fleet {
     let settings = EngineSettings {
         token_time: Duration::from_millis(8),
-        restart: Duration::from_secs(1),
+        restart_time: Duration::from_secs(1),
         ..EngineSettings::default()
     };
     let fleet = Fleet::spawn(nodes, engines, settings).await.unwrap();
@@ -28,7 +28,7 @@
     fleet.engines.iter().map(|e| e.crashes()).sum()
 }
 
-fn kind(answer: &Answered) -> &str {
+fn kind(answer: &CallResponse) -> &str {
     let kind = answer.problem.as_ref().map(|p| p.kind.as_str()).unwrap_or("answered");
     kind.rsplit(':').next().unwrap_or(kind)
 }
@@ -40,14 +40,14 @@
 async fn two_engines_and_no_more() {
     let fleet = fleet(3, 5).await;
     let requests: Vec<CompletionRequest> =
-        (0..20).map(|n| completion(&format!("force {n}"), n, 120)).collect();
+        (0..20).map(|n| completion_request(&format!("force {n}"), n, 120)).collect();
     let mut harmless = Vec::new();
     for request in &requests {
         let request = request.clone();
-        let shop = CallerClient::new("shop".into(), fleet.callers());
+        let shop = CallerClient::new("shop".into(), fleet.client_addresses());
         harmless.push(tokio::spawn(async move { shop.stream(&request, WAIT).await }));
     }
-    while fleet.engines.iter().any(|e| e.started() == 0) {
+    while fleet.engines.iter().any(|e| e.started_requests() == 0) {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     for node in [0, 1, 2, 0] {
@@ -56,7 +56,7 @@
     }
     for (request, answer) in requests.iter().zip(harmless) {
         let answer = answer.await.unwrap().unwrap();
-        assert_eq!(answer.body, expected(request));
+        assert_eq!(answer.body, expected_text(request));
     }
     assert_eq!(crashes(&fleet), 2);
 }
@@ -101,7 +101,7 @@
     assert_eq!(kind(&answer), "quarantined");
     let node = fleet.start_node(2).await.unwrap();
     fleet.nodes.push(node);
-    fleet.settled(1).await;
+    fleet.wait_until_settled(1).await;
     while fleet.nodes[2].quarantined_count() == 0 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -8,7 +8,7 @@
     EngineObservation, Rollout, RolloutStage, SwapChains, TargetWeights, WeightLoadBudget,
 };
 use proptest::prelude::*;
-use standins::rollout::{TICK, World};
+use standins::rollout::{RolloutSimulation, TICK_DURATION};
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
@@ -24,9 +24,9 @@
         failures in prop::collection::vec(0_u32..2, 20),
         second in 1_u32..200,
     ) {
-        let mut world = World::new(engines, nodes, percent);
+        let mut world = RolloutSimulation::new(engines, nodes, percent);
         for (engine, failures) in world.engines.iter_mut().zip(failures) {
-            engine.failures = failures;
+            engine.failing_swaps = failures;
         }
         for _ in 0..second {
             world.tick(TargetWeights { generation: 2, version: 2 }, swap, None);
@@ -34,12 +34,12 @@
         let next = TargetWeights { generation: 3, version: 3 };
         for _ in 0..20_000 {
             world.tick(next, swap, None);
-            if world.settled(3) {
+            if world.is_settled(3) {
                 break;
             }
         }
-        prop_assert!(world.settled(3));
-        prop_assert!(world.swapping <= world.chains.len());
+        prop_assert!(world.is_settled(3));
+        prop_assert!(world.peak_swapping <= world.chains.len());
     }
 
     /// Chains contain every engine once, differ in length by at most one, and do not depend on the
@@ -60,7 +60,7 @@
 /// A dead engine is skipped by its chain.
 #[test]
 fn dead_engine_does_not_block_its_chain() {
-    let mut world = World::new(6, 2, 34);
+    let mut world = RolloutSimulation::new(6, 2, 34);
     let first = world.chains.of(&world.names[0].clone())[0].clone();
     let dead = world.index(&first);
     world.engines[dead].alive = false;
@@ -68,14 +68,14 @@
     for _ in 0..1_000 {
         world.tick(target, 4, None);
     }
-    assert!(world.settled(2));
-    assert!(world.swapping <= 2);
+    assert!(world.is_settled(2));
+    assert!(world.peak_swapping <= 2);
 }
 
 /// A node is paused during a rollout: its successors give the orders to its engines.
 #[test]
 fn paused_owner_is_succeeded() {
-    let mut world = World::new(9, 3, 34);
+    let mut world = RolloutSimulation::new(9, 3, 34);
     let target = TargetWeights { generation: 2, version: 2 };
     for _ in 0..20 {
         world.tick(target, 10, None);
@@ -83,16 +83,16 @@
     for _ in 0..400 {
         world.tick(target, 10, Some(0));
     }
-    assert!(world.settled(2));
-    assert!(world.swapping <= 3);
+    assert!(world.is_settled(2));
+    assert!(world.peak_swapping <= 3);
 }
 
 /// A settled engine accepts an old order: it gets a correcting order, which is counted.
 #[test]
 fn wrong_version_is_corrected() {
-    let mut world = World::new(3, 2, 34);
+    let mut world = RolloutSimulation::new(3, 2, 34);
     let target = TargetWeights { generation: 2, version: 2 };
-    while !world.settled(2) {
+    while !world.is_settled(2) {
         world.tick(target, 4, None);
     }
     for _ in 0..40 {
@@ -102,7 +102,7 @@
     for _ in 0..100 {
         world.tick(target, 4, None);
     }
-    assert!(world.settled(2));
+    assert!(world.is_settled(2));
     assert_eq!(world.corrections, 1);
 }
 
@@ -112,7 +112,7 @@
     let mut budget = WeightLoadBudget::default();
     let mut taken = 0;
     for tick in 0..200 {
-        let now = TICK * tick;
+        let now = TICK_DURATION * tick;
         budget.set(10, 3, 30, now);
         taken += u32::from(budget.take(now));
     }
@@ -128,7 +128,7 @@
     let polls = |fenced| {
         let mut rollout = Rollout::new(target, Duration::ZERO);
         rollout.set_target(target, fenced, Duration::ZERO);
-        let due = (0..200).map(|tick| TICK * tick).filter(|now| {
+        let due = (0..200).map(|tick| TICK_DURATION * tick).filter(|now| {
             let due = rollout.poll_due(&name, *now);
             if due {
                 rollout.observe(
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -8,8 +8,8 @@
 use mulberrycourse::client::CallerClient;
 use mulberrycourse::edge::http::{JsonClient, full_body, read_body};
 use mulberrycourse::edge::upstream::{CompletionRequest, PriorOutput};
-use standins::caller::{completion, expected};
-use standins::engine::{Engine, EngineSettings, Faults, token};
+use standins::caller::{completion_request, expected_text};
+use standins::engine::{Engine, EngineSettings, Faults, token_text};
 use standins::fleet::Fleet;
 
 /// Time limit against a hang; no assertion depends on it.
@@ -40,9 +40,9 @@
     // The engines are slow until the nodes are replaced: 400 ms a token.
     let crawl = Faults { slowdown: 200, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(crawl.clone()));
-    let shop = CallerClient::new("shop".into(), fleet.callers());
-    let request = completion("long con", 11, 800);
-    let total = expected(&request).split_whitespace().count();
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
+    let request = completion_request("long con", 11, 800);
+    let total = expected_text(&request).split_whitespace().count();
     let running = tokio::spawn({
         let request = request.clone();
         async move { shop.stream(&request, TEST_TIMEOUT).await }
@@ -51,14 +51,14 @@
     for index in 0..2 {
         let fresh = fleet.start_node(index + 2).await.unwrap();
         fleet.nodes.push(fresh);
-        fleet.settled(1).await;
+        fleet.wait_until_settled(1).await;
         let old = fleet.nodes.remove(0);
         assert!(old.stop().await, "a node stopped before its requests were finished");
     }
     assert!(produced(&fleet.engines) < total, "the stream ended before the nodes were replaced");
     fleet.engines.iter().for_each(|e| e.set_faults(Faults::default()));
     let answer = running.await.unwrap().unwrap();
-    assert_eq!(answer.body, expected(&request));
+    assert_eq!(answer.body, expected_text(&request));
 }
 
 /// A caller that can't resume is served until its stream ends, by a node that stops meanwhile.
@@ -66,7 +66,7 @@
 async fn plain_stream_is_finished_by_a_stopping_node() {
     let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
     let at = fleet.nodes[0].client_address();
-    let request = completion("long con", 3, 300);
+    let request = completion_request("long con", 3, 300);
     let response = open_stream(at, &request, None).await;
     assert_eq!(response.status(), StatusCode::OK);
     let (finished, body) =
@@ -75,15 +75,15 @@
     let body = String::from_utf8(body.unwrap().to_vec()).unwrap();
     assert!(body.ends_with("data: [DONE]\n\n"));
     let events = body.lines().filter(|l| l.starts_with("id: ")).count();
-    assert_eq!(events, expected(&request).split_whitespace().count());
+    assert_eq!(events, expected_text(&request).split_whitespace().count());
 }
 
 /// The caller disconnects during the stream: the work at the engine is cancelled.
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_stream_is_cancelled() {
     let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
-    let shop = CallerClient::new("shop".into(), fleet.callers());
-    let request = completion("long con", 3, 100_000);
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
+    let request = completion_request("long con", 3, 100_000);
     let disconnected = async {
         tokio::select! {
             _ = shop.stream(&request, TEST_TIMEOUT) => {}
@@ -105,14 +105,14 @@
 async fn misfitting_resume_is_refused() {
     let fleet = Fleet::spawn(1, 1, EngineSettings::default()).await.unwrap();
     let at = fleet.nodes[0].client_address();
-    let request = completion("pass", 1, 40);
-    let text = token(&request.prompt, request.seed, 0);
+    let request = completion_request("pass", 1, 40);
+    let text = token_text(&request.prompt, request.seed, 0);
     let request = CompletionRequest { prior: Some(PriorOutput { text, tokens: 1 }), ..request };
     for last in ["00000000000000aa/2", "nothing", "00000000000000aa/one", "x y/1"] {
         let response = open_stream(at, &request, Some(last)).await;
         assert_eq!(response.status(), StatusCode::BAD_REQUEST, "{last}");
     }
-    assert_eq!(fleet.engines[0].started(), 0);
+    assert_eq!(fleet.engines[0].started_requests(), 0);
 }
 
 /// Sends a stream request without the client library, and returns the response.
@@ -142,7 +142,7 @@
         fleet.engines.iter().for_each(|e| e.set_faults(faults.clone()));
     };
     cut(3);
-    let request = completion("cull", 5, 40);
+    let request = completion_request("cull", 5, 40);
     let mut log = format!("> {}\n", serde_json::to_string(&request).unwrap());
     let response = open_stream(fleet.nodes[0].client_address(), &request, None).await;
     let mut body = http_body_util::BodyDataStream::new(response.into_body());
@@ -158,7 +158,7 @@
     let last = events[3].lines().next().unwrap().trim_start_matches("id: ").to_owned();
     let id = last.split('/').next().unwrap().to_owned();
     log.push_str(&events.concat());
-    let text = (0..4).map(|i| token(&request.prompt, request.seed, i)).collect();
+    let text = (0..4).map(|i| token_text(&request.prompt, request.seed, i)).collect();
     let rest = CompletionRequest { prior: Some(PriorOutput { text, tokens: 4 }), ..request };
     log.push_str(&format!(
         "> last-event-id: {last}\n> {}\n",
@@ -175,14 +175,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn last_node_keeps_its_streams() {
     let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
-    let shop = CallerClient::new("shop".into(), fleet.callers());
-    let request = completion("long con", 3, 300);
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
+    let request = completion_request("long con", 3, 300);
     let stop = async {
         wait_for_tokens(&fleet.engines, 5).await;
         fleet.nodes[0].stop().await
     };
     let (answer, finished) = tokio::join!(shop.stream(&request, TEST_TIMEOUT), stop);
-    assert_eq!(answer.unwrap().body, expected(&request));
+    assert_eq!(answer.unwrap().body, expected_text(&request));
     assert!(finished);
 }
 
@@ -193,8 +193,8 @@
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let cut = Faults { cut_after: 3, ..Faults::default() };
     fleet.engines.iter().for_each(|e| e.set_faults(cut.clone()));
-    let shop = CallerClient::new("shop".into(), fleet.callers());
-    let request = completion("long con", 3, 100);
+    let shop = CallerClient::new("shop".into(), fleet.client_addresses());
+    let request = completion_request("long con", 3, 100);
     let answer = shop.stream(&request, TEST_TIMEOUT).await;
-    assert_eq!(answer.unwrap().body, expected(&request));
+    assert_eq!(answer.unwrap().body, expected_text(&request));
 }
--- a/tests/sessions_processes.rs
+++ b/tests/sessions_processes.rs
@@ -7,7 +7,7 @@
 use mulberrycourse::client::{CallerClient, StepReport, TrainerClient};
 use mulberrycourse::decide::{GroupSpec, StepSpec, rendezvous_rank};
 use mulberrycourse::edge::peer::NodeState;
-use standins::caller::{completion, expected};
+use standins::caller::{completion_request, expected_text};
 use standins::daemon::Daemon;
 use standins::engine::{EngineSettings, Faults};
 use standins::fleet::Fleet;
@@ -54,7 +54,7 @@
     }
 
     fn callers(&self) -> Vec<std::net::SocketAddr> {
-        self.daemons.iter().flatten().map(|d| d.callers).collect()
+        self.daemons.iter().flatten().map(|d| d.client_address).collect()
     }
 
     /// Waits until the engines have produced this many tokens.
@@ -106,9 +106,9 @@
         .map(|seed| {
             let shop = CallerClient::new("shop".into(), test.callers());
             tokio::spawn(async move {
-                let request = completion("long con", seed, 120);
+                let request = completion_request("long con", seed, 120);
                 let answer = shop.stream(&request, TEST_TIMEOUT).await.unwrap();
-                assert_eq!(answer.body, expected(&request));
+                assert_eq!(answer.body, expected_text(&request));
             })
         })
         .collect();
@@ -149,11 +149,11 @@
     });
     test.wait_for_tokens(16).await;
     let frozen = test.daemons[owner].as_ref().unwrap();
-    frozen.freeze().unwrap();
+    frozen.pause().unwrap();
     test.restore_speed();
     let (trainer, report) = tokio::time::timeout(TEST_TIMEOUT, step).await.unwrap().unwrap();
     assert_complete(&report.unwrap());
-    frozen.thaw().unwrap();
+    frozen.resume().unwrap();
     assert_complete(&trainer.step(2, &spec()).await.unwrap());
 }
 
@@ -162,7 +162,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn node_is_frozen_in_streams() {
     let test = Deployment::spawn("frozen-streams").await;
-    let request = |seed| completion("long con", seed, 120);
+    let request = |seed| completion_request("long con", seed, 120);
     let streams: Vec<_> = (0..8)
         .map(|seed| {
             let shop = CallerClient::new("shop".into(), test.callers());
@@ -171,10 +171,10 @@
         .collect();
     test.wait_for_tokens(16).await;
     let frozen = test.daemons[0].as_ref().unwrap();
-    frozen.freeze().unwrap();
+    frozen.pause().unwrap();
     test.restore_speed();
     for (seed, stream) in (0..).zip(streams) {
-        assert_eq!(stream.await.unwrap().unwrap().body, expected(&request(seed)));
+        assert_eq!(stream.await.unwrap().unwrap().body, expected_text(&request(seed)));
     }
-    frozen.thaw().unwrap();
+    frozen.resume().unwrap();
 }
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -12,8 +12,8 @@
 use mulberrycourse::edge::http::{JsonClient, JsonClientError};
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 use standins::engine::{EngineSettings, Faults};
-use standins::fleet::{Fleet, bundle};
-use standins::trainer::{flat, truth};
+use standins::fleet::{Fleet, bundle_text};
+use standins::trainer::{label_versions, produced_versions};
 
 /// Time limit against a hang; no assertion depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -53,7 +53,7 @@
     let wait = async {
         loop {
             let mut owners = Vec::new();
-            for node in fleet.callers() {
+            for node in fleet.client_addresses() {
                 owners.push(AddressBook::homed(vec![node], "coach".into()).get().await.unwrap());
             }
             if owners.iter().all(|owner| *owner == owners[0]) {
@@ -133,7 +133,7 @@
 async fn home_dies_after_handover() {
     let mut fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
     let at = agreed_owner(&fleet).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(6, 2, 60);
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     let first = pulling.next().await.unwrap();
@@ -177,12 +177,12 @@
     agreed_owner(&fleet).await;
     let spec = spec(6, 2, 60);
     let kept = {
-        let trainer = TrainerClient::new("coach".into(), fleet.callers());
+        let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
         let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
         let groups = pulling.next().await.unwrap();
         groups.into_iter().map(|g| (g.group, g)).collect::<BTreeMap<u32, Group>>()
     };
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let mut pulling = trainer.resume(1, &spec, kept.clone());
     while !pulling.next().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
@@ -197,7 +197,7 @@
 async fn home_drains() {
     let fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
     let at = agreed_owner(&fleet).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     // One sample in each group is long, so most of a group is finished long before the group is
     // complete.
     let spec = spec(4, 6, 120);
@@ -245,9 +245,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_step_is_dropped() {
     let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
-    let text = bundle(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
-    fleet.apply(2, &text).await.unwrap();
-    fleet.settled(2).await;
+    let text = bundle_text(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
+    fleet.apply_bundle(2, &text).await.unwrap();
+    fleet.wait_until_settled(2).await;
     let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 100_000), Ranges::default()).await;
     let is_active = async || {
@@ -283,7 +283,7 @@
     let first = pull_unacknowledged(at, 1, 1).await;
     assert!(first[0].samples.iter().all(|s| s.oldest() == Some(1)));
     // The staleness bound is 2, so at version 4 nothing older than version 2 is fresh.
-    fleet.apply(2, &bundle(2, 4)).await.unwrap();
+    fleet.apply_bundle(2, &bundle_text(2, 4)).await.unwrap();
     let second = loop {
         let pulled = pull(at, 1, 4, &[]).await;
         if !pulled.groups.is_empty() {
@@ -314,14 +314,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_under_way() {
     let fleet = Fleet::spawn(2, 2, slow_engines()).await.unwrap();
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(2, 2, 200);
     let moves = async {
         while !fleet.engines.iter().all(|e| e.ledger().values().any(|l| l.len() > 10)) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         trainer.advance(4);
-        fleet.apply(2, &bundle(2, 4)).await.unwrap();
+        fleet.apply_bundle(2, &bundle_text(2, 4)).await.unwrap();
     };
     let (report, ()) = tokio::join!(trainer.step(1, &spec), moves);
     let report = report.unwrap();
@@ -339,7 +339,7 @@
     // The node learns from this sample which version the engine serves.
     submit(at, 1, &spec(1, 1, 4), Ranges::default()).await;
     pull_unacknowledged(at, 1, 1).await;
-    let before = fleet.engines[0].started();
+    let before = fleet.engines[0].started_requests();
     submit(at, 2, &StepSpec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
     let pull = PullGroupsRequest {
         version: 5,
@@ -349,8 +349,8 @@
     };
     let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
     assert!(pulled.groups.is_empty());
-    assert_eq!(fleet.engines[0].started(), before);
-    fleet.apply(2, &bundle(2, 5)).await.unwrap();
+    assert_eq!(fleet.engines[0].started_requests(), before);
+    fleet.apply_bundle(2, &bundle_text(2, 5)).await.unwrap();
     let made = loop {
         let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
         if !pulled.groups.is_empty() {
@@ -366,7 +366,7 @@
 async fn samples_leave_a_slow_engine() {
     let fleet = Fleet::spawn(1, 3, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { slowdown: 200, ..Faults::default() });
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(8, 4, 400);
     let report = tokio::time::timeout(TEST_TIMEOUT, trainer.step(1, &spec)).await.unwrap().unwrap();
     assert_complete(&report, &spec);
@@ -381,7 +381,11 @@
     for group in report.groups.values() {
         for sample in &group.samples {
             let slot = format!("coach/1/{}/{}", group.group, sample.index);
-            assert_eq!(flat(&sample.label), truth(&fleet.engines, &slot), "label of {slot}");
+            assert_eq!(
+                label_versions(&sample.label),
+                produced_versions(&fleet.engines, &slot),
+                "label of {slot}"
+            );
         }
     }
 }
@@ -392,7 +396,7 @@
 async fn next_step_is_begun_early_in_part() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let spec = spec(4, 3, 8);
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
     pulling.prepare().await.unwrap();
     let made = async {
