--- a/standins/src/bin/bundle-bench.rs
+++ b/standins/src/bin/bundle-bench.rs
@@ -7,7 +7,7 @@
 
 use clap::Parser;
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, FleetError, bundle};
+use standins::fleet::{Fleet, FleetError, bundle_text};
 
 /// Interval between two checks of the nodes, and so the resolution of the times.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -47,7 +47,7 @@
         let before: u64 = bundle_calls(&fleet);
         let mut times = Vec::new();
         for number in 2..2 + args.changes {
-            fleet.apply(number, &bundle(number, 1)).await?;
+            fleet.apply_bundle(number, &bundle_text(number, 1)).await?;
             let accepted = Instant::now();
             while fleet.nodes.iter().any(|n| n.bundle_number() < number) {
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -71,6 +71,6 @@
 
 /// The number of platform calls so far that read, write or watch the bundle.
 fn bundle_calls(fleet: &Fleet) -> u64 {
-    let calls = fleet.platform.calls();
+    let calls = fleet.platform.call_counts();
     ["/v3/kv/range", "/v3/kv/txn", "/v3/watch"].iter().filter_map(|path| calls.get(*path)).sum()
 }
--- a/standins/src/bin/claims-bench.rs
+++ b/standins/src/bin/claims-bench.rs
@@ -121,7 +121,7 @@
 async fn measure_fleet(args: &Args, nodes: usize) -> Result<(), BoxError> {
     let fleet = Fleet::spawn(nodes, 0, EngineSettings::default()).await?;
     fleet.platform.set_faults(Faults { slow_ms: args.platform_ms, ..Faults::default() });
-    let callers = fleet.callers();
+    let callers = fleet.client_addresses();
     let stop = Instant::now() + Duration::from_secs(args.seconds);
     let number = Arc::new(AtomicU64::new(0));
     let times = Arc::new(Mutex::new(Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3)?));
@@ -169,5 +169,5 @@
 
 /// The number of write transactions that the platform has served.
 fn write_count(fleet: &Fleet) -> u64 {
-    fleet.platform.calls().get("/v3/kv/txn").copied().unwrap_or_default()
+    fleet.platform.call_counts().get("/v3/kv/txn").copied().unwrap_or_default()
 }
--- a/standins/src/slope/fleet_costs.rs
+++ b/standins/src/slope/fleet_costs.rs
@@ -11,9 +11,9 @@
 use tokio::time::Instant;
 
 use super::{Scrape, Table};
-use crate::daemon::{Daemon, Folder};
+use crate::daemon::{Daemon, TempDir};
 use crate::engine::EngineSettings;
-use crate::fleet::{Fleet, FleetError, bundle};
+use crate::fleet::{Fleet, FleetError, bundle_text};
 use crate::platform::Faults;
 
 /// Upstreams per node; the planned fleet has 1,100 upstreams for 380 nodes.
@@ -89,7 +89,7 @@
     window: Duration,
     table: &mut Table,
 ) -> Result<(), MeasureError> {
-    let folder = Folder::open()?;
+    let folder = TempDir::create()?;
     let engines = EngineSettings::default();
     let fleet = Fleet::spawn(0, (size * UPSTREAMS_PER_NODE) as usize, engines).await?;
     let platform = fleet.platform.address();
@@ -107,7 +107,7 @@
     nodes.measure_responses(table).await?;
 
     let began = Instant::now();
-    nodes.fleet.apply(2, &bundle(2, 2)).await?;
+    nodes.fleet.apply_bundle(2, &bundle_text(2, 2)).await?;
     nodes.wait_until("bundle", |n, a| Box::pin(n.has_bundle(a, 2))).await?;
     let name = "seconds until in force at all nodes";
     table.add("rollout", size, name, began.elapsed().as_secs_f64());
@@ -161,7 +161,7 @@
         what: &str,
     ) -> Result<T, JsonClientError> {
         let path = format!("/v1/state/{what}");
-        self.client.get(at.admin, &path, Duration::from_secs(5)).await
+        self.client.get(at.admin_address, &path, Duration::from_secs(5)).await
     }
 
     /// Whether a node lists exactly the running nodes, each with a bundle.
@@ -208,7 +208,7 @@
     /// The numbers of reads and of writes that the platform has served.
     fn platform_calls(&self) -> (f64, f64) {
         let is_write = |path: &str| matches!(path, "/v3/kv/put" | "/v3/kv/txn" | "/v3/lease/grant");
-        let calls = self.fleet.platform.calls();
+        let calls = self.fleet.platform.call_counts();
         let sum = |write| {
             let of = calls.iter().filter(|(path, _)| is_write(path) == write);
             of.map(|(_, count)| *count as f64).sum()
@@ -219,7 +219,7 @@
     async fn scrape_all(&self) -> Result<Vec<Scrape>, JsonClientError> {
         let mut all = Vec::new();
         for daemon in &self.daemons {
-            all.push(Scrape::fetch(daemon.admin, &self.client).await?);
+            all.push(Scrape::fetch(daemon.admin_address, &self.client).await?);
         }
         Ok(all)
     }
@@ -229,10 +229,10 @@
         let Some(first) = self.daemons.first() else { return Ok(()) };
         let timeout = Duration::from_secs(5);
         let answer: serde_json::Value =
-            self.client.get(first.callers, "/v1/addresses", timeout).await?;
+            self.client.get(first.client_address, "/v1/addresses", timeout).await?;
         let bytes = answer.to_string().len();
         table.add("steady", self.size, "bytes of an address answer", bytes as f64);
-        let bytes = Scrape::fetch(first.admin, &self.client).await?.bytes;
+        let bytes = Scrape::fetch(first.admin_address, &self.client).await?.bytes;
         table.add("steady", self.size, "bytes of /metrics", bytes as f64);
         Ok(())
     }
