--- a/tests/adaptive_timeout.rs
+++ b/tests/adaptive_timeout.rs
@@ -1,39 +1,40 @@
-//! The timeout of calls to the store.
+//! Tests of the timeout of calls to the store, which adapts to the latency of the answers.
 
 use std::time::Duration;
 
 use mulberrycourse::decide::AdaptiveTimeout;
 
-const USUAL: Duration = Duration::from_millis(4);
+/// The latency of a store that is not slow.
+const USUAL_LATENCY: Duration = Duration::from_millis(4);
 
 #[test]
-fn lost_answer_costs_little_and_the_next_answer_restores_the_timeout() {
+fn timeout_grows_after_a_lost_answer_and_recovers_with_the_next() {
     let mut timeout = AdaptiveTimeout::default();
     let first = timeout.timeout();
     assert!(first < Duration::from_millis(500));
     timeout.timed_out();
     assert!(timeout.timeout() > first);
-    timeout.answered(USUAL);
+    timeout.answered(USUAL_LATENCY);
     assert_eq!(timeout.timeout(), first);
 }
 
 #[test]
-fn store_that_stays_slow_is_answered() {
-    for slow in [50, 240, 400, 900, 1_500] {
-        let slow = Duration::from_millis(slow);
+fn timeout_adapts_to_a_slow_store() {
+    for latency_ms in [50, 240, 400, 900, 1_500] {
+        let latency = Duration::from_millis(latency_ms);
         let mut timeout = AdaptiveTimeout::default();
         let mut timeouts = 0;
         let mut answered = 0;
         for _ in 0..20 {
-            if slow <= timeout.timeout() {
-                timeout.answered(slow);
+            if latency <= timeout.timeout() {
+                timeout.answered(latency);
                 answered += 1;
             } else {
                 timeout.timed_out();
                 timeouts += 1;
             }
         }
-        assert!(timeouts <= 3, "{slow:?}: {timeouts}");
-        assert!(answered >= 17, "{slow:?}: {answered}");
+        assert!(timeouts <= 3, "{latency:?}: {timeouts}");
+        assert!(answered >= 17, "{latency:?}: {answered}");
     }
 }
--- a/tests/affinity.rs
+++ b/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! The preferred owner of the jobs of a route.
+//! Tests of the preferred owner of the jobs of a route.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
@@ -30,12 +30,12 @@
     fn every_node_derives_the_same_owners(
         routes in 1_usize..9,
         nodes in 1_usize..30,
-        turn in 0_usize..30,
+        rotation in 0_usize..30,
     ) {
         let (mut a, mut b) = (names("r", routes), names("n", nodes));
         let before = preferred_owners(&a, &b);
         a.reverse();
-        b.rotate_left(turn % nodes);
+        b.rotate_left(rotation % nodes);
         prop_assert_eq!(preferred_owners(&a, &b), before);
     }
 
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -1,4 +1,4 @@
-//! Leaving upstream VMs get no new work.
+//! Tests that upstream VMs that leave get no new work.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -17,39 +17,43 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(120);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn open(node: &Node, name: &str) -> bool {
+/// Returns whether a node sends work to an upstream.
+async fn accepts_work(node: &Node, name: &str) -> bool {
     let path = "/v1/state/upstreams";
     let all: Vec<UpstreamState> =
         JsonClient::default().get(node.admin_address(), path, REQUEST_TIMEOUT).await.unwrap();
     all.iter().any(|u| &*u.name == name && u.accepting)
 }
 
-async fn until(fleet: &Fleet, name: &str, wanted: bool) {
+/// Waits until all nodes send work to an upstream, or none does if `accepting` is false.
+async fn wait_until_accepting(fleet: &Fleet, name: &str, accepting: bool) {
     for node in &fleet.nodes {
-        while open(node, name).await != wanted {
+        while accepts_work(node, name).await != accepting {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
 }
 
-/// Of eleven nodes, eight read the list often. A VM leaves; then the list answers
-/// with its older state. Once the nodes know of the departure, the VM gets no call through any
-/// of them, even after the older answers; its next incarnation gets calls again.
+/// Of eleven nodes, eight read the list of VMs often. A VM leaves, and then the list has its older
+/// state again. Once the nodes know of the departure, the VM gets no call through any of them, even
+/// after they have read the older state. Its next incarnation gets calls again.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_vm_gets_nothing_whatever_the_list_says_later() {
+async fn departed_vm_gets_no_calls_despite_older_lists() {
     let fleet = Fleet::spawn(11, 1, EngineSettings::default()).await.unwrap();
     let live = fleet.vms();
     let mut leaving = live.clone();
     let vm = leaving.iter_mut().find(|vm| &*vm.name == "stock-0").unwrap();
     vm.state = VmState::Leaving;
     fleet.platform.set_vms(leaving);
-    tokio::time::timeout(TEST_TIMEOUT, until(&fleet, "stock-0", false)).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, wait_until_accepting(&fleet, "stock-0", false))
+        .await
+        .unwrap();
     let before = fleet.stock[0].ledger().len();
 
     fleet.platform.set_vms(live.clone());
     let reads = || fleet.platform.calls().get("/vms").copied().unwrap_or_default();
-    let seen = reads();
-    while reads() < seen + 24 {
+    let reads_before = reads();
+    while reads() < reads_before + 24 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     for node in &fleet.nodes {
@@ -64,17 +68,17 @@
     next.iter_mut().for_each(|vm| vm.incarnation += 1);
     fleet.platform.set_vms(next);
     // Eight of eleven read the list often: at least one of any four does.
-    let again = async {
+    let next_incarnation_accepted = async {
         loop {
             for node in &fleet.nodes[..4] {
-                if open(node, "stock-0").await {
+                if accepts_work(node, "stock-0").await {
                     return;
                 }
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(TEST_TIMEOUT, again).await.unwrap();
+    tokio::time::timeout(TEST_TIMEOUT, next_incarnation_accepted).await.unwrap();
 }
 
 proptest! {
@@ -85,14 +89,14 @@
         received in proptest::collection::vec((0..3_u8, 0..4_u64), 0..24),
     ) {
         let mut departures = Departures::default();
-        let mut all: BTreeMap<u8, Vec<u64>> = BTreeMap::new();
+        let mut history: BTreeMap<u8, Vec<u64>> = BTreeMap::new();
         for (vm, incarnation) in received {
             let departure = Departure { name: format!("vm-{vm}").into(), incarnation };
             departures.record(departure, Duration::ZERO);
-            all.entry(vm).or_default().push(incarnation);
+            history.entry(vm).or_default().push(incarnation);
             for vm in 0..3_u8 {
                 for incarnation in 0..5_u64 {
-                    let left = all.get(&vm).is_some_and(|l| l.iter().any(|d| *d >= incarnation));
+                    let left = history.get(&vm).is_some_and(|l| l.iter().any(|d| *d >= incarnation));
                     prop_assert_eq!(departures.admits(&format!("vm-{vm}"), incarnation), !left);
                 }
             }
--- a/tests/fallback.rs
+++ b/tests/fallback.rs
@@ -1,4 +1,4 @@
-//! When a node calls a service through another node.
+//! Tests of when a node calls a service directly and when through another node.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn peers_are_not_asked_for_a_while_after_none_could_help() {
+fn peers_get_no_calls_for_a_while_after_none_reached_the_service() {
     let mut state = FallbackState::default();
     state.direct_failed(ms(0));
     state.peers_failed(ms(0));
@@ -43,14 +43,14 @@
     assert_eq!(
         state.choose_path(false, ms(601)),
         CallPath::DirectOnly,
-        "one call at a time asks the peers"
+        "one call at a time goes through the peers"
     );
     assert!(state.peer_answered());
     assert_eq!(state.choose_path(false, ms(602)), CallPath::ViaPeer);
 }
 
 proptest! {
-    /// Whatever happened before, a direct call is made within a few tries.
+    /// Whatever happened before, not all of the next 30 calls go through a peer.
     #[test]
     fn the_direct_path_is_tried_again(events in proptest::collection::vec((0_u8..4, 0_u64..900), 0..40)) {
         let mut state = FallbackState::default();
@@ -110,7 +110,7 @@
 }
 
 /// Load pattern: hundreds of nodes lose the service at the same moment. From then on one of them
-/// probes every few tenths of a second, so that the service is found back that soon.
+/// probes it every few tenths of a second, so that its recovery is detected that soon.
 #[test]
 fn probes_of_many_nodes_are_spread() {
     let mut fleet: Vec<FallbackState> = (0_u32..250)
--- a/tests/feed.rs
+++ b/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Tests of the feeds that nodes keep for each other.
+//! Tests of the feeds by which nodes pass changes of the store to each other.
 
 use std::time::Duration;
 
@@ -6,52 +6,55 @@
 use mulberrycourse::entry::{Feed, FeedUpdate};
 use proptest::prelude::*;
 
-const NOW: Duration = Duration::ZERO;
+/// A wait that ends at once.
+const NO_WAIT: Duration = Duration::ZERO;
 
 fn change(revision: u64) -> Change {
     Change::Put(KeyValue { key: format!("k{}", revision % 3).into(), value: "v".into(), revision })
 }
 
-fn watched(from: u64, to: u64) -> WatchBatch {
+/// Returns the changes after revision `from`, up to `to`.
+fn batch(from: u64, to: u64) -> WatchBatch {
     WatchBatch { changes: (from + 1..=to).map(change).collect(), revision: to }
 }
 
-fn page(revision: u64) -> RangeResult {
+/// Returns an empty snapshot.
+fn snapshot(revision: u64) -> RangeResult {
     RangeResult { items: Vec::new(), revision }
 }
 
-/// Returns the changes of an update. None if it is a snapshot or there is no update.
+/// Returns the changes of an update. `None` if it is a snapshot or there is no update.
 fn changes(update: Option<FeedUpdate>) -> Option<WatchBatch> {
     match update? {
-        FeedUpdate::Changes(watched) => Some(watched),
+        FeedUpdate::Changes(batch) => Some(batch),
         FeedUpdate::Snapshot { .. } => None,
     }
 }
 
-fn revisions(watched: &WatchBatch) -> Vec<u64> {
-    watched.changes.iter().map(Change::revision).collect()
+fn revisions(batch: &WatchBatch) -> Vec<u64> {
+    batch.changes.iter().map(Change::revision).collect()
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_feed_without_a_watch_or_with_too_few_changes_returns_no_changes() {
     let feed = Feed::default();
-    assert_eq!(feed.wait_for_update(0, NOW).await, None);
-    feed.begin_watch(&page(5));
-    assert_eq!(changes(feed.wait_for_update(4, NOW).await), None);
+    assert_eq!(feed.wait_for_update(0, NO_WAIT).await, None);
+    feed.begin_watch(&snapshot(5));
+    assert_eq!(changes(feed.wait_for_update(4, NO_WAIT).await), None);
     let none = WatchBatch { changes: Vec::new(), revision: 5 };
-    assert_eq!(changes(feed.wait_for_update(5, NOW).await), Some(none));
+    assert_eq!(changes(feed.wait_for_update(5, NO_WAIT).await), Some(none));
     feed.end_watch();
-    assert_eq!(feed.wait_for_update(5, NOW).await, None);
+    assert_eq!(feed.wait_for_update(5, NO_WAIT).await, None);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_change_ends_the_wait() {
     let feed = Feed::default();
-    feed.begin_watch(&page(5));
+    feed.begin_watch(&snapshot(5));
     let started = tokio::time::Instant::now();
     let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        feed.apply(&watched(5, 6));
+        feed.apply(&batch(5, 6));
     });
     assert_eq!(changes(seen).map(|w| revisions(&w)), Some(vec![6]));
     assert_eq!(started.elapsed(), Duration::from_secs(1));
@@ -60,7 +63,7 @@
 #[tokio::test(start_paused = true)]
 async fn the_end_of_the_watch_ends_the_wait() {
     let feed = Feed::default();
-    feed.begin_watch(&page(5));
+    feed.begin_watch(&snapshot(5));
     let (seen, ()) = tokio::join!(feed.wait_for_update(5, Duration::from_secs(9)), async {
         tokio::time::sleep(Duration::from_secs(1)).await;
         feed.end_watch();
@@ -71,10 +74,10 @@
 #[tokio::test(start_paused = true)]
 async fn old_changes_are_dropped_and_replaced_by_a_snapshot() {
     let feed = Feed::default();
-    feed.begin_watch(&page(0));
-    feed.apply(&watched(0, 2_000));
-    assert!(matches!(feed.wait_for_update(10, NOW).await, Some(FeedUpdate::Snapshot { .. })));
-    let seen = changes(feed.wait_for_update(1_990, NOW).await);
+    feed.begin_watch(&snapshot(0));
+    feed.apply(&batch(0, 2_000));
+    assert!(matches!(feed.wait_for_update(10, NO_WAIT).await, Some(FeedUpdate::Snapshot { .. })));
+    let seen = changes(feed.wait_for_update(1_990, NO_WAIT).await);
     assert_eq!(seen.map(|w| revisions(&w)), Some((1_991..=2_000).collect()));
 }
 
@@ -83,14 +86,17 @@
 #[tokio::test(start_paused = true)]
 async fn large_changes_are_dropped_sooner() {
     let feed = Feed::default();
-    feed.begin_watch(&page(0));
+    feed.begin_watch(&snapshot(0));
     for revision in 1..=50 {
         let value = vec![b'v'; 1 << 20].into();
         let changes = vec![Change::Put(KeyValue { key: "routes".into(), value, revision })];
         feed.apply(&WatchBatch { changes, revision });
     }
-    assert!(matches!(feed.wait_for_update(40, NOW).await, Some(FeedUpdate::Snapshot { .. })));
-    assert_eq!(changes(feed.wait_for_update(49, NOW).await).map(|w| revisions(&w)), Some(vec![50]));
+    assert!(matches!(feed.wait_for_update(40, NO_WAIT).await, Some(FeedUpdate::Snapshot { .. })));
+    assert_eq!(
+        changes(feed.wait_for_update(49, NO_WAIT).await).map(|w| revisions(&w)),
+        Some(vec![50])
+    );
 }
 
 /// A node that starts in an outage takes the snapshot that there is, with its age.
@@ -98,11 +104,11 @@
 async fn a_snapshot_has_its_age_after_the_watch_has_ended() {
     let feed = Feed::default();
     assert_eq!(feed.snapshot(), None);
-    feed.begin_watch(&page(5));
-    feed.apply(&watched(5, 6));
+    feed.begin_watch(&snapshot(5));
+    feed.apply(&batch(5, 6));
     feed.end_watch();
     tokio::time::advance(Duration::from_secs(3)).await;
-    let Some(FeedUpdate::Snapshot { page, age }) = feed.snapshot() else { panic!("nothing") };
+    let Some(FeedUpdate::Snapshot { page, age }) = feed.snapshot() else { panic!("no snapshot") };
     assert_eq!((page.revision, page.items.len()), (6, 1));
     assert_eq!(age, Duration::from_secs(3));
 }
@@ -111,7 +117,7 @@
     /// A follower gets every change once and in order, or the present snapshot, or the answer that
     /// there is no update.
     #[test]
-    fn followers_miss_nothing(steps in proptest::collection::vec((0_u8..4, 1_u64..300), 1..60)) {
+    fn followers_miss_no_change(steps in proptest::collection::vec((0_u8..4, 1_u64..300), 1..60)) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build();
         let Ok(runtime) = runtime else { return Ok(()) };
         let feed = Feed::default();
@@ -121,29 +127,29 @@
                 0 => {
                     last += count;
                     watch_start = last;
-                    feed.begin_watch(&page(last));
+                    feed.begin_watch(&snapshot(last));
                     open = true;
                 }
                 1 if open => {
-                    feed.apply(&watched(last, last + count));
+                    feed.apply(&batch(last, last + count));
                     last += count;
                 }
                 2 => {
                     feed.end_watch();
                     open = false;
                 }
-                _ => match runtime.block_on(feed.wait_for_update(at, NOW)) {
+                _ => match runtime.block_on(feed.wait_for_update(at, NO_WAIT)) {
                     Some(FeedUpdate::Changes(seen)) => {
                         prop_assert_eq!(revisions(&seen), (at + 1..=last).collect::<Vec<u64>>());
                         at = seen.revision;
                     }
                     Some(FeedUpdate::Snapshot { page, .. }) => {
                         prop_assert_eq!(page.revision, last);
-                        let there: Vec<u64> = page.items.iter().map(|i| i.revision).collect();
+                        let revisions: Vec<u64> = page.items.iter().map(|i| i.revision).collect();
                         let newest = (watch_start + 1..=last).rev().take(3);
                         let mut newest: Vec<u64> = newest.collect();
                         newest.sort_by_key(|revision| revision % 3);
-                        prop_assert_eq!(there, newest);
+                        prop_assert_eq!(revisions, newest);
                         at = last;
                     }
                     // The follower reads a snapshot from elsewhere.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The choice of a replica: bursts, slow replicas, replicas that refuse, fail or leave.
+//! Tests of the choice of a replica: bursts, slow replicas, and replicas that refuse, fail or leave.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -36,11 +36,11 @@
     fleet
 }
 
-fn request(over: bool) -> AttemptRequest<'static> {
-    AttemptRequest { service: SERVICE, weights: None, avoid: &[], allow_full: over }
+fn request(allow_full: bool) -> AttemptRequest<'static> {
+    AttemptRequest { service: SERVICE, weights: None, avoid: &[], allow_full }
 }
 
-/// Begins attempts until no slot is free, and counts them by replica.
+/// Starts attempts until no slot is free, and returns their number by replica.
 fn fill(fleet: &mut Fleet, now: Duration) -> HashMap<Name, u32> {
     let mut counts = HashMap::new();
     while let Some(target) = fleet.choose(&request(false), now) {
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn a_slow_replica_gets_fewer_attempts_and_its_runs_are_better_moved() {
+fn a_slow_replica_gets_fewer_attempts_and_its_runs_are_worth_moving() {
     let mut fleet = fleet(&["a", "b", "c"]);
     for _ in 0..20 {
         for (id, millis) in [("a", 140), ("b", 35), ("c", 35)] {
             fleet.start_attempt(id, NOW);
-            let took = Duration::from_millis(millis * 10);
-            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration: took, cost: 10 }, NOW);
+            let duration = Duration::from_millis(millis * 10);
+            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration, cost: 10 }, NOW);
         }
     }
     assert!(fleet.has_faster_replica("a", None, 0.140, NOW));
@@ -148,15 +148,15 @@
 /// Guards against comparing with the mean of all replicas: with a third of them slow it rose so far
 /// that runs at half the usual speed were not moved (a text of 133 events took 11.0 s, not 5.5 s).
 #[test]
-fn many_slow_replicas_still_count_as_slow() {
+fn replicas_count_as_slow_even_if_many_are() {
     let ids: Vec<String> = (0..12).map(|i| format!("r{i:02}")).collect();
     let ids: Vec<&str> = ids.iter().map(|id| &**id).collect();
     let mut fleet = fleet(&ids);
     for _ in 0..20 {
         for (i, id) in ids.iter().enumerate() {
             let event = if i < 4 { 0.140 } else { 0.040 };
-            let took = Duration::from_secs_f64(event * 10.0);
-            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration: took, cost: 10 }, NOW);
+            let duration = Duration::from_secs_f64(event * 10.0);
+            fleet.end_attempt(id, None, ReplicaOutcome::Answered { duration, cost: 10 }, NOW);
             fleet.record_event_interval(id, event, NOW);
         }
     }
@@ -176,30 +176,30 @@
 /// got runs that it could not serve and was never ordered to load.
 #[test]
 fn a_replica_that_restarts_under_its_id_is_a_new_incarnation() {
-    let at = |born, version| {
+    let incarnation = |started_ms, version| {
         let mut listed = listed("a", false, version);
-        listed.target.started_ms = Some(born);
+        listed.target.started_ms = Some(started_ms);
         listed
     };
     let weights = AttemptRequest { weights: Some(("m", 5)), ..request(false) };
     let mut fleet = Fleet::new("z".into());
-    fleet.upsert(at(100, 5));
+    fleet.upsert(incarnation(100, 5));
     for _ in 0..3 {
         fleet.start_attempt("a", NOW);
         fleet.end_attempt("a", None, ReplicaOutcome::Failed, NOW);
     }
     fleet.start_attempt("a", NOW);
-    assert!(fleet.upsert(at(200, 1)), "a new incarnation is a change");
+    assert!(fleet.upsert(incarnation(200, 1)), "a new incarnation is a change");
     assert_eq!(fleet.choose(&weights, NOW), None, "it has version 1");
     assert!(
         fleet.choose(&request(false), NOW).is_some(),
         "failures of the former incarnation do not count"
     );
     // Later reports of the former incarnation do not affect this one.
-    assert!(!fleet.upsert(at(100, 6)));
-    fleet.raise_version(&at(100, 1).target, "m", 6);
+    assert!(!fleet.upsert(incarnation(100, 6)));
+    fleet.raise_version(&incarnation(100, 1).target, "m", 6);
     assert_eq!(fleet.choose(&weights, NOW), None);
-    fleet.raise_version(&at(200, 1).target, "m", 5);
+    fleet.raise_version(&incarnation(200, 1).target, "m", 5);
     assert!(fleet.choose(&weights, NOW).is_some());
     // The attempt at the former incarnation ends after the restart and counts once.
     fleet.end_attempt("a", None, ReplicaOutcome::Abandoned, NOW);
@@ -216,8 +216,8 @@
     let mut nodes: Vec<Fleet> = (0..6).map(|_| fleet(&ids)).collect();
     let text = AttemptRequest { weights: Some(("m", 1)), ..request(false) };
     let mut arrived: HashMap<Name, u32> = HashMap::new();
-    for turn in 0..20 {
-        let now = NOW + Duration::from_millis(turn * 10);
+    for round in 0..20 {
+        let now = NOW + Duration::from_millis(round * 10);
         let mut sent = Vec::new();
         for (node, fleet) in nodes.iter_mut().enumerate() {
             while let Some(target) = fleet.choose(&text, now) {
--- a/tests/arrival.rs
+++ b/tests/invalid_groups.rs
@@ -1,4 +1,4 @@
-//! The trainer client against a node that hands over invalid groups.
+//! Tests that the trainer client drops the invalid groups that a node returns.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -15,11 +15,11 @@
 use standins::fleet::ANY;
 use standins::server::{Answer, Cut, Server, Service, json as answer};
 
-/// A node that hands over one group in each pull, regardless of the groups that the trainer has.
+/// A node that returns one group for each pull, regardless of the groups that the trainer has.
 struct Node {
     /// The groups that successive pulls return; the last one is repeated.
     pulls: Vec<Group>,
-    pulled: AtomicU64,
+    pull_count: AtomicU64,
     address: std::sync::OnceLock<std::net::SocketAddr>,
 }
 
@@ -35,16 +35,16 @@
             return answer(StatusCode::OK, &json!({}));
         }
         let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| Cut)?;
-        let index = self.pulled.fetch_add(1, Ordering::Relaxed) as usize;
+        let index = self.pull_count.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
-        let pulled = PullGroupsResponse {
+        let response = PullGroupsResponse {
             groups: vec![group],
             complete: pull.delivered.below(2).count() == 2,
             staleness_bound: 1,
             draining: false,
             partial_groups: Vec::new(),
         };
-        answer(StatusCode::OK, &pulled)
+        answer(StatusCode::OK, &response)
     }
 }
 
@@ -71,18 +71,18 @@
         group(0, &[4, 4]),
         group(1, &[5, 5]),
     ];
-    let node = Arc::new(Node { pulls, pulled: AtomicU64::new(0), address: Default::default() });
+    let node = Arc::new(Node { pulls, pull_count: AtomicU64::new(0), address: Default::default() });
     let server = Server::bind(ANY, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
-    let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
-    let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
+    let group_spec = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
+    let spec = StepSpec { version: 4, groups: vec![group_spec; 2] };
     trainer.advance(5);
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-    assert_eq!(pulling.next().await.unwrap(), [group(0, &[5, 4])]);
-    assert_eq!(pulling.next().await.unwrap(), [group(1, &[5, 5])]);
-    assert_eq!(pulling.next().await.unwrap(), []);
-    let report = pulling.report();
+    let mut pull = trainer.resume(1, &spec, BTreeMap::new());
+    assert_eq!(pull.next().await.unwrap(), [group(0, &[5, 4])]);
+    assert_eq!(pull.next().await.unwrap(), [group(1, &[5, 5])]);
+    assert_eq!(pull.next().await.unwrap(), []);
+    let report = pull.report();
     assert_eq!((report.stale, report.thin, report.doubled), (1, 2, 2));
     assert_eq!(report.groups[&0], group(0, &[5, 4]));
 }
--- a/tests/job_order.rs
+++ b/tests/job_order.rs
@@ -1,4 +1,4 @@
-//! The order of jobs of several organisations.
+//! Tests of the order in which the jobs of several organisations are run.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
 /// One organisation submits twenty jobs; each other organisation waits for one of them, not for
 /// all.
 #[test]
-fn a_greedy_organisation_does_not_hold_up_the_others() {
+fn an_organisation_with_many_jobs_does_not_delay_the_others() {
     let mut order = JobOrder::default();
     let greedy: Vec<u64> = (0..20).map(|_| order.begin(owner("greedy"), 100)).collect();
     for other in ["a", "b", "c"] {
@@ -22,7 +22,7 @@
         let before = greedy.iter().filter(|g| **g < tag).count();
         assert_eq!(before, 1, "{other}");
     }
-    // Their next jobs alternate with its next ones.
+    // The next jobs of the others alternate with the next ones of the first organisation.
     let next = order.begin(owner("a"), 100);
     assert!(greedy[1] <= next && next < greedy[2], "{next}");
 }
@@ -44,10 +44,10 @@
     let second = order.begin(owner("a"), 100);
     order.end(first);
     // Its job starts at the present virtual time, not at the beginning.
-    let back = order.begin(owner("b"), 100);
-    assert!(back >= second);
+    let resumed = order.begin(owner("b"), 100);
+    assert!(resumed >= second);
     order.end(second);
-    order.end(back);
+    order.end(resumed);
     let next = order.begin(owner("a"), 100);
     assert_eq!(order.begin(owner("b"), 100), next + 1);
 }
--- a/tests/jobs.rs
+++ b/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The state of a batch job at the node that owns it.
+//! Tests of the state of a batch job on the node that owns it.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -120,7 +120,7 @@
     ) {
         let spec = spec(&[None; 6]);
         let mut job = Job::new(spec.clone(), Vec::new());
-        let mut lasting: Vec<Arc<ItemResult>> = Vec::new();
+        let mut stored: Vec<Arc<ItemResult>> = Vec::new();
         for (step, n) in steps {
             match step {
                 0 => {
@@ -128,19 +128,19 @@
                 }
                 1 => {
                     let (position, batch) = job.next_batch(usize::MAX);
-                    prop_assert_eq!(position, lasting.len());
+                    prop_assert_eq!(position, stored.len());
                     let count = n.min(batch.len());
-                    lasting.extend(batch.into_iter().take(count));
+                    stored.extend(batch.into_iter().take(count));
                     job.mark_written(count);
                 }
-                _ => job = Job::new(spec.clone(), lasting.clone()),
+                _ => job = Job::new(spec.clone(), stored.clone()),
             }
-            prop_assert_eq!(job.written_results(), &*lasting);
-            let mut seen: Vec<&Name> = lasting.iter().map(|l| &l.id).collect();
+            prop_assert_eq!(job.written_results(), &*stored);
+            let mut seen: Vec<&Name> = stored.iter().map(|l| &l.id).collect();
             seen.sort_unstable();
             seen.dedup();
-            prop_assert_eq!(seen.len(), lasting.len());
-            prop_assert_eq!(job.all_written(), lasting.len() == 6);
+            prop_assert_eq!(seen.len(), stored.len());
+            prop_assert_eq!(job.all_written(), stored.len() == 6);
         }
     }
 }
--- a/tests/label.rs
+++ b/tests/label.rs
@@ -1,4 +1,5 @@
-//! Compares labels with a naive list that has one entry per token.
+//! Compares the labels of samples, which have spans of versions, with a naive list that has one entry
+//! per token.
 
 use mulberrycourse::decide::{Label, Span};
 use proptest::prelude::*;
@@ -13,7 +14,8 @@
     }
 }
 
-fn flat(spans: &[Span]) -> Vec<Option<u64>> {
+/// Returns one entry per token of the spans.
+fn expand(spans: &[Span]) -> Vec<Option<u64>> {
     spans.iter().flat_map(|s| (s.from..s.to).map(|_| Some(s.version))).collect()
 }
 
@@ -36,7 +38,7 @@
             }
             Ok(spans) => {
                 prop_assert!(naive.0.iter().all(Option::is_some));
-                prop_assert_eq!(flat(&spans), naive.0);
+                prop_assert_eq!(expand(&spans), naive.0);
                 prop_assert!(spans.iter().all(|s| s.from < s.to));
                 let adjacent = spans.windows(2).all(|w| w[0].to == w[1].from);
                 prop_assert!(adjacent);
--- a/tests/load_golden.rs
+++ b/tests/load_golden.rs
@@ -1,4 +1,4 @@
-//! A sequence of events for `Dispatch`, with all resulting actions, compared with a golden file.
+//! Compares the actions of `Dispatch` for a sequence of events with a golden file.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Write;
@@ -9,37 +9,39 @@
     ServiceLimits, UpstreamView,
 };
 
-fn call(caller: &str, class: Class, repeat: Repeat, deadline: u64) -> Call {
+fn call(caller: &str, class: Class, repeat: Repeat, deadline_ms: u64) -> Call {
     Call {
         caller: caller.into(),
         class,
         repeat,
         cost: 10,
-        deadline: Duration::from_millis(deadline),
+        deadline: Duration::from_millis(deadline_ms),
         fingerprint: 1,
         prefix: None,
     }
 }
 
-fn views(open: &[bool]) -> Vec<UpstreamView> {
-    let view = |(i, open): (usize, &bool)| UpstreamView {
+fn views(accepting: &[bool]) -> Vec<UpstreamView> {
+    let view = |(i, accepting): (usize, &bool)| UpstreamView {
         name: format!("u{i}").into(),
         zone: format!("z{i}").into(),
-        accepting: *open,
+        accepting: *accepting,
     };
-    open.iter().enumerate().map(view).collect()
+    accepting.iter().enumerate().map(view).collect()
 }
 
+/// The dispatch under test and the log of its actions.
 struct Log {
     dispatch: Dispatch,
     text: String,
 }
 
 impl Log {
-    fn step(&mut self, ms: u64, what: &str) {
+    /// Logs an event and the actions that result from it.
+    fn step(&mut self, ms: u64, event: &str) {
         let actions = self.dispatch.take_actions();
         let (waiting, running) = (self.dispatch.waiting(), self.dispatch.running());
-        writeln!(self.text, "{ms} ms: {what}; waiting {waiting}, running {running}").unwrap();
+        writeln!(self.text, "{ms} ms: {event}; waiting {waiting}, running {running}").unwrap();
         for action in actions {
             writeln!(self.text, "    {action:?}").unwrap();
         }
--- a/tests/load_lengths.rs
+++ b/tests/load_lengths.rs
@@ -12,10 +12,12 @@
 
 /// Concurrent attempts that the upstream serves at full speed.
 const SLOTS: u32 = 16;
+/// The maximum length of a sample, which is its estimated cost.
 const MAX_TOKENS: u32 = 64;
+/// The time in which the upstream generates a token.
 const TOKEN_TIME: Duration = Duration::from_millis(5);
 /// Samples in one step of the trainer.
-const SAMPLES: usize = 96;
+const SAMPLES_PER_STEP: usize = 96;
 
 fn call() -> Call {
     Call {
@@ -32,7 +34,7 @@
 /// Steps of samples of 16 to 64 tokens, each of which begins when the previous one is
 /// complete, as with a trainer: each step uses all slots of the upstream.
 #[test]
-fn different_lengths_cost_no_slots() {
+fn different_lengths_do_not_lower_the_concurrency_limit() {
     let limits = ServiceLimits { max_queued: 1_000, max_concurrency: SLOTS, training_percent: 10 };
     let mut dispatch = Dispatch::new(limits, "z0".into(), 5);
     let view = UpstreamView { name: "a".into(), zone: "z0".into(), accepting: true };
@@ -42,10 +44,10 @@
     // The first sample is the shortest of all.
     let mut length = 20_u32;
     for step in 0..30 {
-        for _ in 0..SAMPLES {
+        for _ in 0..SAMPLES_PER_STEP {
             dispatch.submit(call(), now);
         }
-        let mut most = 0;
+        let mut max_running = 0;
         loop {
             for action in dispatch.take_actions() {
                 let DispatchAction::Send { ticket, .. } = action else { panic!("{action:?}") };
@@ -54,7 +56,7 @@
                 let tokens = 16 + length;
                 ends.insert((now + TOKEN_TIME * tokens, ticket), tokens);
             }
-            most = most.max(ends.len());
+            max_running = max_running.max(ends.len());
             let Some(((at, ticket), tokens)) = ends.pop_first() else { break };
             let report = AttemptReport {
                 outcome: AttemptOutcome::Answered,
@@ -64,6 +66,9 @@
             now = at;
             dispatch.attempt_ended(ticket, report, now);
         }
-        assert!(step < 1 || most == SLOTS as usize, "step {step}: {most} of {SLOTS} slots");
+        assert!(
+            step < 1 || max_running == SLOTS as usize,
+            "step {step}: {max_running} of {SLOTS} slots"
+        );
     }
 }
--- a/tests/load_overload.rs
+++ b/tests/load_overload.rs
@@ -1,4 +1,4 @@
-//! Overload: what callers and trainers receive when more arrives than the upstreams can serve.
+//! Tests of what callers and trainers receive in an overload.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
@@ -32,7 +32,7 @@
 /// At two and five times the capacity, live callers receive at least 95% of the answers that
 /// they receive at the capacity, and none after its deadline.
 #[test]
-fn live_goodput_holds() {
+fn live_goodput_is_kept_in_an_overload() {
     for seed in 1..=3 {
         let base = measure(1.0, PolicyKind::Ours, seed).goodput(Class::Live);
         for scale in [2.0, 5.0] {
@@ -48,7 +48,7 @@
 /// Nearly all requests that are not answered are refused before their deadline, with a time to
 /// retry.
 #[test]
-fn refused_before_the_deadline() {
+fn requests_are_refused_before_their_deadline() {
     for seed in 1..=3 {
         let result = measure(5.0, PolicyKind::Ours, seed);
         for flow in result.flows.iter().filter(|f| f.class == Class::Live) {
@@ -58,15 +58,15 @@
     }
 }
 
-/// Training keeps its minimum share, a tenth of the useful work, while live callers ask for more
+/// Training keeps its minimum share, a tenth of the useful work, while live callers demand more
 /// than the whole capacity.
 #[test]
-fn training_keeps_its_floor() {
+fn training_keeps_its_minimum_share() {
     for seed in 1..=3 {
         let result = measure(5.0, PolicyKind::Ours, seed);
         let (live, training) = (result.work_rate(Class::Live), result.work_rate(Class::Training));
-        let part = training / (live + training);
-        assert!(part >= 0.09, "seed {seed}: {part}");
+        let share = training / (live + training);
+        assert!(share >= 0.09, "seed {seed}: {share}");
         assert!(result.trainers.iter().all(|t| t.duplicate_samples == 0));
     }
 }
@@ -85,7 +85,7 @@
 /// The naive policy answers almost nothing at five times the capacity, which shows that the
 /// scenario is an overload.
 #[test]
-fn naive_collapses() {
+fn naive_policy_collapses() {
     let base = measure(1.0, PolicyKind::Ours, 1).goodput(Class::Live);
     let naive = measure(5.0, PolicyKind::Naive, 1).goodput(Class::Live);
     assert!(naive < 0.2 * base, "{naive} of {base}");
--- a/tests/load_patterns.rs
+++ b/tests/load_patterns.rs
@@ -1,10 +1,11 @@
-//! Bursts, hot callers and keys, slow upstreams, long requests among short ones: what callers
-//! receive with our policy, compared with the naive one.
+//! Tests of what callers receive with our policy, compared with the naive one, under bursts, hot
+//! callers and keys, slow upstreams, and long requests among short ones.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::Class;
 use standins::experiment::{Deployment, FlowResult, PolicyKind, RunResult, Scenario, run_scenario};
 
+/// The seeds of the simulations.
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=3;
 
 fn measure(text: &str, scale: f64, policy: PolicyKind, seed: u64) -> RunResult {
@@ -19,7 +20,7 @@
 
 /// Checks that our policy answers at least 95% of one caller's requests, and more than the naive
 /// policy.
-fn better_than_naive(text: &str) {
+fn assert_better_than_naive(text: &str) {
     for seed in SEEDS {
         let ours = measure(text, 1.0, PolicyKind::Ours, seed);
         let shop = answered_share(ours.flow("shop").unwrap());
@@ -58,12 +59,13 @@
             answered_share(ours),
             answered_share(naive)
         );
-        // Requests that are not answered are refused; hardly any gets no answer in time.
+        // Requests that are not answered are refused. Hardly any times out.
         assert!(ours.timed_out * 50 <= ours.offered, "seed {seed}: {} late", ours.timed_out);
     }
 }
 
-const HOT: &str = "
+/// One caller demands three times the capacity, beside two that demand a fifth each.
+const HOT_CALLER_SCENARIO: &str = "
 [scenario]
 length = 30s
 warmup = 5s
@@ -86,25 +88,25 @@
 keys = 100
 ";
 
-/// A caller that asks for three times the capacity costs the others at most 5% of their answers.
+/// A caller that demands three times the capacity costs the others at most 5% of their answers.
 #[test]
 fn hot_caller() {
     for seed in SEEDS {
-        let result = measure(HOT, 1.0, PolicyKind::Ours, seed);
+        let result = measure(HOT_CALLER_SCENARIO, 1.0, PolicyKind::Ours, seed);
         for name in ["a", "b"] {
-            let part = answered_share(result.flow(name).unwrap());
-            assert!(part >= 0.95, "seed {seed}, {name}: {part}");
+            let share = answered_share(result.flow(name).unwrap());
+            assert!(share >= 0.95, "seed {seed}, {name}: {share}");
         }
-        let naive = measure(HOT, 1.0, PolicyKind::Naive, seed);
+        let naive = measure(HOT_CALLER_SCENARIO, 1.0, PolicyKind::Naive, seed);
         assert!(answered_share(naive.flow("a").unwrap()) < 0.5);
     }
 }
 
-/// The hot caller gets all capacity that the others leave.
+/// The hot caller gets the capacity that the others leave.
 #[test]
 fn hot_caller_gets_the_rest() {
     for seed in SEEDS {
-        let result = measure(HOT, 1.0, PolicyKind::Ours, seed);
+        let result = measure(HOT_CALLER_SCENARIO, 1.0, PolicyKind::Ours, seed);
         let hot = result.flow("hot").unwrap();
         let share = hot.work / result.measured_time.as_secs_f64() / result.capacity;
         assert!(share >= 0.25, "seed {seed}: {share}");
@@ -158,7 +160,7 @@
 until = 30s
 factor = 10
 ";
-    better_than_naive(text);
+    assert_better_than_naive(text);
 }
 
 /// An upstream that accepts connections and never answers gets hardly any work.
@@ -178,10 +180,10 @@
 at = 10s
 until = 30s
 ";
-    better_than_naive(text);
+    assert_better_than_naive(text);
 }
 
-/// Short requests are answered although long ones ask for more than the capacity.
+/// Short requests are answered although long ones demand more than the capacity.
 #[test]
 fn long_among_short() {
     let text = "
@@ -229,7 +231,7 @@
 at = 15s
 upstreams = 100
 ";
-    better_than_naive(text);
+    assert_better_than_naive(text);
 }
 
 /// After all upstreams were down for five seconds, all callers retry: retries stay within a tenth
--- a/tests/load_sessions.rs
+++ b/tests/load_sessions.rs
@@ -29,7 +29,8 @@
     (dispatch, ticket)
 }
 
-/// Breaks off `count` attempts; returns how many were sent.
+/// Breaks off `count` attempts and returns how many were sent. Each makes progress if `progress` is
+/// set.
 fn break_attempts(dispatch: &mut Dispatch, ticket: Ticket, count: u64, progress: bool) -> usize {
     let took = Duration::from_secs(60);
     let mut sent = 0;
@@ -51,14 +52,14 @@
 /// A one-hour session whose engine fails every minute continues each time, although the
 /// service has no retry budget left.
 #[test]
-fn session_continues() {
+fn request_with_progress_is_retried_without_limit() {
     let (mut dispatch, ticket) = dispatch();
     assert_eq!(break_attempts(&mut dispatch, ticket, 50, true), 50);
 }
 
 /// While no engine accepts work, a request with progress waits for one until its deadline.
 #[test]
-fn session_waits_for_an_engine() {
+fn request_with_progress_waits_for_an_engine() {
     let (mut dispatch, ticket) = dispatch();
     break_attempts(&mut dispatch, ticket, 1, true);
     dispatch.take_actions();
@@ -79,7 +80,7 @@
 
 /// A request without progress gets a few attempts and then the final answer.
 #[test]
-fn no_progress_ends() {
+fn request_without_progress_is_refused_after_few_attempts() {
     let (mut dispatch, ticket) = dispatch();
     let sent = break_attempts(&mut dispatch, ticket, 50, false);
     assert!(sent <= 4, "{sent}");
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership, without a network: tables that pass messages to each other.
+//! Tests of membership tables that pass messages to each other without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -8,7 +8,8 @@
 use mulberrycourse::decide::members::{Liveness, MemberRecord, MemberTable, NodeState};
 use proptest::prelude::*;
 
-const ROUND: Duration = Duration::from_millis(500);
+/// The interval between rounds of gossip.
+const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 
 fn record(name: &str, incarnation: u64) -> MemberRecord<u16> {
     MemberRecord {
@@ -30,12 +31,13 @@
 struct Net {
     tables: Vec<MemberTable<u16>>,
     frozen: Vec<bool>,
-    cut: Vec<(usize, usize)>,
+    /// The pairs of nodes that cannot reach each other.
+    cut_links: Vec<(usize, usize)>,
     now: Duration,
 }
 
 impl Net {
-    /// Each node knows only the first one.
+    /// Creates nodes that know only the first one.
     fn new(size: usize) -> Self {
         let table = |i| {
             let mut table = MemberTable::new(record(&name(i), 1), i as u64);
@@ -45,15 +47,15 @@
             table
         };
         let tables = (0..size).map(table).collect();
-        Self { tables, frozen: vec![false; size], cut: Vec::new(), now: Duration::ZERO }
+        Self { tables, frozen: vec![false; size], cut_links: Vec::new(), now: Duration::ZERO }
     }
 
     fn reaches(&self, a: usize, b: usize) -> bool {
-        !self.frozen[b] && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
+        !self.frozen[b] && !self.cut_links.contains(&(a, b)) && !self.cut_links.contains(&(b, a))
     }
 
     fn round(&mut self) {
-        self.now += ROUND;
+        self.now += ROUND_INTERVAL;
         for from in 0..self.tables.len() {
             if self.frozen[from] {
                 continue;
@@ -81,15 +83,15 @@
         }
     }
 
-    /// Whether node `at` counts node `whom` as alive.
-    fn sees(&self, at: usize, whom: usize) -> bool {
-        self.tables[at].alive(self.now).any(|n| n.name == name(whom))
+    /// Returns whether node `at` counts node `other` as alive.
+    fn sees(&self, at: usize, other: usize) -> bool {
+        self.tables[at].alive(self.now).any(|n| n.name == name(other))
     }
 
-    /// Whether each of `at` counts each of `whom` as alive, or none does if `wanted` is false.
-    fn all_see(&self, at: &[usize], whom: &[usize], wanted: bool) -> bool {
-        let pairs = at.iter().flat_map(|a| whom.iter().map(move |w| (*a, *w)));
-        pairs.filter(|(a, w)| a != w).all(|(a, w)| self.sees(a, w) == wanted)
+    /// Returns whether each of `at` counts each of `others` as alive, or none does if `alive` is false.
+    fn all_see(&self, at: &[usize], others: &[usize], alive: bool) -> bool {
+        let pairs = at.iter().flat_map(|a| others.iter().map(move |o| (*a, *o)));
+        pairs.filter(|(a, o)| a != o).all(|(a, o)| self.sees(a, o) == alive)
     }
 }
 
@@ -113,7 +115,7 @@
 fn a_node_that_others_reach_is_alive() {
     let mut net = Net::new(7);
     net.run(Duration::from_secs(10));
-    net.cut.push((1, 2));
+    net.cut_links.push((1, 2));
     for _ in 0..600 {
         net.round();
         assert!(net.sees(1, 2) && net.sees(2, 1), "at {:?}", net.now);
@@ -156,12 +158,12 @@
     net.run(Duration::from_secs(15));
     let (left, right) = (range(0, 4), range(4, 12));
     let links = left.iter().flat_map(|a| right.iter().map(|b| (*a, *b)));
-    net.cut = links.collect();
+    net.cut_links = links.collect();
     net.run(Duration::from_secs(60));
     assert!(net.all_see(&left, &right, false) && net.all_see(&right, &left, false));
     assert!(net.all_see(&left, &left, true) && net.all_see(&right, &right, true));
     net.run(Duration::from_secs(3540));
-    net.cut.clear();
+    net.cut_links.clear();
     net.run(Duration::from_secs(60));
     assert!(net.all_see(&range(0, 12), &range(0, 12), true));
 }
@@ -180,7 +182,7 @@
     let new = record("b", 6);
     for order in [[&old, &new], [&new, &old]] {
         for record in order {
-            table.merge_record(record.clone(), ROUND);
+            table.merge_record(record.clone(), ROUND_INTERVAL);
         }
         let seen = table.get("b").unwrap();
         assert_eq!((seen.incarnation, seen.state, seen.suspected), (6, NodeState::Serving, false));
@@ -201,12 +203,12 @@
 }
 
 /// Guards against a lost change of state. A node counted another as starting for six minutes, to
-/// the end of the test, while all others saw it serve; this happened once, in
+/// the end of the test, while all others counted it as serving. This happened once, in
 /// `frozen_home_is_fenced` on a busy machine. The records with the change are sent in a bounded
-/// number of messages; all of them to this node were lost, and the heartbeats, which went on, kept
-/// the other alive in its old state.
+/// number of messages. All of them to this node were lost, and further heartbeats kept the other
+/// node alive in its old state.
 #[test]
-fn a_change_of_state_is_learnt_from_heartbeats_if_all_records_of_it_are_lost() {
+fn heartbeats_carry_a_change_of_state_whose_records_are_all_lost() {
     let mut a = MemberTable::new(MemberRecord { state: NodeState::Starting, ..record("a", 1) }, 1);
     let mut b = MemberTable::new(record("b", 1), 2);
     b.load_record(a.own().clone(), Duration::ZERO);
@@ -214,8 +216,8 @@
     for _ in 0..100 {
         drop(a.next_message(&[]));
     }
-    a.begin_round(ROUND);
-    assert!(b.receive(a.next_message(&[]), ROUND).changed, "the change is passed on");
+    a.begin_round(ROUND_INTERVAL);
+    assert!(b.receive(a.next_message(&[]), ROUND_INTERVAL).changed, "the change is passed on");
     assert_eq!(b.get("a").unwrap().state, NodeState::Serving);
 }
 
@@ -236,10 +238,13 @@
 #[test]
 fn an_old_suspicion_is_refuted() {
     let mut table = MemberTable::new(record("a", 1), 1);
-    table.merge_record(MemberRecord { heartbeat: 9, ..record("b", 1) }, ROUND);
+    table.merge_record(MemberRecord { heartbeat: 9, ..record("b", 1) }, ROUND_INTERVAL);
     while !table.next_message(&[]).records.is_empty() {}
-    table.merge_record(MemberRecord { heartbeat: 8, suspected: true, ..record("b", 1) }, ROUND);
-    assert!(table.view(ROUND).all(|(_, liveness)| liveness == Liveness::Alive));
+    table.merge_record(
+        MemberRecord { heartbeat: 8, suspected: true, ..record("b", 1) },
+        ROUND_INTERVAL,
+    );
+    assert!(table.view(ROUND_INTERVAL).all(|(_, liveness)| liveness == Liveness::Alive));
     let refutation = table.next_message(&[]).records;
     assert_eq!(refutation[0].heartbeat, 9);
 }
@@ -250,7 +255,7 @@
 fn messages_are_bounded() {
     let mut table = MemberTable::new(record("a", 1), 1);
     (0..1024).for_each(|i| {
-        table.merge_record(record(&name(i), 1), ROUND);
+        table.merge_record(record(&name(i), 1), ROUND_INTERVAL);
     });
     let message = table.next_message(&[1; 400]);
     assert!(
@@ -275,9 +280,9 @@
         Just(NodeState::Draining),
         Just(NodeState::Gone)
     ];
-    let learn = (0..3_u8, 0..3_u64, state, 0..4_u32, any::<bool>());
+    let record_fields = (0..3_u8, 0..3_u64, state, 0..4_u32, any::<bool>());
     prop_oneof![
-        4 => learn.prop_map(|(n, incarnation, state, heartbeat, suspected)| {
+        4 => record_fields.prop_map(|(n, incarnation, state, heartbeat, suspected)| {
             let name = name(n.into());
             Step::Merge(MemberRecord { state, heartbeat, suspected, ..record(&name, incarnation) })
         }),
@@ -294,12 +299,12 @@
 
 impl Naive {
     fn read(&self, name: &str, now: Duration) -> Option<(u64, NodeState, u32, bool)> {
-        let of = || self.received.iter().filter(|(n, _)| &*n.name == name);
-        let incarnation = of().map(|(n, _)| n.incarnation).max()?;
-        let last = || of().filter(move |(n, _)| n.incarnation == incarnation);
-        let state = last().map(|(n, _)| n.state).max()?;
-        let heartbeat = last().map(|(n, _)| n.heartbeat).max()?;
-        let suspicion = last()
+        let records = || self.received.iter().filter(|(n, _)| &*n.name == name);
+        let incarnation = records().map(|(n, _)| n.incarnation).max()?;
+        let latest = || records().filter(move |(n, _)| n.incarnation == incarnation);
+        let state = latest().map(|(n, _)| n.state).max()?;
+        let heartbeat = latest().map(|(n, _)| n.heartbeat).max()?;
+        let suspicion = latest()
             .filter(|(n, _)| n.suspected && n.heartbeat == heartbeat)
             .map(|(_, at)| *at)
             .min();
--- a/tests/organisations.rs
+++ b/tests/organisations.rs
@@ -1,4 +1,4 @@
-//! Organisations, their keys and the ids of their jobs.
+//! Tests of organisations, their keys and the ids of their jobs.
 #![allow(clippy::unwrap_used)]
 
 use mulberrycourse::decide::{
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_key_that_two_organisations_hold_acts_for_neither() {
+fn a_key_of_two_organisations_is_valid_for_neither() {
     let all = vec![
         organisation("a", &["k", "ka"]),
         organisation("b", &["k", "kb"]),
--- a/tests/retry_after.rs
+++ b/tests/retry_after.rs
@@ -1,4 +1,4 @@
-//! The delay after which refused clients retry.
+//! Tests of the delay after which refused clients retry.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -10,11 +10,11 @@
     Duration::from_millis(millis)
 }
 
-/// Returns how often a client that waits as asked tries within its time limit, and whether it is
+/// Returns how often a client that keeps to the delays tries until its timeout, and whether it is
 /// served.
-fn tries(outage: Duration, limit: Duration) -> (u32, bool) {
+fn tries(outage: Duration, timeout: Duration) -> (u32, bool) {
     let (mut at, mut count) = (ms(0), 0);
-    while at < limit {
+    while at < timeout {
         count += 1;
         if at >= outage {
             return (count, true);
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Weight rollout without sockets: independent owners with lagging views.
+//! Tests of weight rollouts without sockets: independent owners with lagging views.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -20,20 +20,20 @@
         engines in 1_usize..20,
         nodes in 1_usize..6,
         percent in 1_u32..=100,
-        swap in 1_u32..20,
+        swap_ticks in 1_u32..20,
         failures in prop::collection::vec(0_u32..2, 20),
-        second in 1_u32..200,
+        ticks_before_change in 1_u32..200,
     ) {
         let mut world = World::new(engines, nodes, percent);
         for (engine, failures) in world.engines.iter_mut().zip(failures) {
             engine.failures = failures;
         }
-        for _ in 0..second {
-            world.tick(TargetWeights { generation: 2, version: 2 }, swap, None);
+        for _ in 0..ticks_before_change {
+            world.tick(TargetWeights { generation: 2, version: 2 }, swap_ticks, None);
         }
         let next = TargetWeights { generation: 3, version: 3 };
         for _ in 0..20_000 {
-            world.tick(next, swap, None);
+            world.tick(next, swap_ticks, None);
             if world.settled(3) {
                 break;
             }
@@ -72,9 +72,9 @@
     assert!(world.swapping <= 2);
 }
 
-/// A node is paused during a rollout: its successors give the orders to its engines.
+/// A node is paused during a rollout: the next owners of its engines give the orders.
 #[test]
-fn paused_owner_is_succeeded() {
+fn engines_of_a_paused_owner_get_other_owners() {
     let mut world = World::new(9, 3, 34);
     let target = TargetWeights { generation: 2, version: 2 };
     for _ in 0..20 {
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The choice of a request's route and service.
+//! Tests of the choice of a request's route and service.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -36,11 +36,11 @@
 }
 
 #[test]
-fn draws_follow_the_weights() {
+fn services_are_chosen_by_weight() {
     let route = route("h", "/", &[("a", 90), ("b", 10), ("c", 0)]);
-    let drawn: Vec<&str> = (0..100).map(|d| &**route.pick_service(d).unwrap()).collect();
-    assert_eq!(drawn.iter().filter(|s| **s == "a").count(), 90);
-    assert_eq!(drawn.iter().filter(|s| **s == "b").count(), 10);
+    let chosen: Vec<&str> = (0..100).map(|d| &**route.pick_service(d).unwrap()).collect();
+    assert_eq!(chosen.iter().filter(|s| **s == "a").count(), 90);
+    assert_eq!(chosen.iter().filter(|s| **s == "b").count(), 10);
     assert_eq!(self::route("h", "/", &[]).pick_service(3), None);
     assert!(self::route("h", "/", &[("a", 0)]).pick_service(3).is_some());
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The number of replicas to order, for various demands, prices and limits, and zones that have no
-//! replicas to give.
+//! Tests of the number of replicas to order, for various demands, prices and limits, and zones that
+//! have no replicas left.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
@@ -10,14 +10,15 @@
 };
 use proptest::prelude::*;
 
-const SLOTS: u32 = 6;
+/// The number of slots of a replica.
+const SLOTS_PER_REPLICA: u32 = 6;
 const START: Duration = Duration::from_secs(100);
 
-fn limits(least: u32, most: u32, prices: &[(&str, f64)]) -> Autoscale {
+fn limits(min: u32, max: u32, prices: &[(&str, f64)]) -> Autoscale {
     Autoscale {
         service: "engines".into(),
-        min: least,
-        max: most,
+        min,
+        max,
         boot_time: Duration::from_secs(4),
         spot: false,
         prices: prices.iter().map(|(zone, price)| (Name::from(*zone), *price)).collect(),
@@ -32,7 +33,7 @@
     counts.iter().map(|(zone, count)| (Name::from(*zone), *count)).collect()
 }
 
-/// All replicas, by zone.
+/// Returns the planned number of replicas by zone, the base included.
 fn planned(planner: &Planner) -> ReplicaCounts {
     let mut all = planner.base().clone();
     for (zone, extra) in planner.extra() {
@@ -51,7 +52,7 @@
     let mut planner = Planner::new(base.clone());
     for (second, wanted) in [0.0, 60.0, 216.0, 230.0].into_iter().enumerate() {
         let now = START + Duration::from_secs(30 * second as u64);
-        assert!(!planner.update(&three_zones(), wanted, SLOTS, now), "{wanted}");
+        assert!(!planner.update(&three_zones(), wanted, SLOTS_PER_REPLICA, now), "{wanted}");
     }
     assert_eq!(planned(&planner), base);
 }
@@ -59,30 +60,39 @@
 #[test]
 fn a_demand_beyond_all_slots_is_met_where_it_is_cheapest() {
     let mut planner = Planner::new(plan(&[("a", 3), ("b", 3), ("c", 3)]));
-    assert!(planner.update(&three_zones(), 96.0, SLOTS, START));
+    assert!(planner.update(&three_zones(), 96.0, SLOTS_PER_REPLICA, START));
     assert_eq!(total(&planner), 16);
     let count = |zone: &str| planned(&planner)[zone];
     assert!(count("c") >= count("a") && count("a") >= count("b"), "{:?}", planned(&planner));
-    assert!(count("b") > 3 || count("c") <= 9, "one zone takes it all: {:?}", planned(&planner));
+    assert!(
+        count("b") > 3 || count("c") <= 9,
+        "one zone gets all replicas: {:?}",
+        planned(&planner)
+    );
 }
 
 #[test]
 fn no_zone_exceeds_its_maximum() {
     let limits = limits(1, 5, &[("a", 1.0), ("b", 1.2), ("c", 0.85)]);
     let mut planner = Planner::new(plan(&[("a", 3), ("b", 3), ("c", 3)]));
-    planner.update(&limits, 1_000.0, SLOTS, START);
+    planner.update(&limits, 1_000.0, SLOTS_PER_REPLICA, START);
     assert_eq!(planned(&planner), plan(&[("a", 5), ("b", 5), ("c", 5)]));
 }
 
 #[test]
 fn a_zone_without_free_replicas_is_left_out_for_a_while() {
     let mut planner = Planner::new(plan(&[("a", 3), ("b", 3), ("c", 3)]));
-    planner.update(&three_zones(), 96.0, SLOTS, START);
+    planner.update(&three_zones(), 96.0, SLOTS_PER_REPLICA, START);
     planner.zone_refused(&"c".into(), 0, START);
     assert_eq!(planned(&planner)["c"], 3);
-    assert!(planner.update(&three_zones(), 96.0, SLOTS, START + Duration::from_secs(1)));
+    assert!(planner.update(
+        &three_zones(),
+        96.0,
+        SLOTS_PER_REPLICA,
+        START + Duration::from_secs(1)
+    ));
     assert_eq!((planned(&planner)["c"], total(&planner)), (3, 16));
-    planner.update(&three_zones(), 200.0, SLOTS, START + Duration::from_secs(4));
+    planner.update(&three_zones(), 200.0, SLOTS_PER_REPLICA, START + Duration::from_secs(4));
     assert!(planned(&planner)["c"] > 3);
 }
 
@@ -90,28 +100,28 @@
 fn replicas_are_released_only_after_a_long_time_without_need_and_never_below_the_base() {
     let base = plan(&[("a", 3), ("b", 3), ("c", 3)]);
     let mut planner = Planner::new(base.clone());
-    planner.update(&three_zones(), 96.0, SLOTS, START);
+    planner.update(&three_zones(), 96.0, SLOTS_PER_REPLICA, START);
     let at = |seconds| START + Duration::from_secs(seconds);
     // A pause between steps, and a burst within it, release nothing.
     for (second, wanted) in [(1, 10.0), (15, 10.0), (18, 96.0), (19, 10.0), (38, 10.0)] {
-        assert!(!planner.update(&three_zones(), wanted, SLOTS, at(second)), "{second}");
+        assert!(!planner.update(&three_zones(), wanted, SLOTS_PER_REPLICA, at(second)), "{second}");
     }
-    assert!(planner.update(&three_zones(), 10.0, SLOTS, at(39)));
+    assert!(planner.update(&three_zones(), 10.0, SLOTS_PER_REPLICA, at(39)));
     assert_eq!(planned(&planner), base);
 }
 
 #[test]
 fn a_successor_continues_from_the_ordered_replicas() {
     let mut planner = Planner::new(plan(&[("a", 3)]));
-    planner.update(&three_zones(), 40.0, SLOTS, START);
+    planner.update(&three_zones(), 40.0, SLOTS_PER_REPLICA, START);
     let bytes = serde_json::to_vec(&planner).unwrap();
     let mut successor: Planner = serde_json::from_slice(&bytes).unwrap();
-    assert!(!successor.update(&three_zones(), 40.0, SLOTS, START));
+    assert!(!successor.update(&three_zones(), 40.0, SLOTS_PER_REPLICA, START));
     assert_eq!((total(&successor), planned(&successor)), (7, planned(&planner)));
 }
 
 #[test]
-fn limits_that_allow_no_number_are_a_fault() {
+fn invalid_limits_are_a_fault() {
     let fault = |limits: Autoscale| limits.checked().unwrap_err();
     assert_eq!(fault(limits(5, 4, &[("a", 1.0)])), AutoscaleFault::Limits(5, 4));
     assert_eq!(fault(limits(1, 4, &[])), AutoscaleFault::NoZone);
@@ -127,7 +137,7 @@
     let node = |n: &str| Name::from(n);
     let at = |seconds| START + Duration::from_secs(seconds);
     assert_eq!(demand.mean_slots("engines", START), None);
-    // One node wants ten slots all the time; another one appears with a total of its own.
+    // One node demands ten slots all the time. Another one appears with a total of its own.
     for second in 0..=20 {
         demand.record(&node("a"), &service, second * 10_000, at(second));
         if second >= 10 {
@@ -145,8 +155,8 @@
 }
 
 /// Guards against counting the demand of a gap between two reports. A leader that lost its term and
-/// regains it receives all the demand of the meantime at once: simulated on a deployment of 36
-/// replicas it ordered 36 more.
+/// regains it receives all the demand of the meantime at once. In a simulation with 36 replicas it
+/// ordered 36 more.
 #[test]
 fn the_demand_of_a_gap_between_reports_is_left_out() {
     let (mut demand, node, service) =
@@ -171,7 +181,7 @@
         let (mut planner, mut now) = (Planner::new(base.clone()), START);
         for (wanted, pause, refused) in steps {
             now += Duration::from_secs(pause);
-            planner.update(&limits, wanted, SLOTS, now);
+            planner.update(&limits, wanted, SLOTS_PER_REPLICA, now);
             for (zone, count) in planned(&planner) {
                 prop_assert!(count <= limits.max.max(base[&zone]), "{:?}", planned(&planner));
             }
--- a/tests/slot_queue.rs
+++ b/tests/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Samples that wait for a slot at a replica, simulated without a network.
+//! Tests of samples that wait for a slot at a replica, simulated without a network.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,7 +9,8 @@
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(100);
-const SLOTS: u32 = 6;
+/// The number of slots of a replica.
+const SLOTS_PER_REPLICA: u32 = 6;
 /// Time from the start of an attempt to its response head.
 const HEAD_MS: u64 = 15;
 
@@ -21,7 +22,7 @@
             target: Target { id: format!("r{i:04}").into(), address, started_ms: None },
             service: "engines".into(),
             zone: "z".into(),
-            slots: SLOTS,
+            slots: SLOTS_PER_REPLICA,
             draining: false,
             spot: false,
             versions: vec![(model(i).into(), 1)],
@@ -39,10 +40,16 @@
     }
 }
 
-/// Simulates one millisecond after the other: response heads that are due report the load, a part
-/// of which is due to other nodes, and every `period` milliseconds all waiting texts are checked.
-/// Returns how many milliseconds it took until `enough` texts had begun.
-fn begun_after(texts: u64, enough: usize, period: u64, heads: bool) -> u64 {
+/// Simulates ten replicas in steps of one millisecond. Each response head reports the load of its
+/// replica, two texts of other nodes included, and assigns a slot if `assign_on_head` is set. Every
+/// `check_interval_ms` slots are assigned to all waiting texts. Returns the time in milliseconds
+/// until `enough` of the `texts` have begun.
+fn time_to_begin_ms(
+    texts: u64,
+    enough: usize,
+    check_interval_ms: u64,
+    assign_on_head: bool,
+) -> u64 {
     let mut fleet = fleet(10, |_| "m");
     let mut waiting: SlotQueue<u64> = SlotQueue::default();
     (0..texts).for_each(|i| waiting.add((1, 0, i), request("m"), i));
@@ -55,11 +62,11 @@
         for id in due.remove(&millis).unwrap_or_default() {
             // Other nodes have two texts there.
             fleet.report_load(&id, ReplicaLoad { running: running[&id] + 2, waiting: 0 }, now);
-            if heads {
+            if assign_on_head {
                 assigned.extend(waiting.assign_at(&id, &mut fleet, now));
             }
         }
-        if millis % period == 0 {
+        if millis % check_interval_ms == 0 {
             assigned.extend(waiting.assign_all(&mut fleet, now));
         }
         for (_, target) in assigned {
@@ -75,16 +82,17 @@
 }
 
 /// A step of 80 texts at ten replicas of six slots, of which other nodes use two. Each replica gets
-/// one text at a time, and the next one once it has reported its load. With a check every 50 ms
-/// alone, the fourth text at each began after 150 ms; with a head every 15 ms it begins after 45.
+/// one text at a time, and the next one once it has reported its load. With only a check every
+/// 50 ms, the fourth text at each began after 150 ms. With a response head every 15 ms, it begins
+/// after 45 ms.
 #[test]
 fn a_response_head_frees_a_slot_at_once() {
-    assert_eq!(begun_after(80, 40, 50, true), 3 * HEAD_MS);
-    assert!(begun_after(80, 40, 50, false) >= 150);
+    assert_eq!(time_to_begin_ms(80, 40, 50, true), 3 * HEAD_MS);
+    assert!(time_to_begin_ms(80, 40, 50, false) >= 150);
 }
 
 #[test]
-fn a_replica_is_offered_to_the_first_sample_that_it_serves() {
+fn a_slot_is_assigned_to_the_first_sample_that_the_replica_serves() {
     let mut fleet = fleet(2, |i| if i == 0 { "a" } else { "b" });
     let mut waiting = SlotQueue::default();
     waiting.add((2, 0, 0), request("a"), "late a");
@@ -100,7 +108,7 @@
 }
 
 #[test]
-fn a_replica_that_failed_a_text_is_not_offered_to_it() {
+fn a_text_avoids_a_replica_that_failed_it() {
     let mut fleet = fleet(1, |_| "m");
     let mut waiting = SlotQueue::default();
     waiting.add((1, 0, 0), SlotRequest { avoid: vec!["r0000".into()], ..request("m") }, 0);
@@ -120,14 +128,14 @@
         let mut waiting: SlotQueue<(usize, u64)> = SlotQueue::default();
         let mut open: BTreeSet<(usize, u64)> = BTreeSet::new();
         let mut running: BTreeMap<Name, u32> = BTreeMap::new();
-        let mut served = BTreeSet::new();
+        let mut assigned_before = BTreeSet::new();
         for (tick, (step, replica, index)) in steps.into_iter().enumerate() {
             let now = NOW + Duration::from_millis(tick as u64 * 10);
             let id = format!("r{replica:04}");
             let kind = replica % 2;
             let assigned = match step {
                 0 | 1 => {
-                    if !served.contains(&(kind, index)) && open.insert((kind, index)) {
+                    if !assigned_before.contains(&(kind, index)) && open.insert((kind, index)) {
                         waiting.add((1, 0, index), request(models[kind]), (kind, index));
                     }
                     Vec::new()
@@ -150,11 +158,11 @@
             };
             for ((kind, index), target) in assigned {
                 prop_assert!(open.remove(&(kind, index)));
-                prop_assert!(served.insert((kind, index)));
+                prop_assert!(assigned_before.insert((kind, index)));
                 prop_assert!(!open.iter().any(|(k, i)| *k == kind && *i < index));
                 let count = running.entry(target.id).or_default();
                 *count += 1;
-                prop_assert!(*count <= SLOTS);
+                prop_assert!(*count <= SLOTS_PER_REPLICA);
             }
         }
     }
--- a/tests/step.rs
+++ b/tests/step.rs
@@ -1,4 +1,4 @@
-//! A trainer's step, without a network.
+//! Tests of a trainer's step, without a network.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,9 +8,9 @@
 
 use mulberrycourse::decide::{FillOutcome, GroupSpec, Ranges, Sample, Slot, Span, Step, StepSpec};
 
-fn step(groups: u32, samples: u32, bound: u64) -> Step {
+fn step(groups: u32, samples: u32, staleness_bound: u64) -> Step {
     let prompt = GroupSpec { prompt: "deal".to_owned(), samples, max_tokens: 4 };
-    Step::new(StepSpec { version: 5, groups: vec![prompt; groups as usize] }, bound)
+    Step::new(StepSpec { version: 5, groups: vec![prompt; groups as usize] }, staleness_bound)
 }
 
 fn sample(index: u32, version: u64) -> Sample {
@@ -20,7 +20,7 @@
 
 /// A trainer acknowledges groups that the step does not have: this does not complete the step.
 #[test]
-fn unknown_groups_complete_nothing() {
+fn unknown_groups_do_not_complete_a_step() {
     let mut step = step(2, 1, 1);
     step.acknowledge(5, &Ranges::from_iter([7, 8]));
     assert!(!step.all_delivered());
@@ -30,7 +30,7 @@
 /// The trainer's version advances between two deliveries: a sample that has become stale is
 /// withdrawn and begins again.
 #[test]
-fn second_delivery_is_checked_again() {
+fn repeated_delivery_checks_the_staleness_again() {
     let mut step = step(1, 1, 1);
     let slot = Slot { group: 0, index: 0 };
     assert_eq!(step.start(usize::MAX), [slot]);
@@ -44,7 +44,7 @@
 
 /// The trainer's version advances while a sample runs.
 #[test]
-fn sample_is_checked_as_it_arrives() {
+fn stale_sample_is_refused_on_arrival() {
     let mut step = step(1, 2, 1);
     step.start(usize::MAX);
     step.acknowledge(7, &Ranges::from_iter([]));
@@ -76,7 +76,7 @@
     Fill(usize, u64),
     /// The trainer is at this version and takes up to this many complete groups.
     Pull(u64, usize),
-    /// The step moves to another node, which learns the groups that the trainer has.
+    /// The step moves to another node, which receives the groups that the trainer has.
     Move,
 }
 
@@ -89,14 +89,15 @@
 }
 
 proptest! {
-    /// Any order of ends, pulls, versions and moves, with a naive trainer that keeps a list: no
-    /// group is handed over that it has, that is too old or that is incomplete; groups that it
-    /// has taken stay taken; and the samples that are left can always begin or are running.
+    /// Attempts end, groups are pulled, versions advance and the step moves in any order, with a naive
+    /// trainer that keeps a list. No group is delivered that the trainer has, that is too old or
+    /// that is incomplete. Groups that it has received are not delivered again. The remaining
+    /// samples run, or can begin.
     #[test]
-    fn step_with_a_naive_trainer(events in prop::collection::vec(event(), 1..80)) {
-        const BOUND: u64 = 2;
+    fn step_delivers_each_group_once(events in prop::collection::vec(event(), 1..80)) {
+        const STALENESS_BOUND: u64 = 2;
         let (groups, samples) = (3, 2);
-        let mut step = step(groups, samples, BOUND);
+        let mut step = step(groups, samples, STALENESS_BOUND);
         let mut running: Vec<Slot> = step.start(4);
         let mut taken: BTreeMap<u32, Vec<u64>> = BTreeMap::new();
         let mut version = 5;
@@ -105,7 +106,7 @@
                 Event::Fill(which, made) if which < running.len() => {
                     let slot = running[which];
                     let fill = step.fill(slot, sample(slot.index, made));
-                    let stale = made + BOUND < version && !taken.contains_key(&slot.group);
+                    let stale = made + STALENESS_BOUND < version && !taken.contains_key(&slot.group);
                     prop_assert_eq!(fill == FillOutcome::Stale, stale);
                     if fill != FillOutcome::Stale {
                         running.remove(which);
@@ -116,23 +117,23 @@
                     version = version.max(at);
                     step.acknowledge(version, &taken.keys().copied().collect());
                     for group in step.ready_groups(takes) {
-                        let fresh = group.samples.iter().all(|s| s.oldest() >= Some(version - BOUND));
+                        let fresh = group.samples.iter().all(|s| s.oldest() >= Some(version - STALENESS_BOUND));
                         prop_assert!(fresh);
                         prop_assert_eq!(group.samples.len() as u32, samples);
                         let made = group.samples.iter().filter_map(|s| s.oldest()).collect();
-                        prop_assert!(taken.insert(group.group, made).is_none(), "doubled");
+                        prop_assert!(taken.insert(group.group, made).is_none(), "delivered twice");
                     }
                 }
                 Event::Move => {
                     step.acknowledge(version, &taken.keys().copied().collect());
                     for group in step.ready_groups(usize::MAX) {
                         let made = group.samples.iter().filter_map(|s| s.oldest()).collect();
-                        prop_assert!(taken.insert(group.group, made).is_none(), "doubled");
+                        prop_assert!(taken.insert(group.group, made).is_none(), "delivered twice");
                     }
                     let parts = step.partial_groups();
                     prop_assert!(parts.iter().all(|part| !taken.contains_key(&part.group)));
                     let spec = StepSpec { version, ..step.spec().clone() };
-                    step = Step::new(spec, BOUND);
+                    step = Step::new(spec, STALENESS_BOUND);
                     step.acknowledge(version, &taken.keys().copied().collect());
                     let kept: usize = parts.iter().map(|g| g.samples.len()).sum();
                     prop_assert_eq!(step.adopt(parts), kept);
@@ -175,38 +176,41 @@
     writeln!(log, "0/0 by 3: {:?}", step.fill(at(0, 0), sample(0, 3))).unwrap();
     writeln!(log, "0/0 by 4: {:?}", step.fill(at(0, 0), sample(0, 4))).unwrap();
     writeln!(log, "1/1 by 5: {:?}", step.fill(at(1, 1), sample(1, 5))).unwrap();
-    pulled(&mut log, &mut step, 5, &[]);
+    log_pull(&mut log, &mut step, 5, &[]);
     writeln!(log, "the reply is lost").unwrap();
-    pulled(&mut log, &mut step, 5, &[]);
-    pulled(&mut log, &mut step, 5, &[1]);
+    log_pull(&mut log, &mut step, 5, &[]);
+    log_pull(&mut log, &mut step, 5, &[1]);
     writeln!(log, "1/1 by 5 again: {:?}", step.fill(at(1, 1), sample(1, 5))).unwrap();
-    pulled(&mut log, &mut step, 6, &[1]);
+    log_pull(&mut log, &mut step, 6, &[1]);
     writeln!(log, "starts {:?}", names(&step.start(3))).unwrap();
     writeln!(log, "0/1 by 6: {:?}", step.fill(at(0, 1), sample(1, 6))).unwrap();
     let parts = step.partial_groups();
-    writeln!(log, "leaves with {:?}", held(&parts)).unwrap();
+    writeln!(log, "leaves with {:?}", describe_samples(&parts)).unwrap();
     let mut next = Step::new(StepSpec { version: 6, ..spec }, 1);
     next.acknowledge(6, &Ranges::from_iter([1]));
     writeln!(log, "the next adopts {}, starts {:?}", next.adopt(parts), names(&next.start(3)))
         .unwrap();
     writeln!(log, "0/0 by 6: {:?}", next.fill(at(0, 0), sample(0, 6))).unwrap();
-    pulled(&mut log, &mut next, 6, &[1]);
-    pulled(&mut log, &mut next, 6, &[0, 1]);
+    log_pull(&mut log, &mut next, 6, &[1]);
+    log_pull(&mut log, &mut next, 6, &[0, 1]);
     insta::assert_snapshot!(log);
 }
 
+/// Returns each slot as group/index.
 fn names(slots: &[Slot]) -> Vec<String> {
     slots.iter().map(|slot| format!("{}/{}", slot.group, slot.index)).collect()
 }
 
-fn held(groups: &[mulberrycourse::decide::Group]) -> Vec<String> {
+/// Returns the samples of some groups, each with its oldest version.
+fn describe_samples(groups: &[mulberrycourse::decide::Group]) -> Vec<String> {
     let name = |group, s: &Sample| format!("{group}/{} by {:?}", s.index, s.oldest());
     groups.iter().flat_map(|g| g.samples.iter().map(move |s| name(g.group, s))).collect()
 }
 
-fn pulled(log: &mut String, step: &mut Step, version: u64, have: &[u32]) {
+/// Logs a pull of a trainer that is at this version and has these groups.
+fn log_pull(log: &mut String, step: &mut Step, version: u64, have: &[u32]) {
     step.acknowledge(version, &have.iter().copied().collect());
-    let ready = held(&step.ready_groups(9));
+    let ready = describe_samples(&step.ready_groups(9));
     writeln!(log, "pull at {version} with {have:?}: {ready:?}, complete: {}", step.all_delivered())
         .unwrap();
 }
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -1,19 +1,23 @@
-//! The text of a sample: complete and labelled, however its bytes are split and its runs end.
+//! Tests that the text of a sample is complete and labelled, however its bytes are split and its runs
+//! end.
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
 use mulberrycourse::decide::job::{Event, EventReader, SampleText, SavedProgress, StreamError};
 use proptest::prelude::*;
 
-const FIELD: &str = "version";
+/// The name of the event field that has the weight version.
+const VERSION_FIELD: &str = "version";
 
+/// Returns the bytes of this many events. The version changes to 2 at event `changes_at`.
 fn stream(events: u64, changes_at: Option<u64>) -> String {
     let line = |n: u64| if Some(n) == changes_at { "version: 2\n" } else { "" };
     (1..=events).map(|n| format!("{}id: {n}\ndata: d{n}\n\n", line(n))).collect()
 }
 
+/// Reads the events of a stream whose bytes arrive split at these positions, each modulo the length.
 fn read(text: &str, cuts: &[usize]) -> Vec<Event> {
-    let mut reader = EventReader::new(FIELD);
+    let mut reader = EventReader::new(VERSION_FIELD);
     let mut events = Vec::new();
     let mut from = 0;
     let mut cuts: Vec<usize> = cuts.iter().map(|c| c % (text.len() + 1)).collect();
@@ -36,7 +40,7 @@
 
 proptest! {
     #[test]
-    fn splitting_the_bytes_changes_nothing(cuts in proptest::collection::vec(0_usize..400, 0..9)) {
+    fn split_bytes_give_the_same_events(cuts in proptest::collection::vec(0_usize..400, 0..9)) {
         let wire = stream(12, Some(5));
         let events = read(&wire, &cuts);
         prop_assert_eq!(events.len(), 12);
@@ -91,8 +95,8 @@
     for wrong in [vec![0, 2], vec![0, 0], vec![1]] {
         let mut text = SampleText::default();
         text.set_version(Some(1));
-        let failed = wrong.iter().find_map(|i| text.push(&events[*i], |_| true).err());
-        assert!(matches!(failed, Some(StreamError::OutOfOrder { .. })), "{wrong:?}");
+        let error = wrong.iter().find_map(|i| text.push(&events[*i], |_| true).err());
+        assert!(matches!(error, Some(StreamError::OutOfOrder { .. })), "{wrong:?}");
     }
 }
 
@@ -125,17 +129,17 @@
 #[test]
 fn malformed_events_are_errors() {
     for wire in ["no colon\n\n", "data: x\n\n", "id: 1\nversion: x\n\n", "id: \u{fffd}\n\n"] {
-        let mut reader = EventReader::new(FIELD);
+        let mut reader = EventReader::new(VERSION_FIELD);
         assert_eq!(reader.push(&Bytes::from(wire)), Err(StreamError::Malformed), "{wire:?}");
     }
-    let mut reader = EventReader::new(FIELD);
+    let mut reader = EventReader::new(VERSION_FIELD);
     let endless = Bytes::from(vec![b'x'; 2 << 20]);
     assert_eq!(reader.push(&endless), Err(StreamError::Malformed));
 }
 
 #[test]
 fn data_of_several_lines_is_kept() {
-    let mut reader = EventReader::new(FIELD);
+    let mut reader = EventReader::new(VERSION_FIELD);
     let events = reader.push(&Bytes::from("id: 1\ndata: a\ndata: b\n\n")).unwrap();
     assert_eq!(events[0].data, "a\nb");
 }
--- a/tests/weight_loads.rs
+++ b/tests/weight_loads.rs
@@ -1,4 +1,5 @@
-//! Weight loads: as many as a model's share of the replicas needs, never too many at once.
+//! Tests of weight loads: as many as a model's share of the replicas needs, and a bounded number at
+//! once.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -26,12 +27,12 @@
     models.iter().map(|m| (Name::from(*m), version)).collect()
 }
 
-/// Weights of models whose steps bring equal work.
+/// Returns the weights of models whose steps bring equal work.
 fn equal_weights(models: &[&str]) -> BTreeMap<Name, u64> {
     model_weights(&announced(models, 1), &BTreeMap::new())
 }
 
-/// The number of replicas that each model has.
+/// Returns the number of replicas that each model has.
 fn counts(shares: &BTreeMap<Name, u64>, replicas: &[ReplicaWeights]) -> Vec<usize> {
     assign_replicas(shares, replicas).values().map(Vec::len).collect()
 }
@@ -78,8 +79,8 @@
     assert_eq!(loads, 2);
 }
 
-/// A step that differs a little from the last one makes no replica change its model, which would
-/// cost a load.
+/// A step that differs a little from the previous one makes no replica change its model, because
+/// each change needs a load.
 #[test]
 fn varying_estimates_move_no_replica() {
     let model = Name::from("a");
