--- a/src/error/kind.rs
+++ b/src/error/kind.rs
@@ -2,73 +2,73 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Why a request did not get the answer that it asked for.
+/// Why a request failed or was refused.
 ///
 /// Every refusal that a caller, trainer or operator can receive is one of
-/// these; [`super::ErrorResponse`] says how each is told. Metrics count by kind.
+/// these; [`super::ErrorResponse`] says how each is reported. Metrics count refusals by kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// The request does not parse, or lacks a field.
+    /// The request does not parse, or a field is missing.
     BadRequest,
-    /// The body is larger than the node takes.
+    /// The body is larger than the node accepts.
     BodyTooLarge,
-    /// The content type is not the one that the path takes.
+    /// The content type is not the one that the path accepts.
     UnsupportedMedia,
-    /// No organisation holds the key that the request came with.
+    /// The API key of the request belongs to no organisation.
     UnknownKey,
-    /// No such path.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take this method.
+    /// The path does not accept this method.
     WrongMethod,
-    /// The bundle in force names no such service.
+    /// The active bundle has no such service.
     UnknownService,
-    /// The bundle in force names no such trainer.
+    /// The active bundle has no such trainer.
     UnknownTrainer,
-    /// This node does not hold the step: submit it again.
+    /// This node does not hold the step; the trainer submits it again.
     UnknownStep,
-    /// No bundle is in force yet.
+    /// The node has no active bundle yet.
     NoBundle,
     /// The service's queue is full.
     QueueFull,
-    /// The caller has more waiting than its share allows.
+    /// The caller has more requests waiting than its share allows.
     OverShare,
-    /// The answer could not be there before the deadline.
+    /// The response is not expected before the deadline.
     DeadlineUnreachable,
     /// The deadline passed while the request waited.
     DeadlinePassed,
-    /// No upstream of the service takes work now.
+    /// No upstream of the service accepts work at the moment.
     NoUpstream,
-    /// The node is draining and takes no new work.
+    /// The node is draining and accepts no new work.
     Draining,
-    /// The retry budget is spent and the last attempt did not run.
+    /// The retry budget is used up and the last attempt did not run.
     RetriesSpent,
     /// The upstream may or may not have run the request.
     OutcomeUnknown,
-    /// The upstream's answer broke off and can't be continued.
+    /// The upstream's response was cut short and can't be resumed.
     Truncated,
-    /// The claim under the idempotency key can't be recorded now.
+    /// The claim for the idempotency key can't be recorded at the moment.
     ClaimUnavailable,
-    /// A request with this key is under way.
+    /// A request with the same idempotency key is in progress.
     InProgress,
-    /// A request with this key ran; its answer is no longer kept.
+    /// A request with the same idempotency key ran; its response is no longer stored.
     AlreadyRan,
-    /// The key was used with another request.
+    /// The idempotency key was used with a different request.
     KeyReused,
     /// The request crashed several upstreams and is not run again.
     Quarantined,
-    /// The sample would be older than the bound when handed over.
+    /// The sample would exceed the staleness bound when delivered.
     Stale,
-    /// The peer speaks another protocol version.
+    /// The peer uses another protocol version.
     PeerVersion,
-    /// The node has as many connections open as it takes.
+    /// The node has reached its limit of open connections.
     TooManyConnections,
-    /// The node failed in a way that it has no other word for.
+    /// The node failed in a way that no other kind covers.
     Internal,
 }
 
 impl Kind {
-    /// Every kind, in the order of the list.
+    /// Every kind, in declaration order.
     pub const ALL: &[Self] = &[
         Self::BadRequest,
         Self::BodyTooLarge,
@@ -100,7 +100,7 @@
         Self::Internal,
     ];
 
-    /// The kind's name in answers, logs and metrics.
+    /// The kind's name in responses, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
--- a/src/error/mod.rs
+++ b/src/error/mod.rs
@@ -1,4 +1,4 @@
-//! The one closed list of error kinds, and the answer to each.
+//! The closed list of error kinds, and the response to each.
 
 mod kind;
 mod refusal;
--- a/src/error/refusal.rs
+++ b/src/error/refusal.rs
@@ -1,4 +1,4 @@
-//! A refusal: a kind, a detail and when to come back.
+//! Refusals and the problem documents that report them.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 
 use super::{Kind, RunStatus};
 
-/// A final answer that is not the one asked for.
+/// A final error response to a request.
 ///
-/// Whether the request ran is the kind's to say. It can be made less certain by
-/// [`Refusal::with_unknown_outcome`]; nothing makes it more certain:
+/// The kind determines what is known about whether the request ran.
+/// [`Refusal::with_unknown_outcome`] can make this less certain; nothing can make it more
+/// certain:
 ///
 /// ```compile_fail
 /// use mulberrycourse::error::{Kind, Refusal, RunStatus};
@@ -24,17 +25,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{kind}: {detail}")]
 pub struct Refusal {
-    /// Why.
+    /// The kind of error.
     pub kind: Kind,
     run: RunStatus,
-    /// What exactly, for people.
+    /// A description of this particular error, for people.
     pub detail: String,
-    /// When to come back, if that helps.
+    /// How long to wait before a retry, if one may succeed.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal with the kind's own answer.
+    /// Creates a refusal with the run status of its kind.
     pub fn new(kind: Kind, detail: impl Into<String>) -> Self {
         Self { kind, run: kind.response().run, detail: detail.into(), retry_after: None }
     }
@@ -44,18 +45,19 @@
         self.run
     }
 
-    /// The request may have run after all, which the kind is to say.
+    /// Changes the kind, and sets the run status to [`RunStatus::Unknown`]: the request may have
+    /// run after all.
     pub fn with_unknown_outcome(self, kind: Kind) -> Self {
         Self { kind, run: RunStatus::Unknown, ..self }
     }
 
-    /// Says when to come back.
+    /// Sets how long the client should wait before a retry.
     pub fn with_retry_after(mut self, delay: Duration) -> Self {
         self.retry_after = Some(delay);
         self
     }
 
-    /// The problem document (RFC 9457) of this refusal.
+    /// Returns the problem document (RFC 9457) of this refusal.
     pub fn problem(&self) -> Problem {
         let response = self.kind.response();
         Problem {
@@ -69,21 +71,21 @@
     }
 }
 
-/// A problem document, RFC 9457, with two members of our own.
+/// A problem document (RFC 9457) with the extension members `run` and `retry_after_ms`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// A URN that ends in the kind.
+    /// The URN of the kind, `urn:mulberrycourse:KIND`.
     #[serde(rename = "type")]
     pub kind: String,
-    /// One sentence per kind.
+    /// The description of the kind.
     pub title: String,
-    /// HTTP status.
+    /// The HTTP status.
     pub status: u16,
-    /// What exactly.
+    /// The description of this particular error.
     pub detail: String,
-    /// Whether the request ran.
+    /// What is known about whether the request ran.
     pub run: RunStatus,
-    /// When to come back, in milliseconds.
+    /// How long to wait before a retry, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
--- a/src/error/response.rs
+++ b/src/error/response.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer.
+//! Maps each error kind to the response that reports it.
 
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
@@ -13,12 +13,12 @@
     NotRun,
     /// It may or may not have run.
     Unknown,
-    /// It ran.
+    /// It certainly ran.
     Ran,
 }
 
 impl RunStatus {
-    /// The word used in answers.
+    /// The value used in responses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -28,16 +28,16 @@
     }
 }
 
-/// How a kind is told to the one who asked.
+/// How an error kind is reported to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// HTTP status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Whether the request ran.
+    /// What is known about whether the request ran.
     pub run: RunStatus,
-    /// Whether it is worth asking again later.
+    /// Whether a later retry may succeed.
     pub retryable: bool,
-    /// One sentence for people.
+    /// A one-line description of the kind.
     pub title: &'static str,
 }
 
@@ -51,7 +51,7 @@
 }
 
 impl Kind {
-    /// The answer to this kind.
+    /// The response to this kind of error.
     pub fn response(self) -> ErrorResponse {
         use RunStatus::{NotRun, Ran, Unknown};
         use StatusCode as S;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! mulberrycourse: a rollout service for reinforcement learning.
 //!
 //! Trainers get complete, fresh and correctly labelled sample groups; live
-//! callers get whole and timely answers from the same engines. The decisions
-//! stand in [`decide`], pure and without I/O; [`node`] and [`entry`] are the shells around them: the first where
-//! nodes talk to each other, the second where a store holds all that lasts.
+//! callers get complete and timely responses from the same engines. The decision logic
+//! is in [`decide`], which does no I/O. [`node`] and [`entry`] are the two kinds of process that
+//! run it: nodes replicate state among themselves, entry nodes keep all lasting state in a
+//! key-value store.
 
 pub mod bundle;
 pub mod cli;
@@ -19,8 +20,8 @@
 
 use std::sync::Arc;
 
-/// A shared immutable name: of a service, caller, trainer, VM or zone.
+/// A cheaply cloned, immutable name of a service, caller, trainer, VM or zone.
 pub type Name = Arc<str>;
 
-/// A moment, as the time since the process's clock started.
+/// A point in time, as the duration since the process's clock started.
 pub type Moment = std::time::Duration;
--- a/src/logs.rs
+++ b/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event.
+//! Logging setup: one line of key=value pairs for each event.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,34 +13,35 @@
 use tracing_subscriber::layer::{Context, Filter};
 use tracing_subscriber::prelude::*;
 
-/// A filter that does not parse.
+/// A log filter that does not parse.
 #[derive(Debug, thiserror::Error)]
 #[error("log level {filter}: {reason}")]
 pub struct InvalidLogFilter {
-    /// The filter.
+    /// The filter as it was given.
     pub filter: String,
-    /// What is wrong.
+    /// Why it is invalid.
     pub reason: String,
 }
 
-/// Checks a filter.
+/// Checks that a log filter parses.
 pub fn check_filter(level: &str) -> Result<(), InvalidLogFilter> {
     filter(level).map(drop)
 }
 
-/// Starts logging on standard error at a level, or by a filter such as `mulberrycourse=debug`.
+/// Starts logging to standard error at a level, or by a filter such as `mulberrycourse=debug`.
 pub fn start(level: &str) -> Result<(), InvalidLogFilter> {
     start_with_writer(level, std::io::stderr)
 }
 
-/// The same on another writer.
+/// Starts logging to `writer`. If logging has already started in this process, this call has no
+/// effect.
 pub fn start_with_writer<W>(level: &str, writer: W) -> Result<(), InvalidLogFilter>
 where
     W: for<'a> MakeWriter<'a> + Send + Sync + 'static,
 {
     let filter = filter(level)?;
     let lines = tracing_logfmt::builder().layer().with_writer(writer);
-    // A second start in one process keeps the first.
+    // Fails only if a subscriber is already set; that one stays.
     let _ = tracing_subscriber::registry()
         .with(lines.with_filter(RateLimit::default()).with_filter(filter))
         .try_init();
@@ -48,60 +49,63 @@
 }
 
 fn filter(level: &str) -> Result<EnvFilter, InvalidLogFilter> {
-    let bad = |reason: String| InvalidLogFilter { filter: level.to_owned(), reason };
-    let filter = EnvFilter::try_new(level).map_err(|e| bad(e.to_string()))?;
-    // A word that is no level parses as the name of a module, and nothing would be logged.
+    let invalid = |reason: String| InvalidLogFilter { filter: level.to_owned(), reason };
+    let filter = EnvFilter::try_new(level).map_err(|e| invalid(e.to_string()))?;
+    // A misspelled level would parse as the name of a module, and nothing would be logged.
     let words = level.split(',').map(str::trim);
     let levels = ["off", "error", "warn", "info", "debug", "trace"];
     match words.into_iter().find(|w| !w.contains('=') && !levels.contains(w)) {
         None => Ok(filter),
-        Some(word) => Err(bad(format!("{word:?} is none of: {}", levels.join(", ")))),
+        Some(word) => Err(invalid(format!("{word:?} is none of: {}", levels.join(", ")))),
     }
 }
 
-/// Lines of one place in the code in a second; more are left out and counted. A hundred
-/// samples of a step may end at once; a fault that says the same for each request of an
-/// overload must not cost the processor that the requests need.
-const BUDGET: u32 = 200;
-/// The time that a budget is for.
-const SECOND: Duration = Duration::from_secs(1);
-/// Lines that wait for a reader of the log; more are left out.
-const WAITING: usize = 4_096;
+/// Maximum number of lines that one call site logs per [`RATE_WINDOW`]; further lines are dropped
+/// and counted. A hundred samples of a step may end at the same time and are all logged, but a
+/// fault that repeats for each request of an overload must not take the processor time that the
+/// requests need.
+const MAX_LINES_PER_WINDOW: u32 = 200;
+/// Length of the window in which the lines of a call site are counted.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// Maximum number of lines buffered for standard output; further lines are dropped.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// How many lines were left out for their number.
+/// Returns how many lines the rate limit has dropped since the process started.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// A writer on standard output that never blocks: lines wait for a thread of their own, and
-/// are left out once too many do. The guard writes what waits when it is dropped.
+/// Returns a writer to standard output that never blocks. A separate thread writes the lines;
+/// once [`MAX_BUFFERED_LINES`] are buffered, further lines are dropped. Dropping the guard
+/// flushes the buffer.
 pub fn stdout_writer() -> (NonBlocking, WorkerGuard) {
-    let builder = NonBlockingBuilder::default().lossy(true).buffered_lines_limit(WAITING);
+    let builder =
+        NonBlockingBuilder::default().lossy(true).buffered_lines_limit(MAX_BUFFERED_LINES);
     builder.finish(std::io::stdout())
 }
 
-/// Lets through so many lines a second of each place in the code.
+/// A log filter that limits how many lines each call site logs per second.
 #[derive(Debug, Default)]
 pub struct RateLimit {
-    spent: Mutex<HashMap<Identifier, (Instant, u32)>>,
+    line_counts: Mutex<HashMap<Identifier, (Instant, u32)>>,
 }
 
 impl RateLimit {
-    /// Whether a line of this place may be written at this moment.
-    pub fn allow(&self, place: Identifier, now: Instant) -> bool {
-        let mut spent = self.spent.lock();
-        let (since, count) = spent.entry(place).or_insert((now, 0));
-        if now.saturating_duration_since(*since) >= SECOND {
+    /// Counts a line of a call site and returns whether it may be logged.
+    pub fn allow(&self, callsite: Identifier, now: Instant) -> bool {
+        let mut line_counts = self.line_counts.lock();
+        let (since, count) = line_counts.entry(callsite).or_insert((now, 0));
+        if now.saturating_duration_since(*since) >= RATE_WINDOW {
             (*since, *count) = (now, 0);
         }
         *count += 1;
-        let fits = *count <= BUDGET;
-        if !fits {
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+        let allowed = *count <= MAX_LINES_PER_WINDOW;
+        if !allowed {
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
-        fits
+        allowed
     }
 }
 
--- a/src/metrics/entry_metrics.rs
+++ b/src/metrics/entry_metrics.rs
@@ -1,4 +1,4 @@
-//! The counters of an entry process, for `/metrics`.
+//! The metrics of an entry node, served at `/metrics`.
 
 use std::sync::atomic::AtomicI64;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 use super::labels::KindLabel;
 use super::metrics::encode_text;
-use super::process::Process;
+use super::process::ProcessCollector;
 use super::{Direction, Traffic};
 use crate::edge::duty::DutyOutcome;
 use crate::edge::replica::OrderOutcome;
@@ -22,21 +22,21 @@
 /// How an attempt at a replica ended, for requests and for samples.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum AttemptEnd {
-    /// With a whole answer.
+    /// With a complete response.
     Answered,
-    /// The replica ran it and failed.
+    /// The replica ran it and it failed.
     Failed,
-    /// No connection.
+    /// No connection could be opened.
     Unsent,
-    /// The replica refused it: full, or loading weights.
+    /// The replica refused it because it was full or loading weights.
     NotRun,
-    /// Another incarnation or version was there.
+    /// Another incarnation of the replica or another weight version answered.
     Stranger,
-    /// It broke off, or no sign came in time.
+    /// The connection broke, or nothing was received in time.
     Broken,
-    /// Another replica was faster.
+    /// It was abandoned because another replica is faster.
     Slow,
-    /// The events did not fit what was there.
+    /// Its events did not continue the text received before.
     Fault,
 }
 
@@ -45,108 +45,108 @@
 pub enum SampleEnd {
     /// With a text and a score.
     Completed,
-    /// Given up.
+    /// It was given up.
     Dead,
 }
 
-/// What a job went through here.
+/// An event in the life cycle of a job at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum JobEvent {
-    /// Accepted from a trainer.
+    /// It was accepted from a trainer.
     Accepted,
-    /// Not kept.
+    /// It was refused and not stored.
     Refused,
-    /// It may be kept.
+    /// The outcome of storing it is unknown.
     Unsure,
-    /// Taken over from a home that was gone.
+    /// This node took it over from an owner that had gone.
     Taken,
-    /// Handed over as this process left.
+    /// It was handed over because this process shuts down.
     HandedOver,
-    /// Another node is home.
+    /// Another node owns it now.
     Lost,
-    /// Every sample listed.
+    /// Every sample has a result.
     Complete,
-    /// Ended by its trainer.
+    /// Its trainer ended it.
     Ended,
 }
 
-/// A call to the store.
+/// The operation of a call to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum StoreCall {
-    /// A key.
+    /// Reading a key.
     Get,
-    /// A prefix.
+    /// Reading the keys with a prefix.
     Range,
-    /// A watch.
+    /// Watching a prefix.
     Watch,
-    /// A write.
+    /// A transaction that writes.
     Txn,
-    /// A new lease.
+    /// Granting a lease.
     Grant,
-    /// A renewal.
+    /// Renewing a lease.
     Keep,
-    /// The end of a lease.
+    /// Revoking a lease.
     End,
 }
 
-/// How it ended.
+/// How a call to the store ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum StoreEnd {
-    /// With an answer.
+    /// With a response.
     Answered,
-    /// Nothing was done.
+    /// The store did nothing.
     Refused,
-    /// It may have been done.
+    /// The store may have done it.
     Unknown,
-    /// The history was gone.
+    /// The revision asked for was already compacted.
     Compacted,
 }
 
-/// What a call to the store is about.
+/// The data that a call to the store is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum StorePurpose {
-    /// The configuration.
+    /// The routes, which are the configuration.
     Routes,
-    /// The versions that trainers name.
+    /// The weight versions that trainers name.
     Versions,
-    /// The machines that are to be emptied.
+    /// Requests of operators to empty a machine.
     Retirements,
     /// The list of replicas.
     Replicas,
-    /// Nodes.
+    /// The list of nodes.
     Nodes,
-    /// The holder of orders.
+    /// The leader, which gives orders to replicas.
     Holder,
-    /// Where jobs are.
+    /// The job records, which name the owner of each job.
     Homes,
-    /// What jobs were submitted with.
+    /// The specifications of submitted jobs.
     Submissions,
-    /// Results of jobs.
+    /// The results of jobs.
     Results,
-    /// Unfinished texts.
+    /// The texts of unfinished samples.
     Texts,
     /// Usage reports.
     Usage,
-    /// The replicas that are ordered.
+    /// The number of replicas ordered.
     Scale,
     /// This node's lease.
     Lease,
-    /// Something else.
+    /// Any other data.
     Other,
 }
 
-/// What entry nodes ask each other for.
+/// The purpose of a request from one entry node to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum PeerPurpose {
-    /// Submissions.
+    /// Submitting jobs.
     Submit,
-    /// Reads of results.
+    /// Reading results.
     Read,
-    /// Changes.
+    /// Following changes of the store.
     Follow,
-    /// Calls to the store.
+    /// Calling the store through another node.
     Store,
-    /// Counts of usage.
+    /// Sharing usage counts.
     Usage,
 }
 
@@ -161,13 +161,13 @@
 
 label!(AttemptLabel, end: AttemptEnd);
 label!(SampleLabel, end: SampleEnd);
-label!(JobLabel, step: JobEvent);
+label!(JobEventLabel, step: JobEvent);
 label!(OrderLabel, result: OrderOutcome);
 label!(DutyLabel, result: DutyOutcome);
-label!(UseLabel, purpose: PeerPurpose);
+label!(PeerPurposeLabel, purpose: PeerPurpose);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct PeerLabel {
+struct PeerTrafficLabel {
     purpose: PeerPurpose,
     way: Direction,
 }
@@ -179,7 +179,7 @@
     purpose: StorePurpose,
 }
 
-/// Everything that an entry process counts.
+/// The counters, gauges and histograms of an entry node.
 #[derive(Debug)]
 pub struct EntryMetrics {
     registry: Mutex<Registry>,
@@ -187,27 +187,27 @@
     attempts: Family<AttemptLabel, Counter>,
     sample_attempts: Family<AttemptLabel, Counter>,
     samples: Family<SampleLabel, Counter>,
-    jobs: Family<JobLabel, Counter>,
+    jobs: Family<JobEventLabel, Counter>,
     orders: Family<OrderLabel, Counter>,
     usage_reports: Family<DutyLabel, Counter>,
     scale_orders: Family<DutyLabel, Counter>,
     store_calls: Family<StoreLabel, Counter>,
-    peer_bytes: Family<PeerLabel, Counter>,
-    peer_messages: Family<PeerLabel, Counter>,
-    peer_failures: Family<UseLabel, Counter>,
+    peer_bytes: Family<PeerTrafficLabel, Counter>,
+    peer_messages: Family<PeerTrafficLabel, Counter>,
+    peer_failures: Family<PeerPurposeLabel, Counter>,
     store_seconds: Histogram,
     request_seconds: Histogram,
-    /// Jobs that run here.
+    /// Jobs that this node runs.
     pub open_jobs: Gauge<i64, AtomicI64>,
-    /// The version of the configuration in force; 0 for none.
+    /// The version of the active routes; 0 if there are none.
     pub routes_version: Gauge<i64, AtomicI64>,
-    /// Log lines that were left out for their number.
+    /// Log lines that the rate limit dropped.
     pub dropped_lines: Gauge<i64, AtomicI64>,
 }
 
 impl Default for EntryMetrics {
     fn default() -> Self {
-        // From 1 ms in steps of two to 16 s: an answer of the store to the longest request.
+        // Bounds double from 1 ms to 16 s, to cover a fast store call and the longest request.
         let seconds = || Histogram::new(exponential_buckets(0.001, 2.0, 15));
         let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("mulberry")),
@@ -239,36 +239,44 @@
 
 impl EntryMetrics {
     fn register(&self) {
-        let mut all = self.registry.lock();
-        all.register("refusals", "Requests refused, by kind", self.refusals.clone());
-        all.register("attempts", "Attempts at requests, by end", self.attempts.clone());
+        let mut registry = self.registry.lock();
+        registry.register("refusals", "Requests refused, by kind", self.refusals.clone());
+        registry.register("attempts", "Attempts at requests, by end", self.attempts.clone());
         let help = "Attempts at samples, by end";
-        all.register("sample_attempts", help, self.sample_attempts.clone());
-        all.register("samples", "Samples that ended here", self.samples.clone());
-        all.register("jobs", "What jobs went through here", self.jobs.clone());
-        all.register("orders", "Orders given, by result", self.orders.clone());
-        all.register("usage_reports", "Usage reports sent, by result", self.usage_reports.clone());
-        all.register("scale_orders", "Orders of replicas, by result", self.scale_orders.clone());
-        all.register(
+        registry.register("sample_attempts", help, self.sample_attempts.clone());
+        registry.register("samples", "Samples that ended here", self.samples.clone());
+        registry.register("jobs", "What jobs went through here", self.jobs.clone());
+        registry.register("orders", "Orders given, by result", self.orders.clone());
+        registry.register(
+            "usage_reports",
+            "Usage reports sent, by result",
+            self.usage_reports.clone(),
+        );
+        registry.register(
+            "scale_orders",
+            "Orders of replicas, by result",
+            self.scale_orders.clone(),
+        );
+        registry.register(
             "store_calls",
             "Calls to the store, by end and purpose",
             self.store_calls.clone(),
         );
         let help = "Bytes between nodes, by purpose and way";
-        all.register("peer_bytes", help, self.peer_bytes.clone());
+        registry.register("peer_bytes", help, self.peer_bytes.clone());
         let help = "Messages between nodes, by purpose and way";
-        all.register("peer_messages", help, self.peer_messages.clone());
+        registry.register("peer_messages", help, self.peer_messages.clone());
         let help = "Requests to other nodes that ended without a reply, by purpose";
-        all.register("peer_given_up", help, self.peer_failures.clone());
+        registry.register("peer_given_up", help, self.peer_failures.clone());
         let help = "Time of answered calls to the store, watches aside";
-        all.register("store_seconds", help, self.store_seconds.clone());
+        registry.register("store_seconds", help, self.store_seconds.clone());
         let help = "Time from a request's head to the head of its answer";
-        all.register("request_seconds", help, self.request_seconds.clone());
-        all.register("open_jobs", "Jobs that run here", self.open_jobs.clone());
-        all.register("routes_version", "Configuration in force", self.routes_version.clone());
+        registry.register("request_seconds", help, self.request_seconds.clone());
+        registry.register("open_jobs", "Jobs that run here", self.open_jobs.clone());
+        registry.register("routes_version", "Configuration in force", self.routes_version.clone());
         let help = "Log lines left out for their number";
-        all.register("log_lines_dropped", help, self.dropped_lines.clone());
-        all.register_collector(Box::new(Process));
+        registry.register("log_lines_dropped", help, self.dropped_lines.clone());
+        registry.register_collector(Box::new(ProcessCollector));
     }
 
     /// Counts a refusal.
@@ -276,42 +284,43 @@
         self.refusals.get_or_create(&KindLabel { kind }).inc();
     }
 
-    /// Counts an attempt at a request.
+    /// Counts an attempt at a request by how it ended.
     pub fn count_attempt(&self, end: AttemptEnd) {
         self.attempts.get_or_create(&AttemptLabel { end }).inc();
     }
 
-    /// Counts an attempt at a sample.
+    /// Counts an attempt at a sample by how it ended.
     pub fn count_sample_attempt(&self, end: AttemptEnd) {
         self.sample_attempts.get_or_create(&AttemptLabel { end }).inc();
     }
 
-    /// Counts a sample.
+    /// Counts a sample by how it ended.
     pub fn count_sample(&self, end: SampleEnd) {
         self.samples.get_or_create(&SampleLabel { end }).inc();
     }
 
-    /// Counts a step of a job.
+    /// Counts an event of a job.
     pub fn count_job_event(&self, step: JobEvent) {
-        self.jobs.get_or_create(&JobLabel { step }).inc();
+        self.jobs.get_or_create(&JobEventLabel { step }).inc();
     }
 
-    /// Counts an order.
+    /// Counts a weight order by its outcome.
     pub fn count_order(&self, result: OrderOutcome) {
         self.orders.get_or_create(&OrderLabel { result }).inc();
     }
 
-    /// Counts a usage report.
+    /// Counts a usage report by its outcome.
     pub fn count_usage_report(&self, result: DutyOutcome) {
         self.usage_reports.get_or_create(&DutyLabel { result }).inc();
     }
 
-    /// Counts an order of replicas.
+    /// Counts an order to change the number of replicas by its outcome.
     pub fn count_scale_order(&self, result: DutyOutcome) {
         self.scale_orders.get_or_create(&DutyLabel { result }).inc();
     }
 
-    /// Counts a call to the store; `took` for one that was to be answered at once.
+    /// Counts a call to the store. `took` is the duration of an answered call; none for a watch,
+    /// which waits for changes.
     pub fn count_store_call(
         &self,
         call: StoreCall,
@@ -325,24 +334,25 @@
         }
     }
 
-    /// The counters of what nodes ask each other for.
+    /// Returns the traffic counters for one purpose of requests between nodes.
     pub fn peer_traffic(&self, purpose: PeerPurpose) -> Traffic {
-        let bytes = |way| self.peer_bytes.get_or_create(&PeerLabel { purpose, way }).clone();
-        let messages = |way| self.peer_messages.get_or_create(&PeerLabel { purpose, way }).clone();
+        let bytes = |way| self.peer_bytes.get_or_create(&PeerTrafficLabel { purpose, way }).clone();
+        let messages =
+            |way| self.peer_messages.get_or_create(&PeerTrafficLabel { purpose, way }).clone();
         Traffic::new(bytes, messages)
     }
 
     /// Counts a request to another node that ended without a reply.
     pub fn count_peer_failure(&self, purpose: PeerPurpose) {
-        self.peer_failures.get_or_create(&UseLabel { purpose }).inc();
+        self.peer_failures.get_or_create(&PeerPurposeLabel { purpose }).inc();
     }
 
-    /// A request has its answer.
+    /// Records the time from receiving a request to the head of its response.
     pub fn observe_request(&self, took: Duration) {
         self.request_seconds.observe(took.as_secs_f64());
     }
 
-    /// The text that `/metrics` answers.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text_format(&self) -> String {
         encode_text(&self.registry)
     }
--- a/src/metrics/labels.rs
+++ b/src/metrics/labels.rs
@@ -1,36 +1,36 @@
-//! What counters are told apart by: closed sets, each with the list of all.
+//! Label values of the metrics: closed sets, each with a list of all values.
 
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue, LabelValueEncoder};
 
 use crate::decide::OrderReason;
 use crate::error::Kind;
 
-/// Why an attempt was made again.
+/// Why a request was retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum RetryReason {
-    /// The last one was not sent.
+    /// The last attempt was not sent.
     Unsent,
-    /// The upstream refused the last one.
+    /// The upstream refused the last attempt.
     Refused,
-    /// The last one broke off, and the request may be repeated.
+    /// The last attempt was interrupted, and the request may be repeated.
     Unknown,
 }
 
 impl RetryReason {
-    /// Every reason: each is counted from 0 on.
+    /// Every reason; each has a counter that starts at 0.
     pub const ALL: &[Self] = &[Self::Unsent, Self::Refused, Self::Unknown];
 }
 
-/// What a call to the platform was for.
+/// The purpose of a call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum PlatformPurpose {
     /// Reading or watching the bundle.
     Bundle,
-    /// Claims of requests that run at most once.
+    /// Reading or writing claims of requests that run at most once.
     Claim,
-    /// The list of VMs.
+    /// Reading the list of VMs.
     Vms,
-    /// This node's own entry.
+    /// Writing this node's own entry.
     Node,
 }
 
@@ -39,16 +39,16 @@
     pub const ALL: &[Self] = &[Self::Bundle, Self::Claim, Self::Vms, Self::Node];
 }
 
-/// Why an engine was ordered, or was not.
+/// Why an engine got a weight order, or that it refused one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum OrderCause {
-    /// It was behind the bundle.
+    /// Its weight version was behind the bundle.
     Rollout,
-    /// A swap had failed partway.
+    /// A weight swap had failed partway.
     Repair,
-    /// It had left the wanted version.
+    /// It no longer served its target version.
     Correction,
-    /// It refused: it had taken a later order.
+    /// It refused the order because it had accepted a later one.
     Fenced,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl From<OrderReason> for OrderCause {
-    fn from(cause: OrderReason) -> Self {
-        match cause {
+    fn from(reason: OrderReason) -> Self {
+        match reason {
             OrderReason::Rollout => Self::Rollout,
             OrderReason::Repair => Self::Repair,
             OrderReason::Correction => Self::Correction,
@@ -67,20 +67,20 @@
     }
 }
 
-/// What control traffic was for. Peer messages have a purpose each.
+/// The purpose of control traffic. Each kind of peer message has one purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum ControlPurpose {
-    /// Requests to the platform and its answers.
+    /// Requests to the platform and its responses.
     Platform,
-    /// Load reports of engines, and orders to them.
+    /// Status reports of engines, and orders to them.
     Order,
-    /// Membership, between nodes.
+    /// Membership gossip between nodes.
     Hello,
-    /// The bundle, between nodes.
+    /// The bundle, exchanged between nodes.
     Bundle,
-    /// Claims of calls that run at most once, between nodes.
+    /// Claims of calls that run at most once, exchanged between nodes.
     Claim,
-    /// Requests that may have crashed an upstream, between nodes.
+    /// Requests that may have crashed an upstream, reported between nodes.
     Quarantine,
 }
 
@@ -90,33 +90,33 @@
         &[Self::Platform, Self::Order, Self::Hello, Self::Bundle, Self::Claim, Self::Quarantine];
 }
 
-/// Which way bytes went.
+/// The direction of traffic, as seen from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Direction {
-    /// To this node.
+    /// Received by this node.
     In,
-    /// From this node.
+    /// Sent by this node.
     Out,
 }
 
-/// What a control task does.
+/// A control task of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum ControlTask {
-    /// Follows the bundle.
+    /// Watches the bundle.
     Bundle,
-    /// Talks with the other nodes.
+    /// Exchanges membership messages with the other nodes.
     Members,
-    /// Keeps this node's entry at the platform.
+    /// Maintains this node's entry at the platform.
     Announce,
-    /// Follows the list of VMs.
+    /// Watches the list of VMs.
     Upstreams,
-    /// Gives orders to engines.
+    /// Sends orders to engines.
     Orders,
-    /// Gives up on what waited too long.
+    /// Expires requests that waited too long.
     Tick,
-    /// Commits claims and answers who asks for them.
+    /// Commits claims and answers claim requests.
     Claims,
-    /// Learns of suspects from other nodes.
+    /// Receives reports of suspected requests from other nodes.
     Suspects,
 }
 
@@ -134,28 +134,28 @@
     ];
 }
 
-/// State that a node holds, by kind.
+/// A kind of entry in the state that a node holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum StateKind {
-    /// Other nodes.
+    /// Another node.
     Member,
-    /// Upstream VMs.
+    /// An upstream VM.
     Upstream,
-    /// Requests that wait.
+    /// A request that waits.
     Waiting,
-    /// Attempts in flight.
+    /// An attempt in flight.
     Running,
-    /// Steps of trainers.
+    /// A step of a trainer.
     Step,
-    /// Open connections of callers.
+    /// An open connection of a client.
     Connection,
-    /// Idempotency keys that are held as home.
+    /// An idempotency key that this node owns.
     Claim,
-    /// Claimed calls that are remembered as runner.
+    /// A claimed call that this node runs or ran.
     Attempt,
-    /// Requests that were in flight at a crash.
+    /// A request that was in flight when its upstream crashed.
     Suspect,
-    /// Requests that are refused because they crash upstreams.
+    /// A request that is refused because it crashes upstreams.
     Quarantined,
 }
 
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters of one process, for `/metrics`.
+//! The metrics of a node, served at `/metrics`.
 
 use std::future::Future;
 use std::sync::atomic::AtomicI64;
@@ -12,7 +12,7 @@
 use super::labels::{
     CauseLabel, EntryLabel, KindLabel, ReasonLabel, TaskLabel, TrafficLabel, UseLabel,
 };
-use super::process::Process;
+use super::process::ProcessCollector;
 use super::timed::Seconds;
 use super::{
     ControlPurpose, ControlTask, Direction, OrderCause, PlatformPurpose, RetryReason, StateKind,
@@ -20,7 +20,7 @@
 };
 use crate::error::Kind;
 
-/// Everything that the node counts.
+/// The counters and gauges of a node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
@@ -32,13 +32,14 @@
     control_messages: Family<TrafficLabel, Counter>,
     control_seconds: Family<TaskLabel, Seconds>,
     entries: Family<EntryLabel, Gauge>,
-    /// Number of the bundle in force.
+    /// Number of the active bundle.
     pub bundle_number: Gauge<i64, AtomicI64>,
     /// Requests in flight.
     pub inflight: Gauge<i64, AtomicI64>,
-    /// Samples handed over to trainers.
+    /// Samples delivered to trainers.
     pub samples: Counter,
-    /// Samples that were too old or had no certain label.
+    /// Samples that were not delivered because they were too old or their weight version was
+    /// uncertain.
     pub discarded_samples: Counter,
 }
 
@@ -67,32 +68,40 @@
 
 impl Metrics {
     fn register(&self) {
-        let mut all = self.registry.lock();
-        all.register("refusals", "Final answers that refuse, by kind", self.refusals.clone());
-        all.register("retries", "Attempts made again, by reason", self.retries.clone());
+        let mut registry = self.registry.lock();
+        registry.register("refusals", "Final answers that refuse, by kind", self.refusals.clone());
+        registry.register("retries", "Attempts made again, by reason", self.retries.clone());
         let help = "Calls to the platform, by purpose";
-        all.register("platform_calls", help, self.platform_calls.clone());
-        all.register("orders", "Orders to engines, by cause", self.orders.clone());
+        registry.register("platform_calls", help, self.platform_calls.clone());
+        registry.register("orders", "Orders to engines, by cause", self.orders.clone());
         let help = "Bytes of control bodies and messages, by purpose and way";
-        all.register("control_bytes", help, self.control_bytes.clone());
+        registry.register("control_bytes", help, self.control_bytes.clone());
         let help = "Control bodies and messages, by purpose and way";
-        all.register("control_messages", help, self.control_messages.clone());
+        registry.register("control_messages", help, self.control_messages.clone());
         let help = "Processor time of control tasks, in seconds";
-        all.register("control_seconds", help, self.control_seconds.clone());
-        all.register("state_entries", "Entries of state held here, by kind", self.entries.clone());
-        all.register("bundle_number", "Number of the bundle in force", self.bundle_number.clone());
-        all.register("inflight", "Requests in flight", self.inflight.clone());
-        all.register("samples", "Samples handed over", self.samples.clone());
-        all.register(
+        registry.register("control_seconds", help, self.control_seconds.clone());
+        registry.register(
+            "state_entries",
+            "Entries of state held here, by kind",
+            self.entries.clone(),
+        );
+        registry.register(
+            "bundle_number",
+            "Number of the bundle in force",
+            self.bundle_number.clone(),
+        );
+        registry.register("inflight", "Requests in flight", self.inflight.clone());
+        registry.register("samples", "Samples handed over", self.samples.clone());
+        registry.register(
             "samples_discarded",
             "Samples not handed over",
             self.discarded_samples.clone(),
         );
-        all.register_collector(Box::new(Process));
+        registry.register_collector(Box::new(ProcessCollector));
     }
 
-    /// A counter that is missing reads as one that was never watched: each is there from
-    /// the start.
+    /// Creates every series with the value 0. A series that is missing until its first event
+    /// can't be told from one that is not collected.
     fn start_at_zero(&self) {
         for kind in Kind::ALL.iter().copied() {
             drop(self.refusals.get_or_create(&KindLabel { kind }));
@@ -140,7 +149,7 @@
         self.orders.get_or_create(&CauseLabel { cause }).inc();
     }
 
-    /// The counters of one purpose of control traffic.
+    /// Returns the counters for one purpose of control traffic.
     pub fn traffic(&self, purpose: ControlPurpose) -> Traffic {
         let bytes = |way| self.control_bytes.get_or_create(&TrafficLabel { purpose, way }).clone();
         let messages =
@@ -148,29 +157,29 @@
         Traffic::new(bytes, messages)
     }
 
-    /// Counts the processor time of a control task.
+    /// Wraps a control task so that its processor time is counted.
     pub fn timed<F: Future>(&self, task: ControlTask, future: F) -> Timed<F> {
         Timed::new(future, self.control_seconds.get_or_create(&TaskLabel { task }).clone())
     }
 
-    /// Sets how many entries of a kind are held.
+    /// Sets the number of entries of one kind.
     pub fn set_entry_count(&self, kind: StateKind, count: usize) {
         self.entries.get_or_create(&EntryLabel { kind }).set(count as i64);
     }
 
-    /// Refusals so far, by kind.
+    /// Returns the number of refusals so far, by kind.
     pub fn refusals(&self) -> Vec<(Kind, u64)> {
         let count = |kind| self.refusals.get_or_create(&KindLabel { kind }).get();
         Kind::ALL.iter().map(|kind| (*kind, count(*kind))).collect()
     }
 
-    /// The text that `/metrics` answers.
+    /// Encodes all metrics in the Prometheus text format.
     pub fn text_format(&self) -> String {
         encode_text(&self.registry)
     }
 }
 
-/// A registry in the text format.
+/// Encodes a registry in the Prometheus text format.
 pub(super) fn encode_text(registry: &Mutex<Registry>) -> String {
     let mut text = String::new();
     match prometheus_client::encoding::text::encode(&mut text, &registry.lock()) {
--- a/src/metrics/mod.rs
+++ b/src/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! What the node counts.
+//! Prometheus metrics of nodes and entry nodes.
 
 mod entry_metrics;
 mod labels;
--- a/src/metrics/timed.rs
+++ b/src/metrics/timed.rs
@@ -1,4 +1,4 @@
-//! A future that counts the time that its polls take: the processor time of a
+//! A future that measures the time spent in its polls, which is the processor time of a
 //! task that never blocks.
 
 use std::future::Future;
@@ -9,10 +9,10 @@
 
 use prometheus_client::metrics::counter::Counter;
 
-/// Seconds, as they add up.
+/// A counter of seconds.
 pub(super) type Seconds = Counter<f64, AtomicU64>;
 
-/// A future whose polls are timed.
+/// A future that adds the duration of each of its polls to a counter.
 #[derive(Debug)]
 pub struct Timed<F> {
     future: Pin<Box<F>>,
--- a/src/metrics/traffic.rs
+++ b/src/metrics/traffic.rs
@@ -1,10 +1,10 @@
-//! The bytes of one purpose, both ways.
+//! Counters of the bytes and messages of one purpose, in both directions.
 
 use prometheus_client::metrics::counter::Counter;
 
 use super::Direction;
 
-/// Counts messages and bytes of bodies and messages; heads and framing are not counted.
+/// Counts messages and the bytes of their bodies; headers and framing are not counted.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
     bytes_out: Counter,
@@ -14,7 +14,7 @@
 }
 
 impl Traffic {
-    /// The counters of bytes and of messages, by way.
+    /// Takes the byte and message counters for each direction.
     pub(super) fn new(
         bytes: impl Fn(Direction) -> Counter,
         messages: impl Fn(Direction) -> Counter,
@@ -27,18 +27,18 @@
         }
     }
 
-    /// Bytes received so far.
+    /// Returns the number of bytes received so far.
     pub fn bytes_received(&self) -> u64 {
         self.bytes_in.get()
     }
 
-    /// Counts a message of so many bytes that this node sent.
+    /// Counts a sent message with a body of `bytes` bytes.
     pub fn count_sent(&self, bytes: usize) {
         self.messages_out.inc();
         self.bytes_out.inc_by(bytes as u64);
     }
 
-    /// Counts a message of so many bytes that this node received.
+    /// Counts a received message with a body of `bytes` bytes.
     pub fn count_received(&self, bytes: usize) {
         self.messages_in.inc();
         self.bytes_in.inc_by(bytes as u64);
