--- a/src/bundle/operators.rs
+++ b/src/bundle/operators.rs
@@ -29,12 +29,13 @@
     /// Reads the section `[operators]`: names and public keys.
     pub fn read(section: Section<'_>) -> Result<Self, SettingsError> {
         let mut operators = Self::default();
-        for (name, hex) in section.all() {
-            let key = parse_key(hex).map_err(|e| section.bad(&name, hex, e.to_string()))?;
+        for (name, hex) in section.entries() {
+            let key =
+                parse_key(hex).map_err(|e| section.invalid_value(&name, hex, e.to_string()))?;
             // Two names with one key would let one operator sign off alone.
-            if let Some(other) = operators.name(&key) {
+            if let Some(other) = operators.name_of_key(&key) {
                 let reason = format!("{other} has the same key");
-                return Err(section.bad(&name, hex, reason));
+                return Err(section.invalid_value(&name, hex, reason));
             }
             operators.add(name, key);
         }
@@ -48,7 +49,7 @@
     }
 
     /// The operator with a key.
-    pub fn name(&self, key: &VerifyingKey) -> Option<&Name> {
+    pub fn name_of_key(&self, key: &VerifyingKey) -> Option<&Name> {
         self.keys.iter().find(|(_, k)| *k == key).map(|(name, _)| name)
     }
 
--- a/src/entry/results.rs
+++ b/src/entry/results.rs
@@ -59,7 +59,7 @@
             return;
         }
         if owned.job.lock().all_written() {
-            app.tally.job(JobEvent::Complete);
+            app.tally.count_job_event(JobEvent::Complete);
             tracing::info!(event = "job_complete", job = %id);
             break;
         }
@@ -230,7 +230,7 @@
 
 /// Stops a job that another node owns now.
 pub(super) fn drop_lost_job(app: &App, owned: &OwnedJob, id: &Name) {
-    app.tally.job(JobEvent::Lost);
+    app.tally.count_job_event(JobEvent::Lost);
     tracing::warn!(event = "job_lost", job = %id, "another node is the owner");
     owned.stop.cancel();
     app.owned_jobs.remove(id);
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -110,7 +110,7 @@
             async move {
                 flush(&app, &owned, &id, HANDOVER_WRITE_ATTEMPTS).await;
                 app.owned_jobs.remove(&id);
-                app.tally.job(JobEvent::HandedOver);
+                app.tally.count_job_event(JobEvent::HandedOver);
                 tracing::info!(event = "job_handed_over", job = %id);
             }
         });
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -154,7 +154,7 @@
             let report = UsageReport { window, counts: fixed.counts.clone() };
             *self.app.last_duty.lock() = Some(self.app.now());
             let end = self.app.duties.report_usage(term, report, REPORT_TIMEOUT).await;
-            self.app.tally.usage(end);
+            self.app.tally.count_usage_report(end);
             let fence = self.fencing_token;
             tracing::info!(event = "usage_reported", window, fence, outcome = ?end);
             match end {
--- a/src/node/client_api.rs
+++ b/src/node/client_api.rs
@@ -49,14 +49,14 @@
         let result = route(&self.app, request, from).await;
         self.app.metrics.inflight.dec();
         result.unwrap_or_else(|refusal| {
-            self.app.metrics.refused(refusal.kind);
+            self.app.metrics.count_refusal(refusal.kind);
             tracing::info!(event = "refused", kind = %refusal.kind, detail = refusal.detail);
             problem_response(&refusal)
         })
     }
 
     fn connection_refused(&self, kind: Kind) {
-        self.app.metrics.refused(kind);
+        self.app.metrics.count_refusal(kind);
     }
 }
 
@@ -153,7 +153,7 @@
     let caller = single_header(headers, CALLER_HEADER)?.unwrap_or(ANONYMOUS_CALLER);
     let class = bundle.callers.get(caller).map_or(Class::Live, |c| c.class);
     let wait = match single_header(headers, TIMEOUT_HEADER)? {
-        None => spec.deadline,
+        None => spec.default_deadline,
         Some(ms) => Duration::from_millis(ms.parse().map_err(|_| {
             let detail = format!("{TIMEOUT_HEADER}: {ms:?} is not a number of milliseconds");
             Refusal::new(Kind::BadRequest, detail)
--- a/src/node/completion_api.rs
+++ b/src/node/completion_api.rs
@@ -218,7 +218,7 @@
     }
 
     fn error_event(&self, refusal: &Refusal) -> String {
-        self.app.metrics.refused(refusal.kind);
+        self.app.metrics.count_refusal(refusal.kind);
         let problem = serde_json::to_string(&refusal.problem()).unwrap_or_default();
         format!("event: error\ndata: {problem}\n\n")
     }
--- a/src/node/orders/rollouts.rs
+++ b/src/node/orders/rollouts.rs
@@ -66,7 +66,7 @@
     Some(EngineFleet {
         service: service.name.clone(),
         owners: owners.collect(),
-        chains: SwapChains::new(&service.name, &names, engine.swapping),
+        chains: SwapChains::new(&service.name, &names, engine.swap_percent),
         names,
         engine,
     })
--- a/src/settings/section.rs
+++ b/src/settings/section.rs
@@ -45,14 +45,14 @@
 
     /// The section of that name.
     pub fn section(&self, name: &str) -> Result<Section<'_>, SettingsError> {
-        self.optional(name).ok_or_else(|| SettingsError::MissingSection {
+        self.optional_section(name).ok_or_else(|| SettingsError::MissingSection {
             file: self.file.clone(),
             section: name.to_owned(),
         })
     }
 
     /// The section of that name, if it is there.
-    pub fn optional(&self, name: &str) -> Option<Section<'_>> {
+    pub fn optional_section(&self, name: &str) -> Option<Section<'_>> {
         let keys = self.ini.section(Some(name))?;
         Some(Section {
             file: self.file.clone(),
@@ -63,15 +63,18 @@
     }
 
     /// The sections `[kind name]`, as (name, section).
-    pub fn named<'a>(&'a self, kind: &'a str) -> impl Iterator<Item = (Name, Section<'a>)> + 'a {
+    pub fn named_sections<'a>(
+        &'a self,
+        kind: &'a str,
+    ) -> impl Iterator<Item = (Name, Section<'a>)> + 'a {
         self.ini.sections().flatten().filter_map(move |title| {
             let name = title.strip_prefix(kind)?.strip_prefix(' ')?.trim();
-            Some((Name::from(name), self.optional(title)?))
+            Some((Name::from(name), self.optional_section(title)?))
         })
     }
 
     /// Checks that each section is one of `single`, or starts with a word of `many`.
-    pub fn only(&self, single: &[&str], many: &[&str]) -> Result<(), SettingsError> {
+    pub fn check_sections(&self, single: &[&str], many: &[&str]) -> Result<(), SettingsError> {
         for title in self.ini.sections().flatten() {
             let word = title.split_once(' ').map(|(word, _)| word);
             let known = single.contains(&title) || word.is_some_and(|w| many.contains(&w));
@@ -121,7 +124,7 @@
         T::Err: Display,
     {
         let text = self.required(key)?;
-        text.parse().map_err(|e: T::Err| self.bad(key, text, e.to_string()))
+        text.parse().map_err(|e: T::Err| self.invalid_value(key, text, e.to_string()))
     }
 
     /// The same, with a default.
@@ -137,7 +140,7 @@
     }
 
     /// A number within a range.
-    pub fn within<T>(
+    pub fn in_range<T>(
         &self,
         key: &str,
         range: RangeInclusive<T>,
@@ -152,14 +155,18 @@
             return Ok(value);
         }
         let reason = format!("expected {} to {}", range.start(), range.end());
-        Err(self.bad(key, &value.to_string(), reason))
+        Err(self.invalid_value(key, &value.to_string(), reason))
     }
 
     /// A duration with a unit, such as `250ms` or `5s`.
     pub fn duration(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
         let Some(text) = self.text(key) else { return Ok(default) };
         humantime::parse_duration(text).map_err(|e| {
-            self.bad(key, text, format!("{e}; expected a number with a unit, such as 250ms or 5s"))
+            self.invalid_value(
+                key,
+                text,
+                format!("{e}; expected a number with a unit, such as 250ms or 5s"),
+            )
         })
     }
 
@@ -171,7 +178,9 @@
     {
         let text = self.text(key).unwrap_or_default();
         let items = text.split(',').map(str::trim).filter(|i| !i.is_empty());
-        items.map(|i| i.parse().map_err(|e: T::Err| self.bad(key, i, e.to_string()))).collect()
+        items
+            .map(|i| i.parse().map_err(|e: T::Err| self.invalid_value(key, i, e.to_string())))
+            .collect()
     }
 
     /// A choice of a closed set.
@@ -185,18 +194,18 @@
         let found = set.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
         found.ok_or_else(|| {
             let words: Vec<&str> = set.iter().map(|(word, _)| *word).collect();
-            self.bad(key, text, format!("expected one of: {}", words.join(", ")))
+            self.invalid_value(key, text, format!("expected one of: {}", words.join(", ")))
         })
     }
 
     /// Every key and value, as they stand; for sections with free keys.
-    pub fn all(&self) -> Vec<(Name, &str)> {
+    pub fn entries(&self) -> Vec<(Name, &str)> {
         self.taken.borrow_mut().extend(self.keys.iter().map(|(key, _)| key.to_owned()));
         self.keys.iter().map(|(key, value)| (Name::from(key), value.trim())).collect()
     }
 
     /// The error for a section with too few entries.
-    pub fn few(&self, found: usize, needed: usize) -> SettingsError {
+    pub fn too_few(&self, found: usize, needed: usize) -> SettingsError {
         SettingsError::TooFewEntries {
             file: self.file.clone(),
             section: self.name.clone(),
@@ -206,7 +215,7 @@
     }
 
     /// The error for a value that does not do.
-    pub fn bad(&self, key: &str, value: &str, reason: String) -> SettingsError {
+    pub fn invalid_value(&self, key: &str, value: &str, reason: String) -> SettingsError {
         SettingsError::InvalidValue {
             file: self.file.clone(),
             section: self.name.clone(),
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -9,7 +9,7 @@
 use mulberrycourse::client::TrainerClient;
 use mulberrycourse::decide::{GroupSpec, StepSpec};
 use standins::engine::EngineSettings;
-use standins::fleet::{Fleet, bundle};
+use standins::fleet::{Fleet, bundle_text};
 use tokio::time::Instant;
 
 /// Steps in one run.
@@ -39,7 +39,7 @@
 
 /// Returns a bundle with this number, weight version and idle weight.
 fn bundle_with_idle_weight(number: u64, version: u64, weight: f64) -> String {
-    bundle(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
+    bundle_text(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
 }
 
 fn step_spec(version: u64) -> StepSpec {
@@ -52,29 +52,29 @@
     let settings =
         EngineSettings { token_time: Duration::from_millis(5), ..EngineSettings::default() };
     let fleet = Fleet::spawn(2, 2, settings).await?;
-    fleet.apply(2, &bundle_with_idle_weight(2, 1, weight)).await?;
-    fleet.settled(2).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    fleet.apply_bundle(2, &bundle_with_idle_weight(2, 1, weight)).await?;
+    fleet.wait_until_settled(2).await;
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let began = Instant::now();
     let (mut idle, mut staleness, mut samples, mut doubled) = (Duration::ZERO, 0, 0_u64, 0);
     let mut specs: Vec<StepSpec> = (1..=STEP_COUNT + 1).map(step_spec).collect();
     // The next step is submitted at the version before its own.
     specs.iter_mut().skip(1).for_each(|s| s.version -= 1);
-    let mut current = trainer.resume(1, &specs[0], BTreeMap::new());
+    let mut current = trainer.resume_step(1, &specs[0], BTreeMap::new());
     for step in 1..=STEP_COUNT {
-        trainer.advance(step);
+        trainer.set_version(step);
         let waited = Instant::now();
-        while !current.next().await?.is_empty() {}
+        while !current.next_groups().await?.is_empty() {}
         idle += waited.elapsed();
-        doubled += current.report().doubled;
+        doubled += current.report().duplicates;
         for sample in current.report().groups.values().flat_map(|g| &g.samples) {
             staleness += step - sample.oldest().unwrap_or(step).min(step);
             samples += 1;
         }
-        let mut next = trainer.resume(step + 1, &specs[step as usize], BTreeMap::new());
+        let mut next = trainer.resume_step(step + 1, &specs[step as usize], BTreeMap::new());
         next.prepare().await?;
         tokio::time::sleep(TRAINING_TIME).await;
-        fleet.apply(step + 2, &bundle_with_idle_weight(step + 2, step + 1, weight)).await?;
+        fleet.apply_bundle(step + 2, &bundle_with_idle_weight(step + 2, step + 1, weight)).await?;
         current = next;
     }
     let idle = idle.as_secs_f64() / began.elapsed().as_secs_f64();
--- a/standins/src/experiment/scenario.rs
+++ b/standins/src/experiment/scenario.rs
@@ -156,7 +156,7 @@
     }
 
     fn from_document(name: &str, doc: &Document) -> Result<Self, SettingsError> {
-        doc.only(&["scenario"], &["flow", "trainer", "change"])?;
+        doc.check_sections(&["scenario"], &["flow", "trainer", "change"])?;
         let head = doc.section("scenario")?;
         let kinds = [("engine", true), ("plain", false)];
         let mut scales = head.list("scales")?;
@@ -171,13 +171,13 @@
             uses_engines: engine,
             scales,
             limits: ServiceLimits {
-                max_queued: head.within("queue", 1..=100_000, 1_000)?,
-                max_concurrency: head.within(
+                max_queued: head.in_range("queue", 1..=100_000, 1_000)?,
+                max_concurrency: head.in_range(
                     "concurrency",
                     1..=10_000,
                     if engine { 64 } else { 32 },
                 )?,
-                training_percent: head.within("training_floor", 0..=90, 10)?,
+                training_percent: head.in_range("training_floor", 0..=90, 10)?,
             },
             flows: parse_sections(doc, "flow", parse_flow)?,
             trainers: parse_sections(doc, "trainer", parse_trainer)?,
@@ -204,13 +204,13 @@
     /// Reads all deployments of a file.
     pub fn read_file(path: &Path) -> Result<Vec<Self>, SettingsError> {
         let doc = Document::open(path)?;
-        doc.only(&[], &["deployment"])?;
+        doc.check_sections(&[], &["deployment"])?;
         parse_sections(&doc, "deployment", |name, section| {
             Ok(Self {
                 name,
-                zones: section.within("zones", 1..=100, 3)?,
-                engines: section.within("engines", 1..=10_000, 9)?,
-                plain: section.within("plain", 1..=10_000, 3)?,
+                zones: section.in_range("zones", 1..=100, 3)?,
+                engines: section.in_range("engines", 1..=10_000, 9)?,
+                plain: section.in_range("plain", 1..=10_000, 3)?,
             })
         })
     }
@@ -228,7 +228,7 @@
     parse: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
 ) -> Result<Vec<T>, SettingsError> {
     let mut items = Vec::new();
-    for (name, section) in doc.named(kind) {
+    for (name, section) in doc.named_sections(kind) {
         items.push(parse(name, &section)?);
         section.finish()?;
     }
@@ -243,14 +243,14 @@
         name,
         class: section.choice("class", &classes, Class::Live)?,
         repeat: section.choice("repeat", &repeats, Repeat::Idempotent)?,
-        load: section.within("load", 0.0..=100.0, 0.5)?,
+        load: section.in_range("load", 0.0..=100.0, 0.5)?,
         scaled: section.value_or("scaled", true)?,
-        mean_cost: section.within("cost", 1..=100_000, 1)?,
+        mean_cost: section.in_range("cost", 1..=100_000, 1)?,
         deadline: section.duration("deadline", Duration::from_secs(5))?,
-        weight: section.within("share", 1..=1_000, 1)?,
-        prefix_count: section.within("keys", 0..=1_000_000, 0)?,
-        hot_fraction: section.within("hot", 0.0..=1.0, 0.0)?,
-        max_retries: section.within("returns", 0..=10, 0)?,
+        weight: section.in_range("share", 1..=1_000, 1)?,
+        prefix_count: section.in_range("keys", 0..=1_000_000, 0)?,
+        hot_fraction: section.in_range("hot", 0.0..=1.0, 0.0)?,
+        max_retries: section.in_range("returns", 0..=10, 0)?,
         crashes_upstream: section.value_or("poison", false)?,
     })
 }
@@ -258,12 +258,12 @@
 fn parse_trainer(name: Name, section: &Section<'_>) -> Result<TrainerFlow, SettingsError> {
     Ok(TrainerFlow {
         name,
-        samples: section.within("samples", 1..=100_000, 256)?,
-        group_size: section.within("group", 1..=1_000, 8)?,
-        mean_cost: section.within("cost", 1..=100_000, 256)?,
+        samples: section.in_range("samples", 1..=100_000, 256)?,
+        group_size: section.in_range("group", 1..=1_000, 8)?,
+        mean_cost: section.in_range("cost", 1..=100_000, 256)?,
         training_time: section.duration("train", Duration::from_secs(10))?,
-        weight: section.within("share", 1..=1_000, 1)?,
-        early_fraction: section.within("ahead", 0.0..=1.0, 0.0)?,
+        weight: section.in_range("share", 1..=1_000, 1)?,
+        early_fraction: section.in_range("ahead", 0.0..=1.0, 0.0)?,
         scaled: section.value_or("scaled", false)?,
     })
 }
@@ -282,9 +282,9 @@
         kind: section.choice("kind", &kinds, ChangeKind::Slow)?,
         start: section.duration("at", Duration::from_secs(20))?,
         end: section.duration("until", Duration::from_secs(40))?,
-        upstreams: section.within("upstreams", 0..=10_000, 1)?,
+        upstreams: section.in_range("upstreams", 0..=10_000, 1)?,
         zone: if zone { Some(section.value("zone")?) } else { None },
-        factor: section.within("factor", 0.0..=1_000.0, 10.0)?,
+        factor: section.in_range("factor", 0.0..=1_000.0, 10.0)?,
         flow: section.text("flow").unwrap_or_default().into(),
     })
 }
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -6,13 +6,13 @@
 
 use mulberrycourse::bundle::{AdoptedBundle, Adoption, OfferOrder};
 use proptest::prelude::*;
-use standins::fleet::{Signers, bundle};
+use standins::fleet::{Signers, bundle_text};
 
 /// Verified bundles by number and version, created once: signing is slow without optimisation.
 static BUNDLES: LazyLock<BTreeMap<(u64, u64), AdoptedBundle>> = LazyLock::new(|| {
     let signers = Signers::default();
     let one = |(number, version)| {
-        let envelope = signers.signed(number, &bundle(number, version));
+        let envelope = signers.signed(number, &bundle_text(number, version));
         let bundle = Arc::new(envelope.verify(&signers.operators()).unwrap());
         ((number, version), AdoptedBundle { bundle, envelope: Arc::new(envelope) })
     };
@@ -31,7 +31,7 @@
     assert!(adoption.offer(adopted(6, 1)).is_none());
     assert!(adoption.offer(adopted(7, 1)).is_none());
     assert!(adoption.current().is_none());
-    assert_eq!(adoption.asked().unwrap().bundle.number, 7);
+    assert_eq!(adoption.peers_asked().unwrap().bundle.number, 7);
     assert!(adoption.offer(adopted(6, 1)).is_none());
     assert_eq!(adoption.compare(&adopted(6, 1).envelope), OfferOrder::Earlier);
     assert_eq!(adoption.compare(&adopted(7, 1).envelope), OfferOrder::Same);
@@ -53,7 +53,7 @@
         for (index, (number, version)) in offers.into_iter().enumerate() {
             let mut activated = Vec::new();
             if index == asked {
-                activated.extend(adoption.asked());
+                activated.extend(adoption.peers_asked());
             }
             let offer = adopted(number, version);
             all.push(offer.envelope.order());
--- a/tests/steps.rs
+++ b/tests/steps.rs
@@ -12,8 +12,8 @@
 use mulberrycourse::edge::http::{JsonClient, JsonClientError};
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 use standins::engine::{EngineSettings, Faults};
-use standins::fleet::{Fleet, bundle};
-use standins::trainer::{flat, truth};
+use standins::fleet::{Fleet, bundle_text};
+use standins::trainer::{label_versions, produced_versions};
 
 /// Time limit against a hang; no assertion depends on it.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
@@ -29,8 +29,8 @@
 }
 
 fn assert_complete(report: &StepReport, spec: &StepSpec) {
-    assert_eq!(report.doubled, 0);
-    assert_eq!(report.thin, 0);
+    assert_eq!(report.duplicates, 0);
+    assert_eq!(report.incomplete, 0);
     assert!(report.groups.keys().copied().eq(0..spec.groups.len() as u32));
     for (number, group) in &report.groups {
         let samples = spec.groups[*number as usize].samples;
@@ -53,8 +53,13 @@
     let wait = async {
         loop {
             let mut owners = Vec::new();
-            for node in fleet.callers() {
-                owners.push(AddressBook::homed(vec![node], "coach".into()).get().await.unwrap());
+            for node in fleet.client_addresses() {
+                owners.push(
+                    AddressBook::for_trainer(vec![node], "coach".into())
+                        .next_address()
+                        .await
+                        .unwrap(),
+                );
             }
             if owners.iter().all(|owner| *owner == owners[0]) {
                 return owners[0];
@@ -133,14 +138,14 @@
 async fn home_dies_after_handover() {
     let mut fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
     let at = agreed_owner(&fleet).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(6, 2, 60);
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-    let first = pulling.next().await.unwrap();
+    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
+    let first = pulling.next_groups().await.unwrap();
     assert!(!first.is_empty());
     fleet.nodes.retain(|n| n.client_address() != at);
     let before = started_samples(&fleet);
-    while !pulling.next().await.unwrap().is_empty() {}
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     for group in first {
         let slot = format!("coach/1/{}/0", group.group);
@@ -177,14 +182,14 @@
     agreed_owner(&fleet).await;
     let spec = spec(6, 2, 60);
     let kept = {
-        let trainer = TrainerClient::new("coach".into(), fleet.callers());
-        let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-        let groups = pulling.next().await.unwrap();
+        let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
+        let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
+        let groups = pulling.next_groups().await.unwrap();
         groups.into_iter().map(|g| (g.group, g)).collect::<BTreeMap<u32, Group>>()
     };
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
-    let mut pulling = trainer.resume(1, &spec, kept.clone());
-    while !pulling.next().await.unwrap().is_empty() {}
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
+    let mut pulling = trainer.resume_step(1, &spec, kept.clone());
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     let groups = &pulling.report().groups;
     assert!(kept.iter().all(|(number, group)| groups[number] == *group));
@@ -197,7 +202,7 @@
 async fn home_drains() {
     let fleet = Fleet::spawn(3, 2, slow_engines()).await.unwrap();
     let at = agreed_owner(&fleet).await;
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     // One sample in each group is long, so most of a group is finished long before the group is
     // complete.
     let spec = spec(4, 6, 120);
@@ -209,7 +214,7 @@
         }
         assert!(node.stop().await);
     };
-    let both = async { tokio::join!(trainer.step(1, &spec), drain) };
+    let both = async { tokio::join!(trainer.run_step(1, &spec), drain) };
     let (report, ()) = tokio::time::timeout(TEST_TIMEOUT, both).await.unwrap();
     let report = report.unwrap();
     assert_complete(&report, &spec);
@@ -245,9 +250,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn abandoned_step_is_dropped() {
     let fleet = Fleet::spawn(1, 1, slow_engines()).await.unwrap();
-    let text = bundle(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
-    fleet.apply(2, &text).await.unwrap();
-    fleet.settled(2).await;
+    let text = bundle_text(2, 1).replace("staleness = 2", "staleness = 2\nabandoned = 300ms");
+    fleet.apply_bundle(2, &text).await.unwrap();
+    fleet.wait_until_settled(2).await;
     let at = fleet.nodes[0].client_address();
     submit(at, 1, &spec(1, 1, 100_000), Ranges::default()).await;
     let is_active = async || {
@@ -283,7 +288,7 @@
     let first = pull_unacknowledged(at, 1, 1).await;
     assert!(first[0].samples.iter().all(|s| s.oldest() == Some(1)));
     // The staleness bound is 2, so at version 4 nothing older than version 2 is fresh.
-    fleet.apply(2, &bundle(2, 4)).await.unwrap();
+    fleet.apply_bundle(2, &bundle_text(2, 4)).await.unwrap();
     let second = loop {
         let pulled = pull(at, 1, 4, &[]).await;
         if !pulled.groups.is_empty() {
@@ -314,16 +319,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn trainer_moves_on_under_way() {
     let fleet = Fleet::spawn(2, 2, slow_engines()).await.unwrap();
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(2, 2, 200);
     let moves = async {
         while !fleet.engines.iter().all(|e| e.ledger().values().any(|l| l.len() > 10)) {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        trainer.advance(4);
-        fleet.apply(2, &bundle(2, 4)).await.unwrap();
+        trainer.set_version(4);
+        fleet.apply_bundle(2, &bundle_text(2, 4)).await.unwrap();
     };
-    let (report, ()) = tokio::join!(trainer.step(1, &spec), moves);
+    let (report, ()) = tokio::join!(trainer.run_step(1, &spec), moves);
     let report = report.unwrap();
     assert_complete(&report, &spec);
     let samples = report.groups.values().flat_map(|g| &g.samples);
@@ -339,7 +344,7 @@
     // The node learns from this sample which version the engine serves.
     submit(at, 1, &spec(1, 1, 4), Ranges::default()).await;
     pull_unacknowledged(at, 1, 1).await;
-    let before = fleet.engines[0].started();
+    let before = fleet.engines[0].started_requests();
     submit(at, 2, &StepSpec { version: 5, ..spec(1, 4, 16) }, Ranges::default()).await;
     let pull = PullGroupsRequest {
         version: 5,
@@ -349,8 +354,8 @@
     };
     let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
     assert!(pulled.groups.is_empty());
-    assert_eq!(fleet.engines[0].started(), before);
-    fleet.apply(2, &bundle(2, 5)).await.unwrap();
+    assert_eq!(fleet.engines[0].started_requests(), before);
+    fleet.apply_bundle(2, &bundle_text(2, 5)).await.unwrap();
     let made = loop {
         let pulled: PullGroupsResponse = send(at, Method::POST, "2/pull", &pull).await.unwrap();
         if !pulled.groups.is_empty() {
@@ -366,9 +371,10 @@
 async fn samples_leave_a_slow_engine() {
     let fleet = Fleet::spawn(1, 3, EngineSettings::default()).await.unwrap();
     fleet.engines[0].set_faults(Faults { slowdown: 200, ..Faults::default() });
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(8, 4, 400);
-    let report = tokio::time::timeout(TEST_TIMEOUT, trainer.step(1, &spec)).await.unwrap().unwrap();
+    let report =
+        tokio::time::timeout(TEST_TIMEOUT, trainer.run_step(1, &spec)).await.unwrap().unwrap();
     assert_complete(&report, &spec);
     let started = fleet.engines[0].ledger().len();
     let slow = report.groups.values().flat_map(|g| &g.samples);
@@ -381,7 +387,11 @@
     for group in report.groups.values() {
         for sample in &group.samples {
             let slot = format!("coach/1/{}/{}", group.group, sample.index);
-            assert_eq!(flat(&sample.label), truth(&fleet.engines, &slot), "label of {slot}");
+            assert_eq!(
+                label_versions(&sample.label),
+                produced_versions(&fleet.engines, &slot),
+                "label of {slot}"
+            );
         }
     }
 }
@@ -392,8 +402,8 @@
 async fn next_step_is_begun_early_in_part() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
     let spec = spec(4, 3, 8);
-    let trainer = TrainerClient::new("coach".into(), fleet.callers());
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
+    let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
+    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
     pulling.prepare().await.unwrap();
     let made = async {
         while started_samples(&fleet).len() < 10 || fleet.engines.iter().any(|e| e.running() > 0) {
@@ -402,7 +412,7 @@
     };
     tokio::time::timeout(TEST_TIMEOUT, made).await.unwrap();
     assert_eq!(started_samples(&fleet).len(), 10);
-    while !pulling.next().await.unwrap().is_empty() {}
+    while !pulling.next_groups().await.unwrap().is_empty() {}
     assert_complete(pulling.report(), &spec);
     assert_eq!(started_samples(&fleet).len(), 12);
 }
