--- a/standins/src/engine/engine.rs
+++ b/standins/src/engine/engine.rs
@@ -72,6 +72,7 @@
     pub version: u64,
 }
 
+/// The state behind the lock.
 #[derive(Debug, Default)]
 struct State {
     /// The weight version; none after a failed swap.
@@ -89,10 +90,12 @@
     faults: Faults,
 }
 
+/// What the server, the running requests and the test's handle share.
 #[derive(Debug)]
 struct Shared {
     settings: EngineSettings,
     state: Mutex<State>,
+    /// The server; none while the engine is stopped.
     server: Mutex<Option<Server>>,
     weight_client: JsonClient,
 }
@@ -125,7 +128,7 @@
         self.address
     }
 
-    /// Sets the faults in force.
+    /// Replaces the faults in force.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.state.lock().faults = faults;
     }
--- a/standins/src/kv/schema.rs
+++ b/standins/src/kv/schema.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// The index at the start of a value.
 fn parse_index(value: &[u8]) -> Result<usize, String> {
     let text = std::str::from_utf8(value).map_err(|e| e.to_string())?;
     let first = text.split(' ').next().unwrap_or_default();
--- a/standins/src/kv/service.rs
+++ b/standins/src/kv/service.rs
@@ -23,7 +23,7 @@
 /// How a client's calls fail.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outage {
-    /// Calls are refused and not carried out.
+    /// Calls are refused and not carried out; open watches are cut.
     Refusing,
     /// Calls are neither carried out nor answered; open watches are cut.
     Unresponsive,
@@ -46,7 +46,9 @@
 #[derive(Debug, Clone)]
 pub struct KvService {
     state: Arc<Mutex<KvState>>,
+    /// Counts the changes, to wake waiting watches.
     changed: watch::Sender<u64>,
+    /// Counts the times that all watches were cut.
     cuts: watch::Sender<u64>,
 }
 
--- a/standins/src/kv/state.rs
+++ b/standins/src/kv/state.rs
@@ -11,15 +11,18 @@
 /// What the service stores.
 #[derive(Debug, Default)]
 pub(super) struct KvState {
+    /// The revision of the last change.
     pub revision: u64,
     /// Each key with the lease that it is bound to, 0 for none.
     items: BTreeMap<Name, (KeyValue, u64)>,
+    /// The changes since the last compaction, in order.
     history: Vec<Change>,
     /// The history has no changes up to and including this revision.
     compacted_revision: u64,
     /// When each lease expires.
     leases: BTreeMap<u64, Instant>,
-    next_lease: u64,
+    /// The id of the lease granted last.
+    last_lease: u64,
     /// The largest value, in bytes; none for no limit.
     pub max_value: Option<usize>,
 }
@@ -95,9 +98,9 @@
     }
 
     pub(super) fn grant(&mut self, expires_at: Instant) -> u64 {
-        self.next_lease += 1;
-        self.leases.insert(self.next_lease, expires_at);
-        self.next_lease
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, expires_at);
+        self.last_lease
     }
 
     pub(super) fn renew(&mut self, lease: u64, expires_at: Instant) -> bool {
--- a/standins/src/plain/mod.rs
+++ b/standins/src/plain/mod.rs
@@ -88,7 +88,7 @@
         self.server.address()
     }
 
-    /// Sets the faults in force.
+    /// Replaces the faults in force.
     pub fn set_faults(&self, faults: Faults) {
         *self.shared.faults.lock() = faults;
     }
--- a/standins/src/platform/server.rs
+++ b/standins/src/platform/server.rs
@@ -48,6 +48,7 @@
     writes: u32,
 }
 
+/// The state behind the lock.
 #[derive(Debug, Default)]
 struct Inner {
     store: RevisionStore,
@@ -60,9 +61,11 @@
     rate: CallRate,
 }
 
+/// What the server, the watches and the test's handle share.
 #[derive(Debug)]
 struct Shared {
     inner: Mutex<Inner>,
+    /// Counts changes of keys and faults, to wake the watches.
     changed: watch::Sender<u64>,
     started: Instant,
 }
@@ -89,7 +92,7 @@
         self.server.address()
     }
 
-    /// Sets the faults in force.
+    /// Replaces the faults in force.
     pub fn set_faults(&self, faults: Faults) {
         self.shared.set_faults(faults);
     }
@@ -216,6 +219,7 @@
         Ok(response)
     }
 
+    /// Streams the changes of a range until the client leaves or the platform goes down.
     fn watch(self: &Arc<Self>, watch: WatchRequest) -> ServiceResult {
         let (mut sender, body) = streamed_body(16);
         let shared = self.clone();
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -26,8 +26,11 @@
 /// All keys at all revisions.
 #[derive(Debug, Default)]
 pub struct RevisionStore {
+    /// The revision of the last write.
     revision: u64,
+    /// All states of each key, oldest first.
     keys: BTreeMap<Vec<u8>, Vec<KeyVersion>>,
+    /// All changes, oldest first.
     log: Vec<Change>,
 }
 
--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -23,13 +23,18 @@
 
 /// Time between two events of a stream.
 const EVENT_INTERVAL: Duration = Duration::from_millis(35);
+/// Delay of each call before the replica receives it.
+const NETWORK_DELAY: Duration = Duration::from_millis(1);
 /// How long a plain request runs.
 const PLAIN_RUN_TIME: Duration = Duration::from_millis(25);
 /// How long a load of weights takes.
 const WEIGHT_LOAD_TIME: Duration = Duration::from_millis(900);
+/// Slots of a replica, by its entry.
+const SLOTS_PER_REPLICA: u32 = 8;
 /// Number of events in a text, unless a test sets another.
 const DEFAULT_EVENT_COUNT: u64 = 5;
 
+/// The replicas and their records.
 #[derive(Debug, Default)]
 struct State {
     replicas: BTreeMap<Name, Replica>,
@@ -80,7 +85,7 @@
             },
             service: service.into(),
             zone: "z".into(),
-            slots: 8,
+            slots: SLOTS_PER_REPLICA,
             draining,
             spot: false,
             versions: versions.into_iter().collect(),
@@ -250,7 +255,7 @@
             let Some(behaviour) = fleet.with(&to.id, |r| r.behaviour) else {
                 return Err(CallError::WrongInstance);
             };
-            tokio::time::sleep(Duration::from_millis(1)).await;
+            tokio::time::sleep(NETWORK_DELAY).await;
             match behaviour {
                 Behaviour::Unreachable => {
                     return Err(CallError::Unsent("connection refused".to_owned()));
@@ -301,7 +306,7 @@
     ) -> BoxFuture<'static, Result<ReplicaStatus, CallError>> {
         let (fleet, to) = (self.clone(), to.clone());
         Box::pin(async move {
-            tokio::time::sleep(Duration::from_millis(1)).await;
+            tokio::time::sleep(NETWORK_DELAY).await;
             let status = fleet.with(&to.id, |r| ReplicaStatus {
                 started_ms: r.started_ms,
                 accepted_orders: r.accepted_orders,
@@ -320,7 +325,7 @@
     ) -> BoxFuture<'static, OrderOutcome> {
         let (fleet, to) = (self.clone(), to.id.clone());
         Box::pin(async move {
-            tokio::time::sleep(Duration::from_millis(1)).await;
+            tokio::time::sleep(NETWORK_DELAY).await;
             let Some(delay) = fleet.with(&to, |r| r.order_delay).flatten() else {
                 return fleet.apply_order(&to, &order);
             };
--- a/standins/tests/slope.rs
+++ b/standins/tests/slope.rs
@@ -1,4 +1,4 @@
-//! The fits and the tables of measured slopes.
+//! Tests of the fits of measured costs and of the tables on a page.
 #![allow(clippy::unwrap_used)]
 
 use standins::slope::{Fit, GrowthLaw, Table, refresh_page};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn laws_are_told_apart() {
+fn growth_laws_are_distinguished() {
     let flat = fit(|_| 7.0);
     assert_eq!((flat.law, flat.cost_at(380.0)), (GrowthLaw::Constant, 7.0));
     let line = fit(|x| 100.0 + 3.0 * x);
@@ -19,11 +19,11 @@
     assert_eq!(square.law, GrowthLaw::Power);
     assert!((square.cost_at(380.0) - 288_800.0).abs() < 1.0 && square.relative_error < 1e-9);
     assert!(Fit::fit(&[(4.0, 1.0)]).is_none());
-    // A bent cost is fitted by a line with an error that says so.
+    // A curved cost is fitted by a line, whose error shows that it does not fit.
     assert!(fit(|x| 100.0 * x.sqrt()).relative_error > 0.01);
 }
 
-/// A page gets the tables of the files; the rest of it stays as it is.
+/// The tables of the result files are inserted into a page, whose other text is unchanged.
 #[test]
 fn a_page_is_refreshed() {
     let folder = std::env::temp_dir().join(format!("mulberry-page-{}", std::process::id()));
@@ -38,13 +38,17 @@
     let page = folder.join("page.md");
     std::fs::write(&page, "a\n<!-- slope fleet steady 380 -->\nold\n<!-- end -->\nb\n").unwrap();
     refresh_page(&page, &folder).unwrap();
-    let once = std::fs::read_to_string(&page).unwrap();
+    let refreshed = std::fs::read_to_string(&page).unwrap();
     assert!(
-        once.starts_with("a\n<!-- slope fleet steady 380 -->\n`slope fleet` at commit abc1234")
+        refreshed
+            .starts_with("a\n<!-- slope fleet steady 380 -->\n`slope fleet` at commit abc1234")
     );
-    assert!(once.contains("| bytes | 10.0 | 22.0 | 54.0 | linear | 1.00 | 0% | 386 |"), "{once}");
-    assert!(once.ends_with("<!-- end -->\nb\n") && !once.contains("old\n"));
+    assert!(
+        refreshed.contains("| bytes | 10.0 | 22.0 | 54.0 | linear | 1.00 | 0% | 386 |"),
+        "{refreshed}"
+    );
+    assert!(refreshed.ends_with("<!-- end -->\nb\n") && !refreshed.contains("old\n"));
     refresh_page(&page, &folder).unwrap();
-    assert_eq!(std::fs::read_to_string(&page).unwrap(), once);
+    assert_eq!(std::fs::read_to_string(&page).unwrap(), refreshed);
     std::fs::remove_dir_all(&folder).unwrap();
 }
