--- a/src/bin/mulberryd.rs
+++ b/src/bin/mulberryd.rs
@@ -51,7 +51,7 @@
 
 fn run(path: PathBuf) -> Result<(), Failure> {
     let settings = Settings::open(&path)?;
-    mulberrycourse::logs::start(&settings.level)?;
+    mulberrycourse::logs::start(&settings.log_level)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
--- a/src/bundle/adoption.rs
+++ b/src/bundle/adoption.rs
@@ -26,7 +26,7 @@
 
 impl OfferOrder {
     /// Compares an offer with what is in force.
-    pub fn of(offer: &Envelope, current: Option<&Envelope>) -> Self {
+    pub fn compare(offer: &Envelope, current: Option<&Envelope>) -> Self {
         let Some(current) = current else { return Self::Later };
         match offer.order().cmp(&current.order()) {
             std::cmp::Ordering::Greater => Self::Later,
@@ -59,7 +59,7 @@
     /// How an envelope stands to the latest one that is known here.
     pub fn compare(&self, envelope: &Envelope) -> OfferOrder {
         let latest = self.current.as_ref().or(self.best.as_ref());
-        OfferOrder::of(envelope, latest.map(|a| a.envelope.as_ref()))
+        OfferOrder::compare(envelope, latest.map(|a| a.envelope.as_ref()))
     }
 
     /// A checked bundle is offered. Returns it if it comes into force now.
@@ -76,7 +76,7 @@
     }
 
     /// The other nodes were asked. Returns the bundle that comes into force by it.
-    pub fn asked(&mut self) -> Option<AdoptedBundle> {
+    pub fn peers_asked(&mut self) -> Option<AdoptedBundle> {
         self.asked = true;
         self.current = self.current.take().or(self.best.take());
         self.current.clone()
--- a/src/client/caller/stream.rs
+++ b/src/client/caller/stream.rs
@@ -48,7 +48,7 @@
     prior: PriorOutput,
     /// Where the text of this answer begins in it.
     begin: usize,
-    last: Option<String>,
+    last_event: Option<String>,
 }
 
 /// How one node's share of a stream ended.
@@ -70,7 +70,7 @@
     ) -> Result<CallerResponse, CallerError> {
         let until = Instant::now() + timeout;
         let prior = request.prior.clone().unwrap_or_default();
-        let mut part = Part { begin: prior.text.len(), prior, last: None };
+        let mut part = Part { begin: prior.text.len(), prior, last_event: None };
         let mut failures = 0;
         loop {
             let before = part.prior.tokens;
@@ -103,7 +103,7 @@
         let mut rest = self.request("/v1/completions", bytes.into(), timeout);
         let headers = rest.headers_mut();
         headers.insert("mulberry-resume", HeaderValue::from_static("1"));
-        if let Some(last) = part.last.as_ref().and_then(|last| last.parse().ok()) {
+        if let Some(last) = part.last_event.as_ref().and_then(|last| last.parse().ok()) {
             headers.insert("last-event-id", last);
         }
         let (node, response) = self.send(rest).await?;
@@ -111,10 +111,10 @@
         match &ended {
             Ok(End::Whole(_) | End::Other(_)) => {}
             Ok(End::Moved(others)) => {
-                self.book().learn(others.clone());
-                self.book().failed(node);
+                self.book().update(others.clone());
+                self.book().mark_failed(node);
             }
-            Err(_) => self.book().failed(node),
+            Err(_) => self.book().mark_failed(node),
         }
         ended
     }
@@ -127,7 +127,7 @@
 
     fn received(self, status: StatusCode) -> CallerResponse {
         let text = self.prior.text[self.begin..].to_owned();
-        CallerResponse { status, body: text.into(), last: self.last }
+        CallerResponse { status, body: text.into(), last_event: self.last_event }
     }
 
     async fn read(&mut self, response: Response<Incoming>) -> Result<End, CallerError> {
@@ -166,7 +166,7 @@
         if let Some(choice) = event.choices.first() {
             self.prior.text.push_str(&choice.text);
         }
-        self.last = Some(id.to_owned());
+        self.last_event = Some(id.to_owned());
         Ok(())
     }
 }
--- a/src/client/trainer.rs
+++ b/src/client/trainer.rs
@@ -45,9 +45,9 @@
     /// The groups by number.
     pub groups: BTreeMap<u32, Group>,
     /// Groups that came a second time, and were dropped. 0 if all is well.
-    pub doubled: u64,
+    pub duplicates: u64,
     /// Groups that came with samples missing, and were dropped. 0 if all is well.
-    pub thin: u64,
+    pub incomplete: u64,
     /// Groups that were too old when they arrived, and were dropped.
     pub stale: u64,
     /// Calls that failed and were made again.
@@ -80,30 +80,30 @@
 impl TrainerClient {
     /// A trainer of that name.
     pub fn new(name: Name, seeds: Vec<SocketAddr>) -> Self {
-        let book = AddressBook::homed(seeds, name.clone());
+        let book = AddressBook::for_trainer(seeds, name.clone());
         Self { name, book, fetch: JsonClient::default(), version: AtomicU64::new(0) }
     }
 
     /// The trainer's weights are at this version now.
-    pub fn advance(&self, version: u64) {
+    pub fn set_version(&self, version: u64) {
         self.version.fetch_max(version, Ordering::Relaxed);
     }
 
     /// Submits a step and pulls until every group is there.
-    pub async fn step(&self, number: u64, spec: &StepSpec) -> Result<StepReport, TrainerError> {
-        let mut pulling = self.resume(number, spec, BTreeMap::new());
-        while !pulling.next().await?.is_empty() {}
-        Ok(pulling.report)
+    pub async fn run_step(&self, number: u64, spec: &StepSpec) -> Result<StepReport, TrainerError> {
+        let mut pull = self.resume_step(number, spec, BTreeMap::new());
+        while !pull.next_groups().await?.is_empty() {}
+        Ok(pull.report)
     }
 
     /// Goes on with a step of which these groups were kept; none for a new one.
-    pub fn resume<'a>(
+    pub fn resume_step<'a>(
         &'a self,
         number: u64,
         spec: &'a StepSpec,
         kept: BTreeMap<u32, Group>,
     ) -> StepPull<'a> {
-        self.advance(spec.version);
+        self.set_version(spec.version);
         let report = StepReport { groups: kept, ..StepReport::default() };
         StepPull { trainer: self, number, spec, report, node: None, parts: Vec::new(), failed: 0 }
     }
@@ -131,7 +131,7 @@
     /// The groups that come next; none once the step is whole. They count as
     /// received with the next call: a trainer that has to survive its own restart
     /// keeps them first.
-    pub async fn next(&mut self) -> Result<Vec<Group>, TrainerError> {
+    pub async fn next_groups(&mut self) -> Result<Vec<Group>, TrainerError> {
         loop {
             let Some(node) = self.held().await? else {
                 self.failure().await?;
@@ -166,7 +166,7 @@
         if self.node.is_some() {
             return Ok(self.node);
         }
-        let Some(at) = self.trainer.book.get().await else { return Ok(None) };
+        let Some(at) = self.trainer.book.next_address().await else { return Ok(None) };
         let path = self.trainer.path(self.number);
         let submit = SubmitStepRequest {
             spec: StepSpec { version: self.version(), ..self.spec.clone() },
@@ -185,7 +185,7 @@
                 Err(JsonClientError::Status { status, to, text }.into())
             }
             Err(_) => {
-                self.trainer.book.failed(at);
+                self.trainer.book.mark_failed(at);
                 Ok(None)
             }
         }
@@ -211,9 +211,9 @@
         let mut fresh = Vec::new();
         for group in pulled.groups {
             if self.report.groups.contains_key(&group.group) {
-                self.report.doubled += 1;
+                self.report.duplicates += 1;
             } else if !self.whole(&group) {
-                self.report.thin += 1;
+                self.report.incomplete += 1;
             } else if group.samples.iter().any(|s| s.oldest().is_some_and(|o| o < floor)) {
                 // Not acknowledged, so the node judges it again and makes it anew.
                 self.report.stale += 1;
@@ -239,7 +239,7 @@
     }
 
     fn leave(&mut self, node: SocketAddr) {
-        self.trainer.book.failed(node);
+        self.trainer.book.mark_failed(node);
         self.node = None;
     }
 
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -80,7 +80,9 @@
     /// [`Kind::OutcomeUnknown`] if the request may have run.
     pub fn adjust(self, refusal: Refusal) -> Refusal {
         match refusal.run() {
-            RunStatus::NotRun if self.may_have_run => refusal.unsure(Kind::OutcomeUnknown),
+            RunStatus::NotRun if self.may_have_run => {
+                refusal.with_unknown_outcome(Kind::OutcomeUnknown)
+            }
             RunStatus::NotRun | RunStatus::Unknown | RunStatus::Ran => refusal,
         }
     }
--- a/src/edge/http/json_client.rs
+++ b/src/edge/http/json_client.rs
@@ -120,7 +120,7 @@
         path: &str,
         timeout: Duration,
     ) -> Result<T, JsonClientError> {
-        self.traffic.sent(0);
+        self.traffic.count_sent(0);
         let request = build_request(to, Method::GET, path, empty_body());
         self.send_json(to, request, timeout).await
     }
@@ -134,7 +134,7 @@
         tag: Option<&HeaderValue>,
         timeout: Duration,
     ) -> Result<Option<(Option<HeaderValue>, T)>, JsonClientError> {
-        self.traffic.sent(0);
+        self.traffic.count_sent(0);
         let mut request = build_request(to, Method::GET, path, empty_body());
         if let Some(tag) = tag {
             request.headers_mut().insert(IF_NONE_MATCH, tag.clone());
@@ -158,7 +158,7 @@
     ) -> Result<T, JsonClientError> {
         let bytes = serde_json::to_vec(value)
             .map_err(|e| JsonClientError::Malformed { to, reason: e.to_string() })?;
-        self.traffic.sent(bytes.len());
+        self.traffic.count_sent(bytes.len());
         let request = build_request(to, method, path, full_body(bytes));
         self.send_json(to, request, timeout).await
     }
@@ -172,7 +172,7 @@
     ) -> Result<Incoming, JsonClientError> {
         let bytes = serde_json::to_vec(value)
             .map_err(|e| JsonClientError::Malformed { to, reason: e.to_string() })?;
-        self.traffic.sent(bytes.len());
+        self.traffic.count_sent(bytes.len());
         let response =
             self.send(to, build_request(to, Method::POST, path, full_body(bytes))).await?;
         let status = response.status();
@@ -224,7 +224,7 @@
         let bytes = read_body(body, MAX_RESPONSE_BYTES)
             .await
             .map_err(|e: BodyError| JsonClientError::Interrupted { to, reason: e.to_string() })?;
-        self.traffic.received(bytes.len());
+        self.traffic.count_received(bytes.len());
         Ok(bytes)
     }
 }
--- a/src/edge/peer/server.rs
+++ b/src/edge/peer/server.rs
@@ -144,7 +144,7 @@
     let (reply, traffic) = match unpack::<H::Request>(&bytes) {
         Ok(request) => {
             let traffic = handler.traffic(&request);
-            traffic.received(bytes.len());
+            traffic.count_received(bytes.len());
             (handler.handle(request).await, traffic)
         }
         Err(e) => {
@@ -155,7 +155,7 @@
     };
     match pack(&reply) {
         Ok(bytes) => {
-            traffic.sent(bytes.len());
+            traffic.count_sent(bytes.len());
             respond_with(&mut respond, StatusCode::OK, bytes);
         }
         Err(e) => {
--- a/src/edge/platform/client.rs
+++ b/src/edge/platform/client.rs
@@ -143,7 +143,7 @@
         from: u64,
         purpose: PlatformPurpose,
     ) -> Result<WatchStream, JsonClientError> {
-        self.metrics.platform_call(purpose);
+        self.metrics.count_platform_call(purpose);
         let to = self.address;
         let create_request =
             WatchCreate { key: prefix.into(), range_end: range_end(prefix), start_revision: from };
@@ -155,7 +155,7 @@
         let interrupted = move |e: String| JsonClientError::Interrupted { to, reason: e };
         let traffic = self.metrics.traffic(ControlPurpose::Platform);
         let changes = lines.flat_map(move |line| {
-            traffic.received(line.as_ref().map_or(0, String::len));
+            traffic.count_received(line.as_ref().map_or(0, String::len));
             let message = line
                 .map_err(|e| interrupted(e.to_string()))
                 .and_then(|l| serde_json::from_str(&l).map_err(|e| interrupted(e.to_string())));
@@ -167,7 +167,7 @@
     /// Reads the list of VMs. The platform sends it only if it has changed, where it supports entity
     /// tags.
     pub async fn vms(&self) -> Result<Vec<Vm>, JsonClientError> {
-        self.metrics.platform_call(PlatformPurpose::Vms);
+        self.metrics.count_platform_call(PlatformPurpose::Vms);
         let last = self.vm_list.lock().clone();
         let tag = last.as_ref().map(|l| &l.tag);
         let changed = self.client.get_if_changed(self.address, "/vms", tag, self.timeout).await?;
@@ -198,7 +198,7 @@
         request: &Q,
         purpose: PlatformPurpose,
     ) -> Result<T, JsonClientError> {
-        self.metrics.platform_call(purpose);
+        self.metrics.count_platform_call(purpose);
         self.client.call(self.address, Method::POST, path, request, self.timeout).await
     }
 }
--- a/src/entry/end_job.rs
+++ b/src/entry/end_job.rs
@@ -45,7 +45,7 @@
             let txn = Txn::when(key.clone(), stored.revision).put(key.clone(), value);
             match self.store.txn(txn).await {
                 Ok(TxnOutcome::Done(_)) => {
-                    self.tally.job(JobEvent::Ended);
+                    self.tally.count_job_event(JobEvent::Ended);
                     tracing::info!(event = "job_ended", job);
                     if let Some(owned) = owned {
                         self.retain_ended(owned);
--- a/src/entry/peer/http_peers.rs
+++ b/src/entry/peer/http_peers.rs
@@ -20,7 +20,7 @@
 impl HttpPeers {
     /// Creates a client that counts its messages and bytes.
     pub fn new(tally: Arc<EntryMetrics>) -> Self {
-        let counts = move |request: &PeerRequest| tally.peer(request.purpose());
+        let counts = move |request: &PeerRequest| tally.peer_traffic(request.purpose());
         Self { client: PeerClient::new(counts) }
     }
 }
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -275,7 +275,7 @@
         let purpose = request.purpose();
         let reply = self.peers.request(to, request, timeout).await;
         if let Err(e) = &reply {
-            self.tally.peer_given_up(purpose);
+            self.tally.count_peer_failure(purpose);
             tracing::info!(event = "peer_not_reached", %to, asked = ?purpose, error = %e);
             let until = self.now() + UNREACHABLE_BACKOFF;
             self.unreachable_peers.lock().insert(to, until);
--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -58,7 +58,7 @@
     }
 
     fn traffic(&self, request: &PeerRequest) -> Traffic {
-        self.app.tally.peer(request.purpose())
+        self.app.tally.peer_traffic(request.purpose())
     }
 }
 
--- a/src/entry/relay.rs
+++ b/src/entry/relay.rs
@@ -216,7 +216,7 @@
             return state.failed(self, &mut slot, CallError::Interrupted("unsigned".to_owned()));
         }
         let failed = status.is_server_error();
-        self.tally.attempt(if failed { AttemptEnd::Failed } else { AttemptEnd::Answered });
+        self.tally.count_attempt(if failed { AttemptEnd::Failed } else { AttemptEnd::Answered });
         if status == StatusCode::INTERNAL_SERVER_ERROR {
             state.failures += 1;
         }
@@ -281,7 +281,7 @@
 
     /// Records a failed attempt and decides whether another may follow.
     fn failed(&mut self, app: &App, slot: &mut SlotGuard<'_>, failure: CallError) -> RelayStep {
-        app.tally.attempt(match failure {
+        app.tally.count_attempt(match failure {
             CallError::Unsent(_) => AttemptEnd::Unsent,
             CallError::NotRun(_) => AttemptEnd::NotRun,
             CallError::WrongInstance => AttemptEnd::Stranger,
@@ -319,13 +319,13 @@
 
 /// A refusal that asks the client to come back soon.
 fn refused(kind: Kind, detail: &str) -> Refusal {
-    Refusal::new(kind, detail).after(DEFAULT_RETRY_AFTER)
+    Refusal::new(kind, detail).with_retry_after(DEFAULT_RETRY_AFTER)
 }
 
 /// Counts and logs a final response.
 fn log(app: &App, state: &RequestState, response: &RelayResponse) {
     let (id, attempts) = (&state.request.id, state.attempts);
-    app.tally.answered(app.now().saturating_sub(state.started_at));
+    app.tally.observe_request(app.now().saturating_sub(state.started_at));
     match response {
         RelayResponse::Complete { status, .. } => {
             tracing::debug!(event = "answered", request = %id, attempts, status = status.as_u16());
@@ -334,7 +334,7 @@
             tracing::debug!(event = "stream_opened", request = %id, attempts)
         }
         RelayResponse::Refused(refusal) => {
-            app.tally.refused(refusal.kind);
+            app.tally.count_refusal(refusal.kind);
             tracing::info!(
                 event = "refused",
                 request = %id,
--- a/src/metrics/metrics.rs
+++ b/src/metrics/metrics.rs
@@ -26,20 +26,20 @@
     registry: Mutex<Registry>,
     refusals: Family<KindLabel, Counter>,
     retries: Family<ReasonLabel, Counter>,
-    platform: Family<UseLabel, Counter>,
+    platform_calls: Family<UseLabel, Counter>,
     orders: Family<CauseLabel, Counter>,
-    traffic: Family<TrafficLabel, Counter>,
-    messages: Family<TrafficLabel, Counter>,
-    control: Family<TaskLabel, Seconds>,
+    control_bytes: Family<TrafficLabel, Counter>,
+    control_messages: Family<TrafficLabel, Counter>,
+    control_seconds: Family<TaskLabel, Seconds>,
     entries: Family<EntryLabel, Gauge>,
     /// Number of the bundle in force.
-    pub bundle: Gauge<i64, AtomicI64>,
+    pub bundle_number: Gauge<i64, AtomicI64>,
     /// Requests in flight.
     pub inflight: Gauge<i64, AtomicI64>,
     /// Samples handed over to trainers.
     pub samples: Counter,
     /// Samples that were too old or had no certain label.
-    pub discarded: Counter,
+    pub discarded_samples: Counter,
 }
 
 impl Default for Metrics {
@@ -48,16 +48,16 @@
             registry: Mutex::new(Registry::with_prefix("mulberry")),
             refusals: Family::default(),
             retries: Family::default(),
-            platform: Family::default(),
+            platform_calls: Family::default(),
             orders: Family::default(),
-            traffic: Family::default(),
-            messages: Family::default(),
-            control: Family::default(),
+            control_bytes: Family::default(),
+            control_messages: Family::default(),
+            control_seconds: Family::default(),
             entries: Family::default(),
-            bundle: Gauge::default(),
+            bundle_number: Gauge::default(),
             inflight: Gauge::default(),
             samples: Counter::default(),
-            discarded: Counter::default(),
+            discarded_samples: Counter::default(),
         };
         metrics.register();
         metrics.start_at_zero();
@@ -71,19 +71,23 @@
         all.register("refusals", "Final answers that refuse, by kind", self.refusals.clone());
         all.register("retries", "Attempts made again, by reason", self.retries.clone());
         let help = "Calls to the platform, by purpose";
-        all.register("platform_calls", help, self.platform.clone());
+        all.register("platform_calls", help, self.platform_calls.clone());
         all.register("orders", "Orders to engines, by cause", self.orders.clone());
         let help = "Bytes of control bodies and messages, by purpose and way";
-        all.register("control_bytes", help, self.traffic.clone());
+        all.register("control_bytes", help, self.control_bytes.clone());
         let help = "Control bodies and messages, by purpose and way";
-        all.register("control_messages", help, self.messages.clone());
+        all.register("control_messages", help, self.control_messages.clone());
         let help = "Processor time of control tasks, in seconds";
-        all.register("control_seconds", help, self.control.clone());
+        all.register("control_seconds", help, self.control_seconds.clone());
         all.register("state_entries", "Entries of state held here, by kind", self.entries.clone());
-        all.register("bundle_number", "Number of the bundle in force", self.bundle.clone());
+        all.register("bundle_number", "Number of the bundle in force", self.bundle_number.clone());
         all.register("inflight", "Requests in flight", self.inflight.clone());
         all.register("samples", "Samples handed over", self.samples.clone());
-        all.register("samples_discarded", "Samples not handed over", self.discarded.clone());
+        all.register(
+            "samples_discarded",
+            "Samples not handed over",
+            self.discarded_samples.clone(),
+        );
         all.register_collector(Box::new(Process));
     }
 
@@ -97,19 +101,19 @@
             drop(self.retries.get_or_create(&ReasonLabel { reason }));
         }
         for purpose in PlatformPurpose::ALL.iter().copied() {
-            drop(self.platform.get_or_create(&UseLabel { purpose }));
+            drop(self.platform_calls.get_or_create(&UseLabel { purpose }));
         }
         for cause in OrderCause::ALL.iter().copied() {
             drop(self.orders.get_or_create(&CauseLabel { cause }));
         }
         for purpose in ControlPurpose::ALL.iter().copied() {
             for way in [Direction::In, Direction::Out] {
-                drop(self.traffic.get_or_create(&TrafficLabel { purpose, way }));
-                drop(self.messages.get_or_create(&TrafficLabel { purpose, way }));
+                drop(self.control_bytes.get_or_create(&TrafficLabel { purpose, way }));
+                drop(self.control_messages.get_or_create(&TrafficLabel { purpose, way }));
             }
         }
         for task in ControlTask::ALL.iter().copied() {
-            drop(self.control.get_or_create(&TaskLabel { task }));
+            drop(self.control_seconds.get_or_create(&TaskLabel { task }));
         }
         for kind in StateKind::ALL.iter().copied() {
             drop(self.entries.get_or_create(&EntryLabel { kind }));
@@ -117,39 +121,40 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, kind: Kind) {
+    pub fn count_refusal(&self, kind: Kind) {
         self.refusals.get_or_create(&KindLabel { kind }).inc();
     }
 
     /// Counts a retry.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries.get_or_create(&ReasonLabel { reason }).inc();
     }
 
     /// Counts a call to the platform.
-    pub fn platform_call(&self, purpose: PlatformPurpose) {
-        self.platform.get_or_create(&UseLabel { purpose }).inc();
+    pub fn count_platform_call(&self, purpose: PlatformPurpose) {
+        self.platform_calls.get_or_create(&UseLabel { purpose }).inc();
     }
 
     /// Counts an order to an engine.
-    pub fn ordered(&self, cause: OrderCause) {
+    pub fn count_order(&self, cause: OrderCause) {
         self.orders.get_or_create(&CauseLabel { cause }).inc();
     }
 
     /// The counters of one purpose of control traffic.
     pub fn traffic(&self, purpose: ControlPurpose) -> Traffic {
-        let bytes = |way| self.traffic.get_or_create(&TrafficLabel { purpose, way }).clone();
-        let messages = |way| self.messages.get_or_create(&TrafficLabel { purpose, way }).clone();
+        let bytes = |way| self.control_bytes.get_or_create(&TrafficLabel { purpose, way }).clone();
+        let messages =
+            |way| self.control_messages.get_or_create(&TrafficLabel { purpose, way }).clone();
         Traffic::new(bytes, messages)
     }
 
     /// Counts the processor time of a control task.
     pub fn timed<F: Future>(&self, task: ControlTask, future: F) -> Timed<F> {
-        Timed::new(future, self.control.get_or_create(&TaskLabel { task }).clone())
+        Timed::new(future, self.control_seconds.get_or_create(&TaskLabel { task }).clone())
     }
 
     /// Sets how many entries of a kind are held.
-    pub fn held(&self, kind: StateKind, count: usize) {
+    pub fn set_entry_count(&self, kind: StateKind, count: usize) {
         self.entries.get_or_create(&EntryLabel { kind }).set(count as i64);
     }
 
@@ -160,13 +165,13 @@
     }
 
     /// The text that `/metrics` answers.
-    pub fn text(&self) -> String {
-        encoded(&self.registry)
+    pub fn text_format(&self) -> String {
+        encode_text(&self.registry)
     }
 }
 
 /// A registry in the text format.
-pub(super) fn encoded(registry: &Mutex<Registry>) -> String {
+pub(super) fn encode_text(registry: &Mutex<Registry>) -> String {
     let mut text = String::new();
     match prometheus_client::encoding::text::encode(&mut text, &registry.lock()) {
         Ok(()) => text,
--- a/src/node/dispatcher.rs
+++ b/src/node/dispatcher.rs
@@ -248,7 +248,7 @@
         let permit = self.dispatcher.wait_for_permit(self.ticket, receiver).await;
         let mut permit = permit.map_err(|refusal| history.adjust(refusal))?;
         permit.history = history;
-        self.dispatcher.metrics.retried(reason);
+        self.dispatcher.metrics.count_retry(reason);
         Ok(permit)
     }
 
--- a/src/node/steps/active_steps.rs
+++ b/src/node/steps/active_steps.rs
@@ -133,7 +133,7 @@
         let detail = "this node is draining and accepts no new steps";
         return Err(Refusal::new(Kind::Draining, detail));
     }
-    let mut step = Step::new(spec, trainer_spec.staleness);
+    let mut step = Step::new(spec, trainer_spec.staleness_bound);
     step.acknowledge(version, &delivered);
     step.adopt(partial_groups);
     let active = Arc::new(ActiveStep {
@@ -166,12 +166,12 @@
 /// Removes the step once the trainer has sent no request for it for the time that the bundle sets.
 async fn remove_when_abandoned(app: Arc<App>, active: Arc<ActiveStep>) {
     loop {
-        let until = *active.last_request.lock() + active.trainer_spec.abandoned;
+        let until = *active.last_request.lock() + active.trainer_spec.abandon_after;
         tokio::select! {
             () = active.cancel.cancelled() => return,
             () = tokio::time::sleep_until(until) => {}
         }
-        if *active.last_request.lock() + active.trainer_spec.abandoned <= Instant::now() {
+        if *active.last_request.lock() + active.trainer_spec.abandon_after <= Instant::now() {
             app.steps.release(&active);
             tracing::info!(
                 event = "step_abandoned",
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -91,7 +91,7 @@
     /// Validates a parsed document. An unknown section or key, a missing key, or a value out of
     /// bounds is an error.
     pub fn read(doc: &Document) -> Result<Self, SettingsError> {
-        doc.only(&SECTIONS, &[])?;
+        doc.check_sections(&SECTIONS, &[])?;
         let node = doc.section("node")?;
         let store = doc.section("store")?;
         let mut settings = Self {
@@ -105,7 +105,11 @@
             metrics_address: optional_address(&node, "metrics")?,
             has_disk: node.value_or("keeps", false)?,
             store_address: store.value("address")?,
-            value_bytes: store.within("value", MIN_VALUE_BYTES..=64 << 20, DEFAULT_VALUE_BYTES)?,
+            value_bytes: store.in_range(
+                "value",
+                MIN_VALUE_BYTES..=64 << 20,
+                DEFAULT_VALUE_BYTES,
+            )?,
             store_history: store.duration("history", DEFAULT_STORE_HISTORY)?,
             lease_ttl: store.duration("lease", DEFAULT_LEASE_TTL)?,
             drain_time: DEFAULT_DRAIN_TIME,
@@ -119,35 +123,35 @@
         };
         node.finish()?;
         store.finish()?;
-        if let Some(replicas) = doc.optional("replicas") {
+        if let Some(replicas) = doc.optional_section("replicas") {
             settings.drain_time = replicas.duration("drain", DEFAULT_DRAIN_TIME)?;
             replicas.finish()?;
         }
-        if let Some(jobs) = doc.optional("jobs") {
+        if let Some(jobs) = doc.optional_section("jobs") {
             settings.job_retention = jobs.duration("kept", DEFAULT_JOB_RETENTION)?;
             jobs.finish()?;
         }
-        if let Some(duties) = doc.optional("duties") {
+        if let Some(duties) = doc.optional_section("duties") {
             settings.duties_address = optional_address(&duties, "address")?;
             duties.finish()?;
         }
-        if let Some(usage) = doc.optional("usage") {
+        if let Some(usage) = doc.optional_section("usage") {
             settings.usage_windows = Some(usage_windows(&usage)?);
             usage.finish()?;
         }
-        if let Some(orders) = doc.optional("orders") {
+        if let Some(orders) = doc.optional_section("orders") {
             settings.order_gap = orders.duration("turn", DEFAULT_ORDER_GAP)?;
             orders.finish()?;
         }
-        if let Some(stop) = doc.optional("stop") {
+        if let Some(stop) = doc.optional_section("stop") {
             settings.stop_grace = stop.duration("grace", DEFAULT_STOP_GRACE)?;
             stop.finish()?;
         }
-        if let Some(answers) = doc.optional("answers") {
-            settings.ttl_secs = answers.within("ttl", 1..=3_600, DEFAULT_ADDRESS_TTL_SECS)?;
+        if let Some(answers) = doc.optional_section("answers") {
+            settings.ttl_secs = answers.in_range("ttl", 1..=3_600, DEFAULT_ADDRESS_TTL_SECS)?;
             answers.finish()?;
         }
-        if let Some(log) = doc.optional("log") {
+        if let Some(log) = doc.optional_section("log") {
             settings.log_level = log.text("level").unwrap_or("info").to_owned();
             log.finish()?;
         }
@@ -160,7 +164,7 @@
     let length = section.duration("window", MIN_USAGE_WINDOW)?;
     if length < MIN_USAGE_WINDOW {
         let text = section.text("window").unwrap_or_default();
-        return Err(section.bad("window", text, "shorter than a second".to_owned()));
+        return Err(section.invalid_value("window", text, "shorter than a second".to_owned()));
     }
     Ok(Windows { length, report_grace: section.duration("late", length)? })
 }
--- a/standins/src/fleet.rs
+++ b/standins/src/fleet.rs
@@ -147,9 +147,9 @@
                 name: format!("node-{index}").into(),
                 region: "trondheim".into(),
                 zone: zones[index % zones.len()].into(),
-                callers: ANY_PORT,
-                peers: ANY_PORT,
-                admin: ANY_PORT,
+                client_address: ANY_PORT,
+                peer_address: ANY_PORT,
+                admin_address: ANY_PORT,
             },
             platform: PlatformSettings {
                 address: self.platform.address(),
@@ -157,13 +157,13 @@
             },
             peers: PeerSettings { seeds: self.nodes.iter().map(Node::peer_address).collect() },
             drain: DrainSettings {
-                ttl: Duration::from_millis(300),
+                address_ttl: Duration::from_millis(300),
                 margin: Duration::from_millis(200),
                 grace: Duration::from_secs(20),
             },
             connections: ConnectionSettings::default(),
             operators: self.signers.operators(),
-            level: "info".to_owned(),
+            log_level: "info".to_owned(),
         }
     }
 
--- a/standins/src/trainer/mod.rs
+++ b/standins/src/trainer/mod.rs
@@ -47,10 +47,10 @@
         let group = |g| GroupSpec { prompt: format!("{} {g}", prompt.prompt), ..prompt.clone() };
         let spec = StepSpec { version, groups: (0..groups).map(group).collect() };
         let requested_at = Instant::now();
-        let report = trainer.step(version, &spec).await?;
+        let report = trainer.run_step(version, &spec).await?;
         summary.wait_time += requested_at.elapsed();
         summary.steps += 1;
-        summary.duplicates += report.doubled;
+        summary.duplicates += report.duplicates;
         for group in report.groups.values() {
             summary.samples += group.samples.len() as u64;
             summary.missing_samples += u64::from(prompt.samples) - group.samples.len() as u64;
--- a/tests/adoption.rs
+++ b/tests/adoption.rs
@@ -31,7 +31,7 @@
     assert!(adoption.offer(adopted(6, 1)).is_none());
     assert!(adoption.offer(adopted(7, 1)).is_none());
     assert!(adoption.current().is_none());
-    assert_eq!(adoption.asked().unwrap().bundle.number, 7);
+    assert_eq!(adoption.peers_asked().unwrap().bundle.number, 7);
     assert!(adoption.offer(adopted(6, 1)).is_none());
     assert_eq!(adoption.compare(&adopted(6, 1).envelope), OfferOrder::Earlier);
     assert_eq!(adoption.compare(&adopted(7, 1).envelope), OfferOrder::Same);
@@ -53,7 +53,7 @@
         for (index, (number, version)) in offers.into_iter().enumerate() {
             let mut activated = Vec::new();
             if index == asked {
-                activated.extend(adoption.asked());
+                activated.extend(adoption.peers_asked());
             }
             let offer = adopted(number, version);
             all.push(offer.envelope.order());
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -106,7 +106,7 @@
 async fn slow_heads_are_cut() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let mut settings = fleet.settings(0);
-    settings.connections.head = Duration::from_millis(100);
+    settings.connections.head_timeout = Duration::from_millis(100);
     let node = Node::spawn(settings).await.unwrap();
     for part in ["", "G", "GET /v1/addresses HTTP/1.1\r\nhost: "] {
         let answer = tokio::time::timeout(WAIT, raw(node.client_address(), part.as_bytes())).await;
@@ -120,7 +120,7 @@
 async fn connections_are_bounded() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let mut settings = fleet.settings(0);
-    settings.connections = ConnectionSettings { most: 2, ..ConnectionSettings::default() };
+    settings.connections = ConnectionSettings { max_open: 2, ..ConnectionSettings::default() };
     let node = Node::spawn(settings).await.unwrap();
     let ask = "GET /v1/addresses HTTP/1.1\r\nhost: x\r\n";
     let mut held = Vec::new();
--- a/tests/claims_nodes.rs
+++ b/tests/claims_nodes.rs
@@ -238,7 +238,7 @@
         let mut settings = fleet.settings(0);
         settings.platform.address = gate.address();
         settings.platform.timeout = Duration::from_secs(20);
-        settings.drain.ttl = Duration::from_secs(60);
+        settings.drain.address_ttl = Duration::from_secs(60);
         let owner = Node::spawn(settings).await.unwrap();
         fleet.nodes.push(owner);
         fleet.wait_until_settled(1).await;
--- a/tests/arrival.rs
+++ b/tests/invalid_groups.rs
@@ -1,4 +1,4 @@
-//! The trainer client against a node that hands over invalid groups.
+//! Tests that the trainer client drops the invalid groups that a node returns.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -15,11 +15,11 @@
 use standins::fleet::ANY_PORT;
 use standins::server::{ConnectionCut, Server, Service, ServiceResult, json_response};
 
-/// A node that hands over one group in each pull, regardless of the groups that the trainer has.
+/// A node that returns one group for each pull, regardless of the groups that the trainer has.
 struct Node {
     /// The groups that successive pulls return; the last one is repeated.
     pulls: Vec<Group>,
-    pulled: AtomicU64,
+    pull_count: AtomicU64,
     address: std::sync::OnceLock<std::net::SocketAddr>,
 }
 
@@ -38,16 +38,16 @@
             return json_response(StatusCode::OK, &json!({}));
         }
         let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| ConnectionCut)?;
-        let index = self.pulled.fetch_add(1, Ordering::Relaxed) as usize;
+        let index = self.pull_count.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
-        let pulled = PullGroupsResponse {
+        let response = PullGroupsResponse {
             groups: vec![group],
             complete: pull.delivered.below(2).count() == 2,
             staleness_bound: 1,
             draining: false,
             partial_groups: Vec::new(),
         };
-        json_response(StatusCode::OK, &pulled)
+        json_response(StatusCode::OK, &response)
     }
 }
 
@@ -74,18 +74,18 @@
         group(0, &[4, 4]),
         group(1, &[5, 5]),
     ];
-    let node = Arc::new(Node { pulls, pulled: AtomicU64::new(0), address: Default::default() });
+    let node = Arc::new(Node { pulls, pull_count: AtomicU64::new(0), address: Default::default() });
     let server = Server::bind(ANY_PORT, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
-    let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
-    let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
-    trainer.advance(5);
-    let mut pulling = trainer.resume(1, &spec, BTreeMap::new());
-    assert_eq!(pulling.next().await.unwrap(), [group(0, &[5, 4])]);
-    assert_eq!(pulling.next().await.unwrap(), [group(1, &[5, 5])]);
-    assert_eq!(pulling.next().await.unwrap(), []);
-    let report = pulling.report();
-    assert_eq!((report.stale, report.thin, report.doubled), (1, 2, 2));
+    let group_spec = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
+    let spec = StepSpec { version: 4, groups: vec![group_spec; 2] };
+    trainer.set_version(5);
+    let mut pull = trainer.resume_step(1, &spec, BTreeMap::new());
+    assert_eq!(pull.next_groups().await.unwrap(), [group(0, &[5, 4])]);
+    assert_eq!(pull.next_groups().await.unwrap(), [group(1, &[5, 5])]);
+    assert_eq!(pull.next_groups().await.unwrap(), []);
+    let report = pull.report();
+    assert_eq!((report.stale, report.incomplete, report.duplicates), (1, 2, 2));
     assert_eq!(report.groups[&0], group(0, &[5, 4]));
 }
--- a/tests/labels.rs
+++ b/tests/labels.rs
@@ -29,15 +29,16 @@
 async fn run_disturbed(fleet: &Fleet, disturb: impl Future<Output = ()>) -> BTreeSet<u64> {
     let trainer = TrainerClient::new("coach".into(), fleet.client_addresses());
     let spec = spec(1);
-    let (report, ()) =
-        tokio::time::timeout(TEST_TIMEOUT, async { tokio::join!(trainer.step(1, &spec), disturb) })
-            .await
-            .unwrap();
+    let (report, ()) = tokio::time::timeout(TEST_TIMEOUT, async {
+        tokio::join!(trainer.run_step(1, &spec), disturb)
+    })
+    .await
+    .unwrap();
     check_labels(fleet, &report.unwrap())
 }
 
 fn check_labels(fleet: &Fleet, report: &StepReport) -> BTreeSet<u64> {
-    assert_eq!(report.doubled, 0);
+    assert_eq!(report.duplicates, 0);
     assert_eq!(report.groups.len(), 3);
     let mut versions = BTreeSet::new();
     for group in report.groups.values() {
--- a/tests/sessions_processes.rs
+++ b/tests/sessions_processes.rs
@@ -92,7 +92,7 @@
 }
 
 fn assert_complete(report: &StepReport) {
-    assert_eq!((report.doubled, report.thin), (0, 0));
+    assert_eq!((report.duplicates, report.incomplete), (0, 0));
     assert!(report.groups.keys().copied().eq(0..4));
     assert!(report.groups.values().all(|g| g.samples.len() == 2));
 }
@@ -128,7 +128,7 @@
 async fn home_is_killed_in_a_step() {
     let mut test = Deployment::spawn("killed-home").await;
     let (owner, trainer) = (test.owner_index(), test.trainer());
-    let step = tokio::spawn(async move { trainer.step(1, &spec()).await });
+    let step = tokio::spawn(async move { trainer.run_step(1, &spec()).await });
     test.wait_for_tokens(16).await;
     test.daemons[owner] = None;
     test.restore_speed();
@@ -144,7 +144,7 @@
     let test = Deployment::spawn("frozen-home-of-a-step").await;
     let (owner, trainer) = (test.owner_index(), test.trainer());
     let step = tokio::spawn(async move {
-        let report = trainer.step(1, &spec()).await;
+        let report = trainer.run_step(1, &spec()).await;
         (trainer, report)
     });
     test.wait_for_tokens(16).await;
@@ -154,7 +154,7 @@
     let (trainer, report) = tokio::time::timeout(TEST_TIMEOUT, step).await.unwrap().unwrap();
     assert_complete(&report.unwrap());
     frozen.resume().unwrap();
-    assert_complete(&trainer.step(2, &spec()).await.unwrap());
+    assert_complete(&trainer.run_step(2, &spec()).await.unwrap());
 }
 
 /// A node is frozen while streams run through it. Its callers continue at the other nodes, and no
