--- a/tests/claims/golden.rs
+++ b/tests/claims/golden.rs
@@ -130,9 +130,9 @@
     }
 }
 
-/// The owner of a partition opens it, misses the reply to a commit, decides about repeated calls and
-/// a released key, goes through an outage of the platform, is fenced by a new owner and takes the
-/// partition over again.
+/// The owner of a partition opens it, misses the reply to a commit, decides about repeated calls
+/// and a released key, goes through an outage of the platform, is fenced by a new owner and takes
+/// the partition over again.
 #[test]
 fn session() {
     let json = include_str!("session.json");
--- a/tests/claims/main.rs
+++ b/tests/claims/main.rs
@@ -87,8 +87,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Differing views of who the owner is, paused and restarted nodes, lost and delayed commits and
-    /// stale reads, in any order: no key is granted while an earlier grant may have run, and no
+    /// Differing views of who the owner is, paused and restarted nodes, lost and delayed commits
+    /// and stale reads, in any order: no key is granted while an earlier grant may have run, and no
     /// caller gets the answer to another body. The model checks every grant. Afterwards the faults
     /// end and a new key is granted.
     #[test]
--- a/tests/entry/jobs.rs
+++ b/tests/entry/jobs.rs
@@ -112,8 +112,8 @@
     wait_until(|| !world.kv.items("mulberry/job/j/results").is_empty()).await;
     let first_page = b.read_page("j", 0).await;
     assert_eq!(first_page.len(), 1);
-    // The repeated submission arrives when the new owner has taken the job over, but has not read it
-    // yet.
+    // The repeated submission arrives when the new owner has taken the job over, but has not read
+    // it yet.
     let resubmit = async {
         let key = "mulberry/home/j";
         while !String::from_utf8_lossy(&world.kv.items(key)[0].value).contains("\"b.") {
--- a/tests/entry/peers.rs
+++ b/tests/entry/peers.rs
@@ -289,8 +289,8 @@
     assert_eq!(other.app().routes().unwrap().version, 7);
 }
 
-/// Guards against waiting for calls that began in an outage until 2 s after its end. Leases ended by
-/// then that could have been renewed.
+/// Guards against waiting for calls that began in an outage until 2 s after its end. Leases ended
+/// by then that could have been renewed.
 #[tokio::test(start_paused = true)]
 async fn nodes_use_the_store_within_a_second_after_an_outage() {
     for extra_ms in [0, 100, 200, 300, 400] {
@@ -307,8 +307,8 @@
     }
 }
 
-/// Only the caller can decide about a write that may have been executed. If the write were repeated,
-/// a removal or a second put could undo a change made in between.
+/// Only the caller can decide about a write that may have been executed. If the write were
+/// repeated, a removal or a second put could undo a change made in between.
 #[tokio::test(start_paused = true)]
 async fn a_write_without_an_answer_is_not_repeated_through_another_node() {
     let world = World::new();
--- a/tests/entry/relays.rs
+++ b/tests/entry/relays.rs
@@ -22,21 +22,21 @@
 async fn an_idempotent_request_is_answered_when_one_replica_fails() {
     let world = World::new();
     let node = world.node("a").await;
-    for mood in [
+    for behaviour in [
         Behaviour::Unresponsive,
         Behaviour::Unreachable,
         Behaviour::BreaksAfter(0),
         Behaviour::Fails,
         Behaviour::Full,
     ] {
-        world.replicas.set_behaviour("p1", mood);
+        world.replicas.set_behaviour("p1", behaviour);
         for i in 0..4 {
-            let id = format!("{mood:?}{i}");
+            let id = format!("{behaviour:?}{i}");
             let RelayResponse::Complete { status, body, .. } = relay(&node, &id, "/plain/x").await
             else {
-                panic!("{mood:?}");
+                panic!("{behaviour:?}");
             };
-            assert!(status.is_success(), "{mood:?}");
+            assert!(status.is_success(), "{behaviour:?}");
             assert_eq!(body, format!("answer to {id}"));
         }
     }
@@ -115,8 +115,8 @@
     assert!(text.contains(&ReplicaFleet::event_data("s1", 12)));
 }
 
-/// Guards against a resumed stream whose replica gets the same timeout as the first attempt, although
-/// part of the client's time has passed.
+/// Guards against a resumed stream whose replica gets the same timeout as the first attempt,
+/// although part of the client's time has passed.
 #[tokio::test(start_paused = true)]
 async fn a_resumed_stream_has_the_remaining_time_of_its_client() {
     let world = World::new();
--- a/tests/entry/scale.rs
+++ b/tests/entry/scale.rs
@@ -61,8 +61,8 @@
     assert_eq!(desired_counts(&world), Vec::<u32>::new());
 }
 
-/// The leader crashes before, while or after it sends an order. The next leader sends the order that
-/// was written to the store, and no order has a lower fencing token than an earlier one.
+/// The leader crashes before, while or after it sends an order. The next leader sends the order
+/// that was written to the store, and no order has a lower fencing token than an earlier one.
 #[tokio::test(start_paused = true)]
 async fn a_new_leader_sends_the_written_order() {
     for crash_after_ms in [4_000, 5_000, 5_010, 5_020, 6_000, 7_500] {
--- a/tests/entry/shares.rs
+++ b/tests/entry/shares.rs
@@ -6,8 +6,8 @@
 
 use crate::world::{World, job_spec};
 
-/// One organisation submits ten training steps, and then another submits one. Guards against running
-/// texts in order of submission, by which that one step was completed after all the others.
+/// One organisation submits ten training steps, and then another submits one. Guards against
+/// running texts in order of submission, by which that one step was completed after all the others.
 #[tokio::test(start_paused = true)]
 async fn a_step_of_another_organisation_is_not_completed_last() {
     let world = World::new();
--- a/tests/entry/usage.rs
+++ b/tests/entry/usage.rs
@@ -84,14 +84,16 @@
 async fn requests_that_did_not_run_are_not_reported() {
     let world = World::new().with_usage(WINDOW);
     let (nodes, _) = start_three(&world).await;
-    for (mood, ran) in [(Behaviour::Full, 0), (Behaviour::Unreachable, 0), (Behaviour::Normal, 1)] {
+    for (behaviour, ran) in
+        [(Behaviour::Full, 0), (Behaviour::Unreachable, 0), (Behaviour::Normal, 1)]
+    {
         for id in ["p1", "p2"] {
-            world.replicas.set_behaviour(id, mood);
+            world.replicas.set_behaviour(id, behaviour);
         }
         let before = total_reported(&world);
-        send_request(&nodes[0], "x", &format!("{mood:?}")).await;
+        send_request(&nodes[0], "x", &format!("{behaviour:?}")).await;
         wait_until_reported(&world).await;
-        assert_eq!(total_reported(&world) - before, ran, "{mood:?}");
+        assert_eq!(total_reported(&world) - before, ran, "{behaviour:?}");
     }
 }
 
@@ -110,9 +112,9 @@
     assert_eq!(total_reported(&world), 5);
 }
 
-/// The leader crashes at different moments of the report of a window: before the window ends, as the
-/// report is written to the store, and before and after it is sent, with and without lost replies of
-/// the platform.
+/// The leader crashes at different moments of the report of a window: before the window ends, as
+/// the report is written to the store, and before and after it is sent, with and without lost
+/// replies of the platform.
 #[tokio::test(start_paused = true)]
 async fn every_window_is_reported_correctly_after_a_crash_of_the_leader() {
     for crash_after_ms in [0, 900, 2_000, 2_090, 2_105, 2_110, 2_114, 2_118, 2_125, 2_200, 4_000] {
--- a/tests/entry/views.rs
+++ b/tests/entry/views.rs
@@ -152,8 +152,8 @@
 }
 
 /// Guards against every node handling the weight loads of all replicas once a second, although only
-/// the owners of jobs use them. If owners batched changes for as long as other nodes, training steps
-/// would wait for weights.
+/// the owners of jobs use them. If owners batched changes for as long as other nodes, training
+/// steps would wait for weights.
 #[tokio::test(start_paused = true)]
 async fn changes_of_replicas_are_batched_longer_where_no_job_runs() {
     let world = World::new();
--- a/tests/entry/world.rs
+++ b/tests/entry/world.rs
@@ -1,4 +1,5 @@
-//! The environment of the tests: entry nodes that share a key-value service and a fleet of replicas.
+//! The environment of the tests: entry nodes that share a key-value service and a fleet of
+//! replicas.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -400,7 +401,8 @@
     count_calls(node, &format!("{{call=\"{call}\",end=\"Answered\","))
 }
 
-/// Returns the number of all store calls of some nodes. A lease renewal counts as a tenth of a call.
+/// Returns the number of all store calls of some nodes. A lease renewal counts as a tenth of a
+/// call.
 pub(crate) fn charged_calls(nodes: &[Node]) -> u64 {
     let counts_of = |node| (count_calls(node, "{"), count_calls(node, "{call=\"Keep\","));
     nodes.iter().map(counts_of).map(|(all, renewals)| (all - renewals) * 10 + renewals).sum::<u64>()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Tests of the choice of a replica: bursts, slow replicas, and replicas that refuse, fail or leave.
+//! Tests of the choice of a replica: bursts, slow replicas, and replicas that refuse, fail or
+//! leave.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::HashMap;
@@ -172,8 +173,8 @@
     }
 }
 
-/// Guards against keeping the known version of a replica that restarts under its id at version 1: it
-/// got runs that it could not serve and was never ordered to load.
+/// Guards against keeping the known version of a replica that restarts under its id at version 1:
+/// it got runs that it could not serve and was never ordered to load.
 #[test]
 fn a_replica_that_restarts_under_its_id_is_a_new_incarnation() {
     let incarnation = |started_ms, version| {
--- a/tests/label.rs
+++ b/tests/label.rs
@@ -1,5 +1,5 @@
-//! Compares the labels of samples, which have spans of versions, with a naive list that has one entry
-//! per token.
+//! Compares the labels of samples, which have spans of versions, with a naive list that has one
+//! entry per token.
 
 use mulberrycourse::decide::{Label, Span};
 use proptest::prelude::*;
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -88,7 +88,8 @@
         self.tables[at].alive(self.now).any(|n| n.name == name(other))
     }
 
-    /// Returns whether each of `at` counts each of `others` as alive, or none does if `alive` is false.
+    /// Returns whether each of `at` counts each of `others` as alive, or none does if `alive` is
+    /// false.
     fn all_see(&self, at: &[usize], others: &[usize], alive: bool) -> bool {
         let pairs = at.iter().flat_map(|a| others.iter().map(move |o| (*a, *o)));
         pairs.filter(|(a, o)| a != o).all(|(a, o)| self.sees(a, o) == alive)
--- a/tests/not_run.rs
+++ b/tests/not_run.rs
@@ -16,8 +16,8 @@
 /// Larger than a socket buffer, so that the connection can be cut within the body.
 const BODY_BYTES: usize = 300_000;
 
-/// Starts one node with a server that cuts connections at this point, only once if `once` is set, as
-/// the only upstream of both plain services.
+/// Starts one node with a server that cuts connections at this point, only once if `once` is set,
+/// as the only upstream of both plain services.
 async fn start_with_cutter(point: Point, once: bool) -> (Fleet, Cutter) {
     let fleet = Fleet::spawn(1, 0, EngineSettings::default()).await.unwrap();
     let cutter = Cutter::bind(ANY, point, once).await.unwrap();
--- a/tests/quarantine_world.rs
+++ b/tests/quarantine_world.rs
@@ -29,7 +29,8 @@
 enum State {
     /// It is sent to an upstream at this time or later.
     Waiting(Duration),
-    /// An upstream runs it. `trial` is how long it must run for its trial to succeed, if it has one.
+    /// An upstream runs it. `trial` is how long it must run for its trial to succeed, if it has
+    /// one.
     Running { attempt: InFlightAttempt, trial: Option<Duration>, trial_id: u64 },
     /// It is complete, or its caller gave up.
     Done,
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -57,7 +57,7 @@
     }
 }
 
-/// A dead engine is skipped by its chain.
+/// An engine that does not answer is skipped by its chain.
 #[test]
 fn dead_engine_does_not_block_its_chain() {
     let mut world = World::new(6, 2, 34);
--- a/tests/step.rs
+++ b/tests/step.rs
@@ -89,9 +89,9 @@
 }
 
 proptest! {
-    /// Attempts end, groups are pulled, versions advance and the step moves in any order, with a naive
-    /// trainer that keeps a list. No group is delivered that the trainer has, that is too old or
-    /// that is incomplete. Groups that it has received are not delivered again. The remaining
+    /// Attempts end, groups are pulled, versions advance and the step moves in any order, with a
+    /// naive trainer that keeps a list. No group is delivered that the trainer has, that is too old
+    /// or that is incomplete. Groups that it has received are not delivered again. The remaining
     /// samples run, or can begin.
     #[test]
     fn step_delivers_each_group_once(events in prop::collection::vec(event(), 1..80)) {
--- a/tests/texts.rs
+++ b/tests/texts.rs
@@ -1,5 +1,5 @@
-//! Tests that the text of a sample is complete and labelled, however its bytes are split and its runs
-//! end.
+//! Tests that the text of a sample is complete and labelled, however its bytes are split and its
+//! runs end.
 #![allow(clippy::unwrap_used)]
 
 use bytes::Bytes;
@@ -15,7 +15,8 @@
     (1..=events).map(|n| format!("{}id: {n}\ndata: d{n}\n\n", line(n))).collect()
 }
 
-/// Reads the events of a stream whose bytes arrive split at these positions, each modulo the length.
+/// Reads the events of a stream whose bytes arrive split at these positions, each modulo the
+/// length.
 fn read(text: &str, cuts: &[usize]) -> Vec<Event> {
     let mut reader = EventReader::new(VERSION_FIELD);
     let mut events = Vec::new();
--- a/tests/usage.rs
+++ b/tests/usage.rs
@@ -1,5 +1,5 @@
-//! Tests of the counting of usage without nodes: windows, clocks that jump, and notes that arrive twice
-//! or late.
+//! Tests of the counting of usage without nodes: windows, clocks that jump, and notes that arrive
+//! twice or late.
 #![allow(clippy::unwrap_used)]
 
 use std::time::Duration;
