--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -48,13 +48,13 @@
 ///
 /// ```
 /// use mulberrycourse::decide::{AttemptHistory, AttemptOutcome};
-/// use mulberrycourse::error::{Kind, Refusal, Run};
+/// use mulberrycourse::error::{Kind, Refusal, RunStatus};
 ///
 /// let mut history = AttemptHistory::new();
 /// history.record(AttemptOutcome::Unknown);
 /// history.record(AttemptOutcome::Unsent);
 /// let refusal = history.adjust(Refusal::new(Kind::RetriesSpent, "every attempt failed"));
-/// assert_eq!(refusal.run(), Run::Unknown);
+/// assert_eq!(refusal.run(), RunStatus::Unknown);
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptHistory {
