--- a/src/decide/call.rs
+++ b/src/decide/call.rs
@@ -13,7 +13,7 @@
     /// A caller waits for the answer.
     #[default]
     Live,
-    /// A rollout for a trainer.
+    /// A sample for a trainer.
     Training,
 }
 
--- a/src/decide/claim/opening.rs
+++ b/src/decide/claim/opening.rs
@@ -40,7 +40,7 @@
         let Ok(segments) = read else { return self.close_after_failure(now) };
         let complete = segments.iter().map(|s| s.number).eq(range.clone());
         if !complete {
-            // A lagging replica answered.
+            // A lagging replica of the platform's store answered.
             return self.close_after_failure(now);
         }
         for segment in &segments {
--- a/src/decide/claim/schedule.rs
+++ b/src/decide/claim/schedule.rs
@@ -5,7 +5,7 @@
 //! platform takes; waiting long would delay each call. The first claim after an idle time
 //! therefore waits for [`CLAIM_BATCH_DELAY`] only, and under load all claims within
 //! [`COMMIT_INTERVAL`] share one write. When the platform fails, requests are refused at
-//! once, and it is tried again with exponential backoff and jitter.
+//! once, and the platform is called again with exponential backoff and jitter.
 
 use std::time::Duration;
 
--- a/src/decide/concurrency.rs
+++ b/src/decide/concurrency.rs
@@ -1,9 +1,9 @@
 //! The concurrency limit of one upstream, adapted to the upstream's latency.
 //!
-//! Load pattern: an upstream gets slow, or has less capacity than the bundle configures. With a fixed
-//! limit, requests pile up inside it, where they can neither be refused nor moved, and every
-//! answer is late. The limit rises while answers take the usual time per unit of cost, and
-//! falls when they take twice as long, or when the upstream refuses.
+//! Load pattern: an upstream gets slow, or has less capacity than the bundle configures. With a
+//! fixed limit, requests pile up inside it, where they can neither be refused nor moved, and every
+//! answer is late. The limit, called the level here, rises while answers take the usual time per
+//! unit of cost, and falls when they take twice as long, or when the upstream refuses.
 //!
 //! The rule is that of TCP congestion avoidance with a delay signal (Brakmo and Peterson,
 //! "TCP Vegas", 1995): doubling up to a threshold, then one more each round, and a
@@ -11,19 +11,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Level of an upstream that has come back (slow start; TCP's initial window is of this
-/// order, RFC 6928).
+/// Level of an upstream that accepts work again after an interruption (slow start; TCP's
+/// initial window is of this order, RFC 6928).
 const RESTART_LEVEL: f64 = 4.0;
 /// A new upstream starts at this part of the ceiling, if that is more than [`RESTART_LEVEL`].
 const INITIAL_CEILING_SHARE: f64 = 0.25;
-/// A new upstream doubles only up to this multiple of its first level: answers take seconds,
-/// and overload shows as late.
+/// The level of a new upstream doubles only up to this multiple of its first level: answers
+/// take seconds, so that an overload shows only after seconds.
 const INITIAL_DOUBLING_FACTOR: f64 = 1.5;
 /// Latency, as a multiple of the baseline, above which the level falls: sharing a batch up to
 /// twofold is what continuous batching is for, more is a queue.
 const DECREASE_LATENCY_RATIO: f64 = 2.0;
 /// Latency, as a multiple of the baseline, above which the level rises no more and training
-/// gets only half of it: once a batch is full, more would only slow the live requests in it.
+/// gets only half of it: once a batch is full, more requests would only slow the live ones in it.
 const INCREASE_LATENCY_RATIO: f64 = 1.25;
 /// Largest decrease: the part of the level that is left. A decrease is in proportion to the
 /// excess latency, between this and [`MIN_DECREASE_FACTOR`].
@@ -37,8 +37,8 @@
 /// Weight of a higher recent latency in the baseline: a lasting change takes about 1,000
 /// answers.
 const BASELINE_RISE_WEIGHT: f64 = 0.001;
-/// Live requests may exceed the level by this factor: they need not wait for long rollouts
-/// to end.
+/// Live requests may exceed the level by this factor: they need not wait for long samples
+/// of training to end.
 const LIVE_EXCESS_FACTOR: f64 = 1.25;
 
 /// The limit on the attempts in flight at one upstream.
@@ -50,14 +50,14 @@
     running: u32,
     /// The current limit.
     level: f64,
-    /// Level up to which the limit doubles each round.
+    /// Level up to which the limit doubles each round; above it, the limit rises by one a round.
     threshold: f64,
     /// The usual latency in seconds per unit of cost.
     #[serde(rename = "usual")]
     baseline: Option<f64>,
     /// The recent latency in seconds per unit of cost.
     recent: f64,
-    /// Answers until the limit may decrease again.
+    /// Answers left in this round; the limit decreases again only once it is 0.
     round: u32,
 }
 
@@ -84,7 +84,7 @@
         self.level = self.level.min(f64::from(self.ceiling));
     }
 
-    /// Starts low again because the upstream has come back.
+    /// Starts low again because the upstream accepts work after an interruption.
     pub fn restart(&mut self) {
         let fresh = Self::new(self.ceiling);
         let level = RESTART_LEVEL.min(f64::from(self.ceiling));
--- a/src/decide/demand.rs
+++ b/src/decide/demand.rs
@@ -10,8 +10,8 @@
 
 use crate::{Moment, Name};
 
-/// A model without a step for this long has no demand. It spans several steps of the trainers
-/// that the deployments state.
+/// A model without a step for this long has no demand. It spans several steps of the usual
+/// trainers.
 const DEMAND_RETENTION: Duration = Duration::from_secs(60);
 /// A step that differs by at most the known work divided by this leaves the demand unchanged:
 /// length estimates are often far off, and each replica that changes its model costs a load.
@@ -25,7 +25,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct LatestStep {
-    /// Expected units of text.
+    /// Expected length of its texts together, in the unit of the senders' estimates.
     work: u64,
     at: Moment,
 }
--- a/src/decide/departures.rs
+++ b/src/decide/departures.rs
@@ -1,7 +1,7 @@
 //! Tracks which upstream VMs are leaving, from the platform's list and from peers. A VM that is
 //! known to leave never counts as available again under the same incarnation.
 //!
-//! Load pattern: the platform's list lags by tens of seconds, its replicas differ,
+//! Load pattern: the platform's list lags by tens of seconds, copies of it differ,
 //! and at 380 nodes only a few read it often. Without this, a node with an older view
 //! keeps sending work to a VM that others know to be leaving, and an older
 //! answer of the list makes a leaving VM available again.
--- a/src/decide/dispatch/pending.rs
+++ b/src/decide/dispatch/pending.rs
@@ -4,10 +4,10 @@
 use crate::Moment;
 use crate::decide::{Call, QueuePosition};
 
-/// The current place of a request.
+/// Where a request is now.
 #[derive(Debug, Clone)]
 pub(super) enum RequestState {
-    /// In the queue.
+    /// In the queue, at this position.
     Waiting(QueuePosition),
     /// At an upstream.
     Running {
--- a/src/decide/early_samples.rs
+++ b/src/decide/early_samples.rs
@@ -3,7 +3,7 @@
 //! Load pattern: while a trainer trains, the engines have nothing to do for it, and while
 //! they make its samples, the trainer is idle. Samples that start early fill the gap, and
 //! are one version older when they are used. The bundle's `idle_weight` sets which matters
-//! more; its effect is measured in docs/design/046-two-objectives.md.
+//! more: the more samples start early, the less the trainer is idle, and the older they are.
 
 /// Number of samples of the next step to start now.
 ///
--- a/src/decide/fair_queue.rs
+++ b/src/decide/fair_queue.rs
@@ -14,11 +14,16 @@
 /// Number of idle flows that are remembered before those with a tag in the past are dropped.
 const MAX_IDLE_FLOWS: usize = 1_024;
 
+/// One flow, such as the requests of one caller.
 #[derive(Debug, Clone)]
 struct Flow {
+    /// Its share relative to the other flows, at least 1.
     weight: u64,
+    /// Virtual time at which it is served next.
     tag: u64,
+    /// Number of waiting items.
     items: usize,
+    /// Total cost of the waiting items.
     backlog: u64,
 }
 
--- a/src/decide/fallback.rs
+++ b/src/decide/fallback.rs
@@ -19,12 +19,12 @@
 const PEER_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// Time between two probes by any of the nodes while the service is down for all: a trainer's
 /// step is held up for half of it on average, and each probe costs a call. The node that
-/// finds the service back notifies the others.
+/// reaches the service again notifies the others.
 const FLEET_PROBE_INTERVAL: Duration = Duration::from_millis(60);
 /// Shortest time between two probes of one node, where there are few nodes.
 const MIN_NODE_PROBE_INTERVAL: Duration = Duration::from_millis(150);
-/// Longest time between two probes of one node, where there are many. The node that finds the
-/// service back notifies the others, and each node asks two others every [`PEER_RETRY_DELAY`];
+/// Longest time between two probes of one node, where there are many. The node that reaches the
+/// service again notifies the others, and each node asks two others every [`PEER_RETRY_DELAY`];
 /// only a node that is cut off from all others waits this long. With 2 s, 250 nodes made 125
 /// probes a second.
 const MAX_NODE_PROBE_INTERVAL: Duration = Duration::from_secs(8);
@@ -32,9 +32,9 @@
 /// Returns the time between two probes of one node where `nodes` nodes probe. `draw` is a
 /// random number that keeps the nodes apart: the time varies by a quarter in both directions.
 pub fn probe_interval(nodes: usize, draw: u32) -> Duration {
-    let even = (FLEET_PROBE_INTERVAL * nodes as u32)
+    let mean = (FLEET_PROBE_INTERVAL * nodes as u32)
         .clamp(MIN_NODE_PROBE_INTERVAL, MAX_NODE_PROBE_INTERVAL);
-    even.mul_f64(0.75 + 0.5 * fraction(draw))
+    mean.mul_f64(0.75 + 0.5 * fraction(draw))
 }
 
 /// Maps a random number to a fraction from 0 up to but not including 1.
@@ -60,7 +60,9 @@
 /// The schedule of direct probes while direct calls fail.
 #[derive(Debug, Clone, Copy)]
 struct DirectOutage {
+    /// When the next probe is due.
     next_probe: Moment,
+    /// Time between the last failure and the next probe.
     interval: Duration,
 }
 
@@ -106,7 +108,7 @@
 
     /// Sets the time between two probes while no peer can help, and by `draw` the offset of the
     /// first one. All nodes lose the service at the same moment: without offsets of their own,
-    /// 250 nodes made no probe for six seconds, and found the service back two seconds late.
+    /// 250 nodes made no probe for six seconds, and detected the recovery two seconds late.
     pub fn set_probe_interval(&mut self, interval: Duration, draw: u32) {
         self.probe_interval = Some(interval);
         self.phase = interval.mul_f64(fraction(draw));
--- a/src/decide/fleet/fleet.rs
+++ b/src/decide/fleet/fleet.rs
@@ -24,22 +24,23 @@
 /// usual loading time of 0.9 s, so that it is used soon after it is ready.
 const LOADING_EXCLUSION: Duration = Duration::from_millis(300);
 
-/// With more replicas than this, not all are considered for each text and each event: the first
-/// replica that is idle, near and as fast as usual gets a text, and the usual event interval,
-/// which requires sorting all replicas, is computed once per [`TYPICAL_INTERVAL_REFRESH`]. With
-/// fewer, considering all in order to find the fastest one is worth the time.
+/// With more replicas than this, not all are considered for each attempt and each event: the
+/// first replica that is idle, in this node's availability zone and as fast as is typical gets
+/// the attempt, and the typical event interval, which requires sorting all replicas, is computed
+/// once per [`TYPICAL_INTERVAL_REFRESH`]. With fewer, considering all in order to find the
+/// fastest one is worth the time.
 const LARGE_FLEET_REPLICAS: usize = 64;
-/// Time between two computations of the usual event interval of a service in a large fleet: a
+/// Time between two computations of the typical event interval of a service in a large fleet: a
 /// tenth of the time in which the speed of a run is judged.
 const TYPICAL_INTERVAL_REFRESH: Duration = Duration::from_millis(50);
 
-/// A run slower than usual by this factor is worth moving. Depending on their load, replicas of
-/// one kind differ by less than half; a faulty replica is two to four times as slow.
+/// A run slower than is typical by this factor is worth moving. Depending on their load, replicas
+/// of one kind differ by less than half; a faulty replica is two to four times as slow.
 const SLOW_FACTOR: f64 = 1.7;
 
 /// A candidate for an attempt. Smaller is better.
 #[derive(Clone, Copy)]
-struct Rated<'a> {
+struct Candidate<'a> {
     /// Whether an earlier attempt failed there, and whether it has no free slot.
     penalties: (bool, bool),
     /// Expected time until an answer, in seconds.
@@ -47,7 +48,7 @@
     replica: &'a Replica,
 }
 
-impl Rated<'_> {
+impl Candidate<'_> {
     fn order(&self, other: &Self) -> Ordering {
         self.penalties.cmp(&other.penalties).then(self.latency.total_cmp(&other.latency))
     }
@@ -62,7 +63,7 @@
     last_chosen: Name,
     /// The latest time until which any replica is excluded.
     last_exclusion: Moment,
-    /// Usual time per cost of the attempts of each service.
+    /// Typical time per unit of cost of the attempts of each service.
     typical_pace: HashMap<Name, LatencyEstimate>,
     /// When the typical event interval of each service was last computed.
     interval_updates: HashMap<Name, Moment>,
@@ -118,7 +119,7 @@
         self.replicas.remove(id).is_some()
     }
 
-    /// Whether there are too many replicas to consider all of them for each text.
+    /// Whether there are too many replicas to consider all of them for each attempt.
     pub fn is_large(&self) -> bool {
         self.replicas.len() > LARGE_FLEET_REPLICAS
     }
@@ -206,8 +207,8 @@
         let exclude = self.applies_exclusions(request.service, now);
         let ignore_load = request.allow_full || request.weights.is_none();
         let many = self.is_large();
-        let mut best: Option<Rated<'_>> = None;
-        let mut chosen: Option<Rated<'_>> = None;
+        let mut best: Option<Candidate<'_>> = None;
+        let mut chosen: Option<Candidate<'_>> = None;
         for replica in self.after_last(request.service).filter(|r| fits(r, request, now, exclude)) {
             let (known, typical) = self.pace_and_typical(replica, request);
             let load_known = ignore_load || replica.load_is_known(now);
@@ -246,8 +247,8 @@
         open.then(|| replica.listed.target.clone())
     }
 
-    /// Returns the measure of a replica's speed that applies to an attempt, and the usual value
-    /// of that measure in the service.
+    /// Returns the measure of a replica's speed that applies to an attempt, and the typical
+    /// value of that measure in the service.
     fn pace_and_typical<'a>(
         &self,
         replica: &'a Replica,
@@ -275,9 +276,9 @@
 
     /// Returns the replicas of a service, starting after the one that got the last attempt.
     ///
-    /// Load pattern: a step of thousands of texts and thousands of replicas. No replica is better
-    /// than the first that is idle, near and as fast as usual; if each search began at the same
-    /// end, each text would pass all replicas that the texts before it have taken.
+    /// Load pattern: a step of thousands of samples and thousands of replicas. No replica is better
+    /// than the first that is idle, in this zone and as fast as is typical; if each search began
+    /// at the same end, each sample would pass all replicas that the samples before it have taken.
     fn after_last<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Replica> {
         let after = self.replicas.range::<str, _>((Excluded(&*self.last_chosen), Unbounded));
         let before = self.replicas.range::<str, _>((Unbounded, Included(&*self.last_chosen)));
@@ -291,20 +292,24 @@
         request: &AttemptRequest<'_>,
         pace: f64,
         now: Moment,
-    ) -> Rated<'a> {
+    ) -> Candidate<'a> {
         let listed = &replica.listed;
         let far = self.zone.as_ref().is_some_and(|zone| *zone != listed.zone);
         let load = f64::from(replica.running) + replica.others.decayed(now);
         let full = load >= f64::from(listed.slots);
         let avoided = request.avoid.contains(&listed.target.id);
-        Rated { penalties: (avoided, full), latency: expected_latency(load, pace, 1, far), replica }
+        Candidate {
+            penalties: (avoided, full),
+            latency: expected_latency(load, pace, 1, far),
+            replica,
+        }
     }
 
     /// Records the time between two events of a replica's streams, in seconds.
     ///
     /// Load pattern: a third of the replicas slow down to a quarter of their speed. Compared with
     /// the mean of all runs, including their own, none of these would count as slow. So the
-    /// usual value is the one that a quarter of the replicas reach, as two of three are slow
+    /// typical value is the one that a quarter of the replicas reach, as two of three are slow
     /// now and then, and it measures the time between events, without waits and prompts.
     pub fn record_event_interval(&mut self, id: &str, seconds: f64, now: Moment) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
@@ -321,8 +326,8 @@
         let mut known: Vec<f64> =
             self.of(&service).filter_map(|r| r.event_interval.mean()).collect();
         known.sort_unstable_by(f64::total_cmp);
-        if let Some(usual) = known.get(known.len().saturating_sub(1) / 4) {
-            self.typical_intervals.insert(service, *usual);
+        if let Some(typical) = known.get(known.len().saturating_sub(1) / 4) {
+            self.typical_intervals.insert(service, *typical);
         }
     }
 
@@ -369,12 +374,12 @@
         &mut self,
         id: &str,
         model: Option<&str>,
-        ended: ReplicaOutcome,
+        outcome: ReplicaOutcome,
         now: Moment,
     ) {
         let Some(replica) = self.replicas.get_mut(id) else { return };
         replica.running = replica.running.saturating_sub(1);
-        match ended {
+        match outcome {
             ReplicaOutcome::Answered { duration, cost } => {
                 replica.pace.record(cost, duration, now);
                 replica.failures.answered();
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -7,8 +7,8 @@
 use crate::decide::{FailureTracker, LatencyEstimate, OtherLoad};
 use crate::{Moment, Name};
 
-/// How long a replica's report of its load counts: a text takes about as long, so after this
-/// time texts of other nodes may have begun or ended.
+/// How long a replica's report of its load counts: a sample takes about as long, so after this
+/// time samples of other nodes may have begun or ended.
 const LOAD_REPORT_LIFETIME: Duration = Duration::from_millis(500);
 
 /// A replica as this node knows it.
@@ -19,7 +19,7 @@
     pub running: u32,
     /// Requests of other nodes there, by its last report.
     pub others: OtherLoad,
-    /// Time per cost of the attempts there.
+    /// Time per unit of cost of the attempts there.
     pub pace: LatencyEstimate,
     /// Time between the events of its streams.
     pub event_interval: LatencyEstimate,
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Whether its load is known well enough for it to get one more text.
+    /// Whether its load is known well enough for it to get one more sample.
     ///
     /// Load pattern: the steps of several trainers begin at once, each at a different node, and
     /// each node assumes that every slot is free. With six nodes at ten replicas of six slots,
-    /// 188 texts of 400 were refused in the first two seconds, and 230 more waited at a replica
+    /// 188 samples of 400 were refused in the first two seconds, and 230 more waited at a replica
     /// for longer than an answer may take and were begun again elsewhere. So a replica gets one
-    /// text at a time, and the next one once the answer to it has reported the load, within
+    /// sample at a time, and the next one once the answer to it has reported the load, within
     /// milliseconds; only a replica that just reported that no other node uses it is filled at
     /// once.
     pub(super) fn load_is_known(&self, now: Moment) -> bool {
--- a/src/decide/fleet/slot_queue.rs
+++ b/src/decide/fleet/slot_queue.rs
@@ -1,10 +1,10 @@
 //! The samples that wait for a slot at a replica, and the order in which they get one.
 //!
-//! Load pattern: the texts of a step wait for replicas that get one text at a time until they
+//! Load pattern: the samples of a step wait for replicas that get one sample at a time until they
 //! have reported their load, so that each response head frees a slot at its replica. Checking
-//! all waiting texts at each head costs heads times texts, thousands of each; checking only
-//! periodically leaves every slot empty for half of the period. So texts wait in a queue for
-//! each kind of slot, and a response head offers its own replica to the first texts of the
+//! all waiting samples at each head costs heads times samples, thousands of each; checking only
+//! periodically leaves every slot empty for half of the period. So samples wait in a queue
+//! for each kind of slot, and a response head offers its own replica to the first samples of the
 //! queues that the replica serves: that costs as much with thousands of replicas as with ten.
 
 use std::collections::BTreeMap;
--- a/src/decide/job/job.rs
+++ b/src/decide/job/job.rs
@@ -14,17 +14,18 @@
 /// Bytes that a result takes up in addition to its parts.
 const RESULT_OVERHEAD_BYTES: usize = 64;
 
-/// Results become urgent while one in this many of the wanted groups, and one more, is still
-/// missing: the trainer also waits for groups left over from an earlier step, in addition to
+/// Results become urgent once at most one in this many of the wanted groups, plus one group, is
+/// still missing: the trainer also waits for groups left over from an earlier step, in addition to
 /// the number that is wanted.
 const URGENT_MISSING_DIVISOR: usize = 10;
 
-/// A step whose samples fill the slots at most this many times in succession takes little longer
-/// than its longest samples, which are five times as long as usual.
+/// Samples begin by length, the longest first, if they fill the slots at most this many times in
+/// succession: such a step takes little longer than its longest samples, which are five times as
+/// long as usual.
 const MAX_ROUNDS_BY_LENGTH: usize = 3;
 
 /// Number of optional fields that were added at the end of a submission since its first format.
-const ADDED_FIELDS: usize = 2;
+const ADDED_FIELD_COUNT: usize = 2;
 /// The encoding of an optional field without a value.
 const ENCODED_NONE: u8 = 0;
 
@@ -54,7 +55,7 @@
     /// which are none then. Fails if the bytes are not a submission of any format.
     pub fn decode(mut bytes: Vec<u8>) -> Result<Self, bincode::error::DecodeError> {
         let config = bincode::config::standard();
-        for _ in 0..ADDED_FIELDS {
+        for _ in 0..ADDED_FIELD_COUNT {
             match bincode::serde::decode_from_slice(&bytes, config) {
                 Err(bincode::error::DecodeError::UnexpectedEnd { .. }) => bytes.push(ENCODED_NONE),
                 decoded => return decoded.map(|(spec, _)| spec),
--- a/src/decide/job/order.rs
+++ b/src/decide/job/order.rs
@@ -11,31 +11,31 @@
 
 use crate::Name;
 
-/// The organisation of a job; all jobs without an organisation share one order.
-type Owner = Option<Name>;
+/// The organisation that submitted a job; all jobs without an organisation share one order.
+type Submitter = Option<Name>;
 
 /// The start tags of the open jobs at one node.
 #[derive(Debug, Default)]
 pub struct JobOrder {
     /// The organisation of each open job, by start tag.
-    open: BTreeMap<u64, Owner>,
+    open: BTreeMap<u64, Submitter>,
     /// Virtual time at which the last job of each organisation ends.
-    ends: HashMap<Owner, u64>,
-    /// Virtual time when there was last no open job.
+    ends: HashMap<Submitter, u64>,
+    /// Virtual time at which there was last no open job.
     idle: u64,
 }
 
 impl JobOrder {
     /// Adds a job with this number of samples and returns its start tag, which no other open job
     /// has.
-    pub fn begin(&mut self, owner: Owner, samples: usize) -> u64 {
-        let own = self.ends.get(&owner).copied().unwrap_or(0);
+    pub fn begin(&mut self, submitter: Submitter, samples: usize) -> u64 {
+        let own = self.ends.get(&submitter).copied().unwrap_or(0);
         let mut tag = self.present().max(own);
         while self.open.contains_key(&tag) {
             tag += 1;
         }
-        self.open.insert(tag, owner.clone());
-        self.ends.insert(owner, tag + samples as u64);
+        self.open.insert(tag, submitter.clone());
+        self.ends.insert(submitter, tag + samples as u64);
         tag
     }
 
--- a/src/decide/members/table.rs
+++ b/src/decide/members/table.rs
@@ -19,8 +19,8 @@
 
 /// Maximum number of records in a message. At 95 bytes each this bounds a message to 1.2 KB.
 const MAX_RECORDS: usize = 8;
-/// Maximum number of heartbeats in a message, at 13 bytes each; `members-bench` shows that the
-/// oldest heartbeat at 380 nodes stays far below [`MAX_HEARTBEAT_AGE`] with this number.
+/// Maximum number of heartbeats in a message, at 13 bytes each. With this number, the
+/// oldest heartbeat at 380 nodes stays far below [`MAX_HEARTBEAT_AGE`].
 const MAX_HEARTBEATS: usize = 24;
 /// Maximum number of unknown nodes whose records are requested in a message.
 const MAX_WANTED: usize = 8;
@@ -32,7 +32,7 @@
 /// 380 nodes in about 2 s, and the refutation needs as long again.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(4);
 /// A node whose heartbeat has not advanced for this long is suspected without a failed
-/// contact. `members-bench`: the oldest heartbeat of a live node is 14 s at 380 nodes and
+/// contact. The oldest heartbeat of a live node is 14 s at 380 nodes and
 /// 30 s at 1,024.
 const MAX_HEARTBEAT_AGE: Duration = Duration::from_secs(60);
 /// A longer gap between two rounds means that this node was frozen and can't judge others.
@@ -114,7 +114,7 @@
         let gap = now.saturating_sub(self.round);
         self.round = now;
         if gap > MAX_ROUND_GAP {
-            self.excuse_all(gap);
+            self.extend_time_limits(gap);
         }
         let quota = self.send_quota();
         for member in self.known.values_mut() {
@@ -334,8 +334,8 @@
         3 * (u32::BITS - count.leading_zeros())
     }
 
-    /// Extends all deadlines by the time that this node was frozen and received nothing.
-    fn excuse_all(&mut self, gap: Duration) {
+    /// Extends all time limits by the time that this node was frozen and received nothing.
+    fn extend_time_limits(&mut self, gap: Duration) {
         for member in self.known.values_mut() {
             member.advanced += gap;
             member.suspected = member.suspected.map(|since| since + gap);
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -1,10 +1,10 @@
 //! Fair queue of the waiting requests of one service.
 //!
 //! Load pattern: one caller, or one prefix of a caller, asks for more than the rest together,
-//! and rollouts ask for all remaining capacity. First in, first out would serve in proportion
+//! and training asks for all remaining capacity. First in, first out would serve in proportion
 //! to demand, and the largest flow would get nearly all. Here the live class goes before
 //! training, training keeps a minimum share (its floor), callers share by weight and the
-//! prefixes of one live caller equally, all by expected cost. Rollouts of one trainer stay in
+//! prefixes of one live caller equally, all by expected cost. Samples of one trainer stay in
 //! their order, so that groups are completed one after the other and their prefix stays
 //! cached.
 
@@ -27,14 +27,16 @@
 /// The requests of one caller in one class, by flow key.
 #[derive(Debug, Clone)]
 struct CallerQueue<T> {
-    turns: FairQueue<u64>,
+    /// The order of service of the flows.
+    order: FairQueue<u64>,
     items: HashMap<u64, BTreeMap<i64, T>>,
 }
 
 /// The requests of one class, by caller.
 #[derive(Debug, Clone)]
 struct ClassQueue<T> {
-    turns: FairQueue<Name>,
+    /// The order of service of the callers.
+    order: FairQueue<Name>,
     callers: HashMap<Name, CallerQueue<T>>,
     len: usize,
     /// Total cost of the requests.
@@ -43,7 +45,7 @@
 
 impl<T> Default for ClassQueue<T> {
     fn default() -> Self {
-        Self { turns: FairQueue::default(), callers: HashMap::new(), len: 0, cost: 0 }
+        Self { order: FairQueue::default(), callers: HashMap::new(), len: 0, cost: 0 }
     }
 }
 
@@ -102,16 +104,16 @@
     /// The next request of a class, which stays in the queue.
     pub fn peek(&self, class: Class) -> Option<T> {
         let queue = self.class_queue(class);
-        let caller = queue.callers.get(queue.turns.next()?)?;
-        let items = caller.items.get(caller.turns.next()?)?;
+        let caller = queue.callers.get(queue.order.next()?)?;
+        let items = caller.items.get(caller.order.next()?)?;
         items.first_key_value().map(|(_, item)| *item)
     }
 
     /// The newest request of the caller with the largest backlog for its weight.
     pub fn newest_of_largest(&self, class: Class) -> Option<T> {
         let queue = self.class_queue(class);
-        let caller = queue.callers.get(queue.turns.heaviest()?)?;
-        let items = caller.items.get(caller.turns.heaviest()?)?;
+        let caller = queue.callers.get(queue.order.heaviest()?)?;
+        let items = caller.items.get(caller.order.heaviest()?)?;
         items.last_key_value().map(|(_, item)| *item)
     }
 
@@ -151,11 +153,11 @@
         let key = flow_key(call);
         // Of the same caller's requests, those of other flows precede it only in turn.
         let own = queue.callers.get(&call.caller).map_or(0.0, |caller| {
-            let keys = caller.turns.total_weight_with(&key, 1) as f64;
-            let fair = caller.turns.backlog(&key) as f64 * keys;
-            fair.min(queue.turns.backlog(&call.caller) as f64)
+            let keys = caller.order.total_weight_with(&key, 1) as f64;
+            let fair = caller.order.backlog(&key) as f64 * keys;
+            fair.min(queue.order.backlog(&call.caller) as f64)
         });
-        let weights = queue.turns.total_weight_with(&call.caller, weight) as f64;
+        let weights = queue.order.total_weight_with(&call.caller, weight) as f64;
         (own * weights / f64::from(weight.max(1))).min(queue.cost as f64)
     }
 
@@ -172,11 +174,11 @@
     fn insert(&mut self, call: &Call, weight: u32, number: i64, item: T) -> QueuePosition {
         let key = flow_key(call);
         let queue = self.class_queue_mut(call.class);
-        let fresh = || CallerQueue { turns: FairQueue::default(), items: HashMap::new() };
+        let fresh = || CallerQueue { order: FairQueue::default(), items: HashMap::new() };
         let caller = queue.callers.entry(call.caller.clone()).or_insert_with(fresh);
-        caller.turns.add(&key, 1, call.cost);
+        caller.order.add(&key, 1, call.cost);
         caller.items.entry(key).or_default().insert(number, item);
-        queue.turns.add(&call.caller, weight, call.cost);
+        queue.order.add(&call.caller, weight, call.cost);
         queue.len += 1;
         queue.cost += u64::from(call.cost);
         let (class, caller, cost) = (call.class, call.caller.clone(), call.cost);
@@ -193,11 +195,11 @@
         if items.is_empty() {
             caller.items.remove(&position.key);
         }
-        caller.turns.take(&position.key, position.cost, served);
+        caller.order.take(&position.key, position.cost, served);
         if caller.items.is_empty() {
             queue.callers.remove(&position.caller);
         }
-        queue.turns.take(&position.caller, position.cost, served);
+        queue.order.take(&position.caller, position.cost, served);
         queue.len -= 1;
         queue.cost -= u64::from(position.cost);
     }
--- a/src/decide/rollout/engine.rs
+++ b/src/decide/rollout/engine.rs
@@ -5,7 +5,7 @@
 /// The weights that the engines of a service have to serve, from the bundle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetWeights {
-    /// The bundle's number, which is the fencing number of orders.
+    /// The bundle's number, which is the fencing token of orders.
     pub generation: u64,
     /// The weight version.
     pub version: u64,
--- a/src/decide/rollout/mod.rs
+++ b/src/decide/rollout/mod.rs
@@ -9,7 +9,7 @@
 //! engines of a service are divided into a fixed number of chains ([`SwapChains`]), and in
 //! each chain one engine swaps at a time, in order: at most as many engines swap at once as
 //! there are chains, whoever owns them, without agreement between the nodes. An order states
-//! the target state with the bundle's number as fencing number, so that two nodes that both
+//! the target state with the bundle's number as fencing token, so that two nodes that both
 //! consider themselves the owner do no harm.
 
 mod chains;
--- a/src/decide/rollout/rollout.rs
+++ b/src/decide/rollout/rollout.rs
@@ -7,8 +7,8 @@
 use crate::{Moment, Name};
 
 /// Time without a change in a chain after which the chain skips the engine that blocks it.
-/// Longer than the longest swap, 8 s, with which three engines a chain keep to the planned
-/// 24 s for all replicas.
+/// Longer than the longest swap, 8 s, with which a chain of three engines keeps to the 24 s
+/// that are planned for a rollout.
 const CHAIN_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time without an effect after which an order is repeated: longer than the lag of the load
 /// reports and the delivery of an order.
@@ -99,7 +99,7 @@
                 state.stage = RolloutStage::of(state.observation, target);
                 state.changed_at = now;
                 state.was_settled = false;
-                // An engine that is already dead does not block its chain.
+                // An engine that already counts as dead does not block its chain.
                 state.skipped = state.stage == RolloutStage::Silent
                     && state.silent_polls >= SILENT_POLLS_TO_DEAD;
                 state.ordered_at = None;
--- a/src/decide/scale/demand_estimator.rs
+++ b/src/decide/scale/demand_estimator.rs
@@ -5,9 +5,8 @@
 
 use crate::{Moment, Name};
 
-/// The time over which demand is averaged: two steps of the trainers that the deployments
-/// state. A step asks for all its slots at once, so a shorter time would show only its
-/// beginning.
+/// The time over which demand is averaged: two steps of the usual trainers. A step asks for all
+/// its slots at once, so a shorter time would show only its beginning.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(8);
 
 /// After a gap this long between two reports of a node, its next total only sets a new baseline:
--- a/src/decide/scale/planner.rs
+++ b/src/decide/scale/planner.rs
@@ -109,11 +109,11 @@
         let price = |zone: &Name| limits.prices.get(zone).copied().unwrap_or(f64::MAX);
         for _ in 0..count {
             let open = self.extra.iter_mut().filter(|(_, extra)| **extra > 0);
-            let dearest = open.max_by(|a, b| {
+            let costliest = open.max_by(|a, b| {
                 let cost = |zone: &Name, extra: u32| f64::from(extra) * price(zone);
                 cost(a.0, *a.1).total_cmp(&cost(b.0, *b.1))
             });
-            let Some((_, extra)) = dearest else { return };
+            let Some((_, extra)) = costliest else { return };
             *extra -= 1;
         }
     }
--- a/src/decide/upstream_choice.rs
+++ b/src/decide/upstream_choice.rs
@@ -11,8 +11,8 @@
 
 use crate::Moment;
 
-/// Extra seconds of an attempt in another availability zone: a round trip at the 1.5 ms
-/// one way that the deployments state. As a time it matters less under load.
+/// Extra seconds of an attempt in another availability zone: a round trip at 1.5 ms
+/// one way. It is added to the expected time, so that it matters less under load.
 const OTHER_ZONE_SECONDS: f64 = 0.003;
 /// Half-life of a report of others' load: reports come several times a second
 /// and a request lasts for seconds.
--- a/src/decide/usage/agreed_clock.rs
+++ b/src/decide/usage/agreed_clock.rs
@@ -24,25 +24,25 @@
 }
 
 impl AgreedClock {
-    /// Records the time of day that another node reports. `running` is this node's monotonic
+    /// Records the time of day that another node reports. `since_boot` is this node's monotonic
     /// clock.
-    pub fn record_peer(&mut self, node: &Name, theirs: Duration, running: Duration) {
-        self.peers.insert(node.clone(), (theirs.saturating_sub(running), running));
+    pub fn record_peer(&mut self, node: &Name, theirs: Duration, since_boot: Duration) {
+        self.peers.insert(node.clone(), (theirs.saturating_sub(since_boot), since_boot));
     }
 
     /// Returns the time of day, given this node's monotonic clock and wall clock read together.
     /// With recent reports of two or more nodes it is the median of their times and the own
     /// one, unless that is close to the own time.
-    pub fn read(&mut self, running: Duration, wall: Duration) -> Duration {
-        let own = self.own.read(running, wall);
-        self.peers.retain(|_, (_, at)| running.saturating_sub(*at) <= PEER_TIME_RETENTION);
+    pub fn read(&mut self, since_boot: Duration, since_epoch: Duration) -> Duration {
+        let own = self.own.read(since_boot, since_epoch);
+        self.peers.retain(|_, (_, at)| since_boot.saturating_sub(*at) <= PEER_TIME_RETENTION);
         if self.peers.len() < 2 {
             return own;
         }
         let mut origins: Vec<Duration> = self.peers.values().map(|(origin, _)| *origin).collect();
-        origins.push(own.saturating_sub(running));
+        origins.push(own.saturating_sub(since_boot));
         origins.sort_unstable();
-        let agreed = origins[origins.len() / 2] + running;
+        let agreed = origins[origins.len() / 2] + since_boot;
         if agreed.abs_diff(own) <= MAX_IGNORED_OFFSET { own } else { agreed }
     }
 }
--- a/src/decide/usage/ledger.rs
+++ b/src/decide/usage/ledger.rs
@@ -5,8 +5,8 @@
 use super::{Counts, WindowNote};
 use crate::Name;
 
-/// Number of windows before and after the present one that are kept.
-const KEPT_WINDOWS: u64 = 8;
+/// Number of windows before and after the present one whose counts are retained.
+const RETAINED_WINDOWS: u64 = 8;
 
 /// The counts of all nodes, by window and by incarnation of a node.
 ///
@@ -36,10 +36,10 @@
     /// Records what an incarnation of a node has counted. A window far from the present one
     /// comes from a wrong clock of that node: such windows are left out and returned.
     pub fn record(&mut self, incarnation: &Name, notes: &[WindowNote], present: u64) -> Vec<u64> {
-        self.windows = self.windows.split_off(&present.saturating_sub(KEPT_WINDOWS));
+        self.windows = self.windows.split_off(&present.saturating_sub(RETAINED_WINDOWS));
         let mut rejected = Vec::new();
         for note in notes {
-            if note.window.abs_diff(present) > KEPT_WINDOWS {
+            if note.window.abs_diff(present) > RETAINED_WINDOWS {
                 rejected.push(note.window);
                 continue;
             }
--- a/src/decide/usage/steady_clock.rs
+++ b/src/decide/usage/steady_clock.rs
@@ -21,20 +21,20 @@
 
 impl SteadyClock {
     /// Returns the time of day, given the monotonic clock and the wall clock read together.
-    pub fn read(&mut self, running: Duration, wall: Duration) -> Duration {
-        let seen = wall.saturating_sub(running);
+    pub fn read(&mut self, since_boot: Duration, since_epoch: Duration) -> Duration {
+        let seen = since_epoch.saturating_sub(since_boot);
         let origin = *self.origin.get_or_insert(seen);
         if seen.abs_diff(origin) <= MAX_SLEW {
             self.jumped = None;
             self.origin = Some(seen);
-            return wall;
+            return since_epoch;
         }
-        let since = *self.jumped.get_or_insert(running);
-        if running.saturating_sub(since) >= JUMP_ACCEPTANCE_DELAY {
+        let since = *self.jumped.get_or_insert(since_boot);
+        if since_boot.saturating_sub(since) >= JUMP_ACCEPTANCE_DELAY {
             self.jumped = None;
             self.origin = Some(seen);
-            return wall;
+            return since_epoch;
         }
-        origin + running
+        origin + since_boot
     }
 }
--- a/src/decide/weight_loads.rs
+++ b/src/decide/weight_loads.rs
@@ -10,7 +10,7 @@
 use crate::Name;
 
 /// One in this many replicas may load at the same time, see [`MIN_CONCURRENT_LOADS`]. The
-/// deployments state full speed up to 2 of 9 and 7 of 36.
+/// deployments specify full speed while up to 2 of 9, or 7 of 36, replicas load.
 const REPLICAS_PER_LOAD: f64 = 5.0;
 /// The number of replicas that may always load at the same time.
 const MIN_CONCURRENT_LOADS: usize = 2;
@@ -49,8 +49,8 @@
 /// Returns the models that share the replicas, each with its weight: those with an announced
 /// version and those that have work. A model without known steps gets the mean weight.
 ///
-/// When replicas were assigned only among the models announced so far, the first announced
-/// model had all replicas loaded, and the next one waited for these loads: ten seconds with ten
+/// If replicas were assigned only among the models announced so far, all of them would load the
+/// first announced model, and the next model would wait for these loads: ten seconds with ten
 /// replicas and six models.
 pub fn model_weights(
     announced: &BTreeMap<Name, u64>,
--- a/src/edge/http/pool.rs
+++ b/src/edge/http/pool.rs
@@ -26,7 +26,7 @@
 
 /// TCP keep-alive probes on a connection without traffic, so that a dead connection is detected
 /// while a watch waits on it.
-const KEEPALIVE: TcpKeepalive = TcpKeepalive::new()
+const TCP_KEEPALIVE: TcpKeepalive = TcpKeepalive::new()
     .with_time(Duration::from_secs(1))
     .with_interval(Duration::from_secs(1))
     .with_retries(1);
@@ -132,7 +132,7 @@
             let stream = TcpStream::connect(to).await?;
             stream.set_nodelay(true)?;
             let socket = SockRef::from(&stream);
-            socket.set_tcp_keepalive(&KEEPALIVE)?;
+            socket.set_tcp_keepalive(&TCP_KEEPALIVE)?;
             socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
             Ok::<_, std::io::Error>(stream)
         };
@@ -184,13 +184,13 @@
 }
 
 /// The request, if no byte of it was sent.
-type Unsent = Option<Box<Request<Full<Bytes>>>>;
+type UnsentRequest = Option<Box<Request<Full<Bytes>>>>;
 
 /// Sends a request over a connection and waits for the head of the response.
 async fn exchange(
     mut connection: Connection,
     request: Request<Full<Bytes>>,
-) -> Result<(Connection, Response<Incoming>), (SendError, Unsent)> {
+) -> Result<(Connection, Response<Incoming>), (SendError, UnsentRequest)> {
     match connection.sender.try_send_request(request).await {
         Ok(response) => Ok((connection, response)),
         Err(mut e) => {
--- a/src/edge/http/server.rs
+++ b/src/edge/http/server.rs
@@ -29,7 +29,7 @@
 /// How long sending a refusal may take.
 const REFUSAL_TIMEOUT: Duration = Duration::from_secs(1);
 /// The time after which a refused client may try again.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Handles the requests of a listener.
 pub trait Handler: Send + Sync + 'static {
@@ -150,7 +150,7 @@
 async fn refuse(stream: TcpStream) {
     let service = service_fn(|_: Request<Incoming>| async {
         let refusal = Refusal::new(Kind::TooManyConnections, "try another node")
-            .with_retry_after(RETRY_AFTER);
+            .with_retry_after(REFUSAL_RETRY_AFTER);
         Ok::<_, Infallible>(problem_response(&refusal))
     });
     let mut builder = auto::Builder::new(TokioExecutor::new());
--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -20,8 +20,8 @@
 use crate::metrics::Traffic;
 
 /// How long a connection may take to open: a few trips between regions. A machine without power
-/// does not refuse connections, and an attempt that began before the machine is back stays open
-/// for a second.
+/// does not refuse connections, and an attempt to connect that began before the machine is back
+/// would stay open for a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 /// How long an unused connection is kept open. Gossip goes to random nodes, and a connection to
 /// each of 380 nodes would take more memory than the control traffic is allowed.
--- a/src/edge/peer/messages.rs
+++ b/src/edge/peer/messages.rs
@@ -125,8 +125,8 @@
     Suspects(Vec<CrashNotice>),
     /// Requests the suspect requests that the receiver knows.
     ListSuspects,
-    /// Asks for the trial lock of an upstream, whose home the receiver is, to run a suspect request
-    /// there.
+    /// Asks for the trial lock of an upstream, for which the receiver is the owner, to run a
+    /// suspect request there.
     Trial {
         /// The name of the upstream.
         upstream: Name,
--- a/src/edge/platform/client.rs
+++ b/src/edge/platform/client.rs
@@ -164,8 +164,8 @@
         Ok(Box::pin(changes))
     }
 
-    /// Reads the list of VMs. The platform sends it only if it has changed, where it supports entity
-    /// tags.
+    /// Reads the list of VMs. The platform sends it only if it has changed, where it supports
+    /// entity tags.
     pub async fn vms(&self) -> Result<Vec<Vm>, JsonClientError> {
         self.metrics.count_platform_call(PlatformPurpose::Vms);
         let last = self.vm_list.lock().clone();
--- a/src/edge/replica/types.rs
+++ b/src/edge/replica/types.rs
@@ -113,8 +113,8 @@
     pub model: Name,
     /// The version.
     pub version: u64,
-    /// Whether requests in progress continue under the new version. Otherwise they finish before the
-    /// weights are loaded.
+    /// Whether requests in progress continue under the new version. Otherwise they finish before
+    /// the weights are loaded.
     pub keep_runs: bool,
     /// The name of the leader that sends the order.
     pub leader: Name,
--- a/src/edge/upstream/engine.rs
+++ b/src/edge/upstream/engine.rs
@@ -77,7 +77,8 @@
         Self { completions: JsonClient::default(), control: JsonClient::with_traffic(traffic) }
     }
 
-    /// Starts a completion. The engine streams the output, whether or not the request asks for that.
+    /// Starts a completion. The engine streams the output, whether or not the request asks for
+    /// that.
     pub async fn complete(
         &self,
         to: SocketAddr,
