--- a/src/decide/call.rs
+++ b/src/decide/call.rs
@@ -37,7 +37,7 @@
     Once,
 }
 
-/// A request.
+/// A request as dispatch sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// The name of the caller or trainer.
--- a/src/decide/dispatch/dispatch.rs
+++ b/src/decide/dispatch/dispatch.rs
@@ -261,7 +261,7 @@
 
     fn send(&mut self, ticket: Ticket, key: UpstreamKey, now: Moment) {
         let pending = &mut self.pending[ticket];
-        let running = RequestState::Running { at: key, since: now };
+        let running = RequestState::Running { upstream: key, sent_at: now };
         if let RequestState::Waiting(position) = std::mem::replace(&mut pending.state, running) {
             self.queue.remove_served(&position);
         }
@@ -293,10 +293,10 @@
                 self.queue.remove(&position);
                 self.deadlines.remove(pending.check_at, ticket);
             }
-            RequestState::Running { at, since } => {
-                pending.avoid = Some(at);
+            RequestState::Running { upstream, sent_at } => {
+                pending.avoid = Some(upstream);
                 self.running -= 1;
-                self.pool.end(at, cost, since, report, now);
+                self.pool.end(upstream, cost, sent_at, report, now);
             }
             RequestState::Detached => {}
         }
--- a/src/decide/dispatch/pending.rs
+++ b/src/decide/dispatch/pending.rs
@@ -12,9 +12,9 @@
     /// At an upstream.
     Running {
         /// The upstream.
-        at: UpstreamKey,
+        upstream: UpstreamKey,
         /// When the attempt was sent.
-        since: Moment,
+        sent_at: Moment,
     },
     /// Neither queued nor running; only within one call of [`super::Dispatch`].
     Detached,
--- a/src/decide/dispatch/pool.rs
+++ b/src/decide/dispatch/pool.rs
@@ -147,15 +147,15 @@
             let (first, second) = two_random(ready.len(), rng)?;
             for key in [ready.get(first), ready.get(second)] {
                 let upstream = &self.upstreams[key];
-                let bad = Some(key) == avoid;
+                let avoided = Some(key) == avoid;
                 let latency = upstream.latency.decayed(typical, now);
                 let time =
                     expected_latency(upstream.load(now), latency, call.cost, upstream.other_zone);
-                if best.is_none_or(|(b, t, _)| (bad, time) < (b, t)) {
-                    best = Some((bad, time, key));
+                if best.is_none_or(|(b, t, _)| (avoided, time) < (b, t)) {
+                    best = Some((avoided, time, key));
                 }
             }
-            if best.is_some_and(|(bad, ..)| !bad) {
+            if best.is_some_and(|(avoided, ..)| !avoided) {
                 break;
             }
         }
@@ -168,19 +168,19 @@
         self.upstreams[key].view.name.clone()
     }
 
-    /// Handles the end of an attempt that was sent at `since`. Without a report, the attempt
+    /// Handles the end of an attempt that was sent at `sent_at`. Without a report, the attempt
     /// was cancelled.
     pub(super) fn end(
         &mut self,
         key: UpstreamKey,
         cost: u32,
-        since: Moment,
+        sent_at: Moment,
         report: Option<AttemptReport>,
         now: Moment,
     ) {
         self.running -= 1;
         let outcome = report.map(|r| r.outcome);
-        let took = report.map_or(now.saturating_sub(since), |r| r.took);
+        let took = report.map_or(now.saturating_sub(sent_at), |r| r.took);
         let actual_cost = report.and_then(|r| r.actual_cost).unwrap_or(cost);
         if outcome == Some(AttemptOutcome::Answered) {
             self.typical_latency.record(cost, took, now);
@@ -221,9 +221,9 @@
         let ready = self.ready(room);
         self.ring.successors(prefix).take(RING_CANDIDATES).find(|key| {
             let upstream = &self.upstreams[*key];
-            let fine = ready.contains(*key) && Some(*key) != avoid;
+            let allowed = ready.contains(*key) && Some(*key) != avoid;
             let slow = upstream.latency.decayed(typical, now) > MAX_PREFIX_LATENCY_RATIO * typical;
-            fine && !slow && within_load_bound(upstream.load(now), mean)
+            allowed && !slow && within_load_bound(upstream.load(now), mean)
         })
     }
 
--- a/src/decide/members/table.rs
+++ b/src/decide/members/table.rs
@@ -49,9 +49,9 @@
 struct Member<C> {
     record: MemberRecord<C>,
     /// When its heartbeat last advanced here.
-    advanced: Moment,
+    advanced_at: Moment,
     /// Since when it is suspected.
-    suspected: Option<Moment>,
+    suspected_since: Option<Moment>,
     /// Number of further messages in which its record is sent.
     sends: u32,
 }
@@ -68,7 +68,7 @@
     /// Short ids of nodes without a record here.
     unknown: BTreeSet<u32>,
     /// When the last round began.
-    round: Moment,
+    round_began: Moment,
     rng: SmallRng,
 }
 
@@ -81,7 +81,7 @@
             known: BTreeMap::new(),
             names: HashMap::new(),
             unknown: BTreeSet::new(),
-            round: Moment::ZERO,
+            round_began: Moment::ZERO,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
@@ -111,14 +111,14 @@
     /// forgets nodes that are gone.
     pub fn begin_round(&mut self, now: Moment) {
         self.own.heartbeat += 1;
-        let gap = now.saturating_sub(self.round);
-        self.round = now;
+        let gap = now.saturating_sub(self.round_began);
+        self.round_began = now;
         if gap > MAX_ROUND_GAP {
             self.extend_time_limits(gap);
         }
         let quota = self.send_quota();
         for member in self.known.values_mut() {
-            if now.saturating_sub(member.advanced) >= MAX_HEARTBEAT_AGE {
+            if now.saturating_sub(member.advanced_at) >= MAX_HEARTBEAT_AGE {
                 member.suspect(now, quota);
             }
         }
@@ -216,9 +216,9 @@
             self.names.remove(&old);
         }
         self.names.insert(record.id(), record.name.clone());
-        let suspected = record.suspected.then_some(now);
+        let suspected_since = record.suspected.then_some(now);
         let name = record.name.clone();
-        self.known.insert(name, Member { record, advanced: now, suspected, sends: quota });
+        self.known.insert(name, Member { record, advanced_at: now, suspected_since, sends: quota });
         true
     }
 
@@ -269,13 +269,13 @@
     /// advanced here.
     pub fn max_heartbeat_age(&self, now: Moment) -> Duration {
         let not_stopped = self.known.values().filter(|m| m.record.state != NodeState::Gone);
-        not_stopped.map(|m| now.saturating_sub(m.advanced)).max().unwrap_or_default()
+        not_stopped.map(|m| now.saturating_sub(m.advanced_at)).max().unwrap_or_default()
     }
 
     /// Returns the live node whose heartbeat has not advanced here for the longest time.
     fn stalest(&self) -> Option<Name> {
         let alive = self.known.iter().filter(|(_, m)| m.is_alive());
-        alive.min_by_key(|(_, m)| m.advanced).map(|(name, _)| name.clone())
+        alive.min_by_key(|(_, m)| m.advanced_at).map(|(name, _)| name.clone())
     }
 
     fn requested_records(&self, wanted: &[u32]) -> Vec<MemberRecord<C>> {
@@ -337,8 +337,8 @@
     /// Extends all time limits by the time that this node was frozen and received nothing.
     fn extend_time_limits(&mut self, gap: Duration) {
         for member in self.known.values_mut() {
-            member.advanced += gap;
-            member.suspected = member.suspected.map(|since| since + gap);
+            member.advanced_at += gap;
+            member.suspected_since = member.suspected_since.map(|since| since + gap);
         }
     }
 
@@ -346,7 +346,7 @@
         let kept = |m: &Member<C>| {
             let stopped = m.record.state == NodeState::Gone;
             let retention = if stopped { STOPPED_RETENTION } else { FAILED_RETENTION };
-            now.saturating_sub(m.advanced) < retention
+            now.saturating_sub(m.advanced_at) < retention
         };
         self.known.retain(|_, m| kept(m));
         let known = &self.known;
@@ -356,7 +356,7 @@
 
 impl<C> Member<C> {
     fn liveness(&self, now: Moment) -> Liveness {
-        match self.suspected {
+        match self.suspected_since {
             None => Liveness::Alive,
             Some(since) if now.saturating_sub(since) < SUSPICION_TIMEOUT => Liveness::Suspected,
             Some(_) => Liveness::Failed,
@@ -364,15 +364,15 @@
     }
 
     fn is_alive(&self) -> bool {
-        self.record.state != NodeState::Gone && self.suspected.is_none()
+        self.record.state != NodeState::Gone && self.suspected_since.is_none()
     }
 
     /// Suspects the node, unless it has stopped. Returns true if the suspicion is new.
     fn suspect(&mut self, now: Moment, quota: u32) -> bool {
-        if self.suspected.is_some() || self.record.state == NodeState::Gone {
+        if self.suspected_since.is_some() || self.record.state == NodeState::Gone {
             return false;
         }
-        self.suspected = Some(now);
+        self.suspected_since = Some(now);
         self.record.suspected = true;
         self.sends = quota;
         true
@@ -385,8 +385,8 @@
         }
         self.record.heartbeat = heartbeat;
         self.record.bundle = self.record.bundle.max(bundle);
-        self.advanced = now;
-        if self.suspected.take().is_some() {
+        self.advanced_at = now;
+        if self.suspected_since.take().is_some() {
             self.record.suspected = false;
             self.sends = quota;
         }
--- a/src/decide/quarantine/quarantine.rs
+++ b/src/decide/quarantine/quarantine.rs
@@ -120,7 +120,7 @@
         if record.is_quarantined() {
             return FingerprintStatus::Quarantined(left);
         }
-        let ran = record.crashes.iter().map(|s| s.ran).max().unwrap_or_default();
+        let ran = record.crashes.iter().map(|c| c.ran).max().unwrap_or_default();
         FingerprintStatus::Suspect((2 * ran + MIN_TRIAL_DURATION).min(MAX_TRIAL_DURATION))
     }
 
@@ -144,7 +144,7 @@
         };
         let report = CrashReport {
             fingerprint: attempt.fingerprint,
-            epoch: self.records.get(&attempt.fingerprint).map_or(0, |k| k.epoch),
+            epoch: self.records.get(&attempt.fingerprint).map_or(0, |r| r.epoch),
             crash: CrashId { node: self.node.clone(), number },
             upstream: attempt.upstream.clone(),
             ran_ms: broke_at.saturating_sub(attempt.sent_at).as_millis() as u64,
@@ -179,14 +179,14 @@
     /// The notices from which a starting node learns all that this node knows.
     pub fn notices(&self, now: Moment) -> Vec<CrashNotice> {
         let each = self.records.iter().flat_map(|(fingerprint, record)| {
-            record.crashes.iter().map(|s| {
+            record.crashes.iter().map(|c| {
                 CrashNotice::Suspect(CrashReport {
                     fingerprint: *fingerprint,
                     epoch: record.epoch,
-                    crash: s.crash.clone(),
-                    upstream: s.upstream.clone(),
-                    ran_ms: s.ran.as_millis() as u64,
-                    age_ms: now.saturating_sub(s.at).as_millis() as u64,
+                    crash: c.crash.clone(),
+                    upstream: c.upstream.clone(),
+                    ran_ms: c.ran.as_millis() as u64,
+                    age_ms: now.saturating_sub(c.at).as_millis() as u64,
                 })
             })
         });
@@ -195,15 +195,15 @@
 
     /// Removes expired fingerprints and crashes.
     pub fn tick(&mut self, now: Moment) {
-        self.records.retain(|_, k| now.saturating_sub(k.updated) < k.retention());
+        self.records.retain(|_, r| now.saturating_sub(r.updated) < r.retention());
         self.last_crashes.retain(|_, crash| now.saturating_sub(crash.at) < QUARANTINE_DURATION);
     }
 
     /// The number of suspects, and the number of quarantined fingerprints.
     pub fn counts(&self) -> (usize, usize) {
         let suspects =
-            self.records.values().filter(|k| !k.crashes.is_empty() && !k.is_quarantined());
-        let quarantined = self.records.values().filter(|k| k.is_quarantined());
+            self.records.values().filter(|r| !r.crashes.is_empty() && !r.is_quarantined());
+        let quarantined = self.records.values().filter(|r| r.is_quarantined());
         (suspects.count(), quarantined.count())
     }
 
@@ -220,9 +220,9 @@
         if report.epoch > record.epoch {
             *record = FingerprintRecord { epoch: report.epoch, ..FingerprintRecord::default() };
         }
-        let is_same_crash = record.crashes.iter().any(|s| {
-            let same_upstream = s.upstream == report.upstream && s.crash.node != report.crash.node;
-            s.crash == report.crash || (same_upstream && at.abs_diff(s.at) < SAME_CRASH_WINDOW)
+        let is_same_crash = record.crashes.iter().any(|c| {
+            let same_upstream = c.upstream == report.upstream && c.crash.node != report.crash.node;
+            c.crash == report.crash || (same_upstream && at.abs_diff(c.at) < SAME_CRASH_WINDOW)
         });
         if is_same_crash {
             return false;
--- a/src/decide/queue.rs
+++ b/src/decide/queue.rs
@@ -18,6 +18,7 @@
 pub struct QueuePosition {
     class: Class,
     caller: Name,
+    /// Key of the caller's flow, see [`flow_key`].
     key: u64,
     /// Order within the flow, ascending.
     number: i64,
--- a/src/decide/rollout/rollout.rs
+++ b/src/decide/rollout/rollout.rs
@@ -161,12 +161,12 @@
 
     /// The stage of an engine.
     pub fn stage(&self, engine: &str) -> RolloutStage {
-        self.engines.get(engine).map_or(RolloutStage::Unknown, |m| m.stage)
+        self.engines.get(engine).map_or(RolloutStage::Unknown, |s| s.stage)
     }
 
     /// The last observation of an engine, with its time.
     pub fn last_observation(&self, engine: &str) -> Option<(EngineObservation, Moment)> {
-        self.engines.get(engine).map(|m| (m.observation, m.observed_at))
+        self.engines.get(engine).map(|s| (s.observation, s.observed_at))
     }
 
     /// The target weights.
@@ -220,8 +220,8 @@
         for name in chain {
             before &= &**name != engine;
             let state = self.engines.get(name);
-            let stage = state.map_or(RolloutStage::Unknown, |m| m.stage);
-            let skipped = state.is_some_and(|m| m.skipped);
+            let stage = state.map_or(RolloutStage::Unknown, |s| s.stage);
+            let skipped = state.is_some_and(|s| s.skipped);
             let blocks = match stage {
                 RolloutStage::Settled => false,
                 RolloutStage::Swapping => &**name != engine,
@@ -242,7 +242,7 @@
     /// Makes a chain skip the engine that blocks it once nothing has changed for
     /// [`CHAIN_STALL_TIMEOUT`].
     fn skip_if_stalled(&mut self, blocker: &Name, chain: &[Name], now: Moment) {
-        let changed = chain.iter().filter_map(|e| self.engines.get(e)).map(|m| m.changed_at).max();
+        let changed = chain.iter().filter_map(|e| self.engines.get(e)).map(|s| s.changed_at).max();
         let moved = changed.unwrap_or(self.target_since).max(self.target_since);
         if now.saturating_sub(moved) < CHAIN_STALL_TIMEOUT {
             return;
--- a/src/decide/transfer.rs
+++ b/src/decide/transfer.rs
@@ -11,9 +11,9 @@
 
 use crate::Moment;
 
-/// The longest pause in the middle of a message: several turns on a link that two dozen
+/// The longest pause in the middle of a reply: several turns on a link that two dozen
 /// messages share.
-const MAX_PAUSE: Duration = Duration::from_millis(400);
+const MAX_REPLY_PAUSE: Duration = Duration::from_millis(400);
 /// The lowest rate at which a reply may arrive: the largest value of the platform's
 /// service takes four seconds, and a sender that sends byte by byte holds up nobody.
 const MIN_REPLY_BYTES_PER_SECOND: u64 = 256 << 10;
@@ -26,18 +26,18 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Transfer {
     /// How long the reply may take to begin.
-    limit: Duration,
+    start_timeout: Duration,
     received: u64,
     /// When the first and the last bytes of the reply arrived.
     arrivals: Option<(Moment, Moment)>,
 }
 
 impl Transfer {
-    /// A request of `sent` bytes. Its reply may take `limit` to begin, plus the time for
+    /// A request of `sent` bytes. Its reply may take `start_timeout` to begin, plus the time for
     /// sending the request.
-    pub fn new(limit: Duration, sent: usize) -> Self {
-        let limit = limit + duration(sent as u64, REQUEST_BYTES_PER_SECOND);
-        Self { limit, received: 0, arrivals: None }
+    pub fn new(start_timeout: Duration, sent: usize) -> Self {
+        let start_timeout = start_timeout + duration(sent as u64, REQUEST_BYTES_PER_SECOND);
+        Self { start_timeout, received: 0, arrivals: None }
     }
 
     /// Records the arrival of `bytes` bytes of the reply.
@@ -54,9 +54,9 @@
 
     /// Returns when the transfer is given up if nothing more arrives.
     pub fn deadline(&self) -> Moment {
-        let Some((first, last)) = self.arrivals else { return self.limit };
+        let Some((first, last)) = self.arrivals else { return self.start_timeout };
         let slowest = first + duration(self.received, MIN_REPLY_BYTES_PER_SECOND);
-        self.limit.max(slowest.min(last) + MAX_PAUSE)
+        self.start_timeout.max(slowest.min(last) + MAX_REPLY_PAUSE)
     }
 }
 
--- a/src/decide/usage/steady_clock.rs
+++ b/src/decide/usage/steady_clock.rs
@@ -16,7 +16,7 @@
     /// The time of day when the monotonic clock was zero; none before the first reading.
     origin: Option<Duration>,
     /// When the wall clock was first seen to have jumped, by the monotonic clock.
-    jumped: Option<Duration>,
+    jumped_at: Option<Duration>,
 }
 
 impl SteadyClock {
@@ -25,13 +25,13 @@
         let seen = since_epoch.saturating_sub(since_boot);
         let origin = *self.origin.get_or_insert(seen);
         if seen.abs_diff(origin) <= MAX_SLEW {
-            self.jumped = None;
+            self.jumped_at = None;
             self.origin = Some(seen);
             return since_epoch;
         }
-        let since = *self.jumped.get_or_insert(since_boot);
+        let since = *self.jumped_at.get_or_insert(since_boot);
         if since_boot.saturating_sub(since) >= JUMP_ACCEPTANCE_DELAY {
-            self.jumped = None;
+            self.jumped_at = None;
             self.origin = Some(seen);
             return since_epoch;
         }
--- a/src/edge/platform/etcd.rs
+++ b/src/edge/platform/etcd.rs
@@ -6,6 +6,7 @@
 
 use super::VersionedValue;
 
+/// Reads the keys from `key` up to but not including `range_end`, or only `key` if that is empty.
 #[serde_as]
 #[derive(Debug, Default, Serialize)]
 pub(super) struct RangeRequest {
@@ -16,6 +17,7 @@
     pub(super) range_end: Vec<u8>,
 }
 
+/// A key with its value and the revision of its last write.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 pub(super) struct KeyValue {
@@ -35,6 +37,7 @@
     }
 }
 
+/// The part that all replies have: the revision of the store.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 pub(super) struct Header {
@@ -42,6 +45,7 @@
     pub(super) revision: u64,
 }
 
+/// The reply to a range read.
 #[derive(Debug, Deserialize)]
 pub(super) struct RangeReply {
     pub(super) header: Header,
@@ -49,6 +53,7 @@
     pub(super) kvs: Vec<KeyValue>,
 }
 
+/// A condition of a transaction on the revision of a key.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub(super) struct Compare {
@@ -60,6 +65,7 @@
     pub(super) mod_revision: u64,
 }
 
+/// Writes a key, attached to a lease if one is given.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub(super) struct Put {
@@ -72,6 +78,7 @@
     pub(super) lease: Option<i64>,
 }
 
+/// One operation of a transaction.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Op {
@@ -79,6 +86,7 @@
     RequestRange(RangeRequest),
 }
 
+/// Executes `success` if all conditions in `compare` hold, otherwise `failure`.
 #[derive(Debug, Serialize)]
 pub(super) struct Txn {
     pub(super) compare: Vec<Compare>,
@@ -86,12 +94,14 @@
     pub(super) failure: Vec<Op>,
 }
 
+/// The reply to one operation of a transaction.
 #[derive(Debug, Deserialize)]
 pub(super) struct OpReply {
     #[serde(default)]
     pub(super) response_range: Option<RangeReply>,
 }
 
+/// The reply to a transaction.
 #[derive(Debug, Deserialize)]
 pub(super) struct TxnReply {
     pub(super) header: Header,
@@ -101,6 +111,7 @@
     pub(super) responses: Vec<OpReply>,
 }
 
+/// Requests a lease that expires after `ttl` seconds.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub(super) struct Grant {
@@ -109,6 +120,7 @@
     pub(super) ttl: u64,
 }
 
+/// Renews a lease.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub(super) struct KeepAlive {
@@ -117,6 +129,7 @@
     pub(super) id: i64,
 }
 
+/// A lease and the seconds until it expires, 0 if it has expired.
 #[serde_as]
 #[derive(Debug, Deserialize)]
 pub(super) struct LeaseReply {
@@ -134,6 +147,7 @@
     pub(super) result: LeaseReply,
 }
 
+/// Watches the keys from `key` up to but not including `range_end`, from a revision on.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub(super) struct WatchCreate {
@@ -146,22 +160,26 @@
     pub(super) start_revision: u64,
 }
 
+/// The request that opens a watch.
 #[derive(Debug, Serialize)]
 pub(super) struct WatchRequest {
     pub(super) create_request: WatchCreate,
 }
 
+/// One message of a watch.
 #[derive(Debug, Deserialize)]
 pub(super) struct WatchMessage {
     pub(super) result: WatchResult,
 }
 
+/// The content of a message of a watch.
 #[derive(Debug, Deserialize)]
 pub(super) struct WatchResult {
     #[serde(default)]
     pub(super) events: Vec<WatchEvent>,
 }
 
+/// One change of a key.
 #[derive(Debug, Deserialize)]
 pub(super) struct WatchEvent {
     /// `DELETE` for a deletion, absent for a put.
