--- a/tests/arrival.rs
+++ b/tests/invalid_groups.rs
@@ -1,4 +1,4 @@
-//! The trainer client against a node that hands over invalid groups.
+//! Tests that the trainer client drops the invalid groups that a node returns.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -12,39 +12,42 @@
 use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse};
 use serde_json::json;
-use standins::fleet::ANY;
-use standins::server::{Answer, Cut, Server, Service, json as answer};
+use standins::fleet::ANY_PORT;
+use standins::server::{ConnectionCut, Server, Service, ServiceResult, json_response};
 
-/// A node that hands over one group in each pull, regardless of the groups that the trainer has.
+/// A node that returns one group for each pull, regardless of the groups that the trainer has.
 struct Node {
     /// The groups that successive pulls return; the last one is repeated.
     pulls: Vec<Group>,
-    pulled: AtomicU64,
+    pull_count: AtomicU64,
     address: std::sync::OnceLock<std::net::SocketAddr>,
 }
 
 impl Service for Node {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> ServiceResult {
         let path = request.uri().path().to_owned();
         if path == "/v1/addresses" {
             let addresses = self.address.get().into_iter().collect::<Vec<_>>();
-            return answer(StatusCode::OK, &json!({ "addresses": addresses, "ttl_ms": 60_000 }));
+            return json_response(
+                StatusCode::OK,
+                &json!({ "addresses": addresses, "ttl_ms": 60_000 }),
+            );
         }
-        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| ConnectionCut)?;
         if !path.ends_with("/pull") {
-            return answer(StatusCode::OK, &json!({}));
+            return json_response(StatusCode::OK, &json!({}));
         }
-        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| Cut)?;
-        let index = self.pulled.fetch_add(1, Ordering::Relaxed) as usize;
+        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| ConnectionCut)?;
+        let index = self.pull_count.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
-        let pulled = PullGroupsResponse {
+        let response = PullGroupsResponse {
             groups: vec![group],
             complete: pull.delivered.below(2).count() == 2,
             staleness_bound: 1,
             draining: false,
             partial_groups: Vec::new(),
         };
-        answer(StatusCode::OK, &pulled)
+        json_response(StatusCode::OK, &response)
     }
 }
 
@@ -71,18 +74,18 @@
         group(0, &[4, 4]),
         group(1, &[5, 5]),
     ];
-    let node = Arc::new(Node { pulls, pulled: AtomicU64::new(0), address: Default::default() });
-    let server = Server::bind(ANY, node.clone()).await.unwrap();
+    let node = Arc::new(Node { pulls, pull_count: AtomicU64::new(0), address: Default::default() });
+    let server = Server::bind(ANY_PORT, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
-    let prompt = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
-    let spec = StepSpec { version: 4, groups: vec![prompt; 2] };
+    let group_spec = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
+    let spec = StepSpec { version: 4, groups: vec![group_spec; 2] };
     trainer.set_version(5);
-    let mut pulling = trainer.resume_step(1, &spec, BTreeMap::new());
-    assert_eq!(pulling.next_groups().await.unwrap(), [group(0, &[5, 4])]);
-    assert_eq!(pulling.next_groups().await.unwrap(), [group(1, &[5, 5])]);
-    assert_eq!(pulling.next_groups().await.unwrap(), []);
-    let report = pulling.report();
+    let mut pull = trainer.resume_step(1, &spec, BTreeMap::new());
+    assert_eq!(pull.next_groups().await.unwrap(), [group(0, &[5, 4])]);
+    assert_eq!(pull.next_groups().await.unwrap(), [group(1, &[5, 5])]);
+    assert_eq!(pull.next_groups().await.unwrap(), []);
+    let report = pull.report();
     assert_eq!((report.stale, report.incomplete, report.duplicates), (1, 2, 2));
     assert_eq!(report.groups[&0], group(0, &[5, 4]));
 }
