--- a/src/decide/call.rs
+++ b/src/decide/call.rs
@@ -13,7 +13,7 @@
     /// A caller waits for the answer.
     #[default]
     Live,
-    /// A rollout for a trainer.
+    /// A sample for a trainer.
     Training,
 }
 
@@ -37,7 +37,7 @@
     Once,
 }
 
-/// A request.
+/// A request as dispatch sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// The name of the caller or trainer.
--- a/src/decide/dispatch/pending.rs
+++ b/src/decide/dispatch/pending.rs
@@ -4,17 +4,17 @@
 use crate::Moment;
 use crate::decide::{Call, QueuePosition};
 
-/// The current place of a request.
+/// Where a request is now.
 #[derive(Debug, Clone)]
 pub(super) enum RequestState {
-    /// In the queue.
+    /// In the queue, at this position.
     Waiting(QueuePosition),
     /// At an upstream.
     Running {
         /// The upstream.
-        at: UpstreamKey,
+        upstream: UpstreamKey,
         /// When the attempt was sent.
-        since: Moment,
+        sent_at: Moment,
     },
     /// Neither queued nor running; only within one call of [`super::Dispatch`].
     Detached,
