--- a/src/bundle/adoption.rs
+++ b/src/bundle/adoption.rs
@@ -1,31 +1,31 @@
-//! Which bundle is in force at this node: only ever a later one.
+//! Which bundle is active at a node. It is only ever replaced by a later one.
 
 use std::sync::Arc;
 
 use super::{Bundle, Envelope};
 
-/// The bundle in force, with the envelope that it came in.
+/// A verified bundle with its envelope.
 #[derive(Debug, Clone)]
 pub struct AdoptedBundle {
-    /// What it says.
+    /// The parsed bundle.
     pub bundle: Arc<Bundle>,
-    /// What is passed on to peers.
+    /// The signed envelope, which is sent on to peers.
     pub envelope: Arc<Envelope>,
 }
 
-/// How an offered bundle stands to the one in force.
+/// How an offered bundle compares with the active one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferOrder {
-    /// It is later: adopt it.
+    /// It is later and is to be adopted.
     Later,
-    /// It is the one in force.
+    /// It is the same bundle.
     Same,
-    /// It is earlier: whoever offered it is behind.
+    /// It is earlier, so whoever offered it is behind.
     Earlier,
 }
 
 impl OfferOrder {
-    /// Compares an offer with what is in force.
+    /// Compares an offered envelope with the current one. Any offer is later than none.
     pub fn compare(offer: &Envelope, current: Option<&Envelope>) -> Self {
         let Some(current) = current else { return Self::Later };
         match offer.order().cmp(&current.order()) {
@@ -36,49 +36,49 @@
     }
 }
 
-/// The rule of adoption at one node: the latest of all that was offered, and
-/// none before the other nodes were asked.
+/// Adopts the latest of all offered bundles at one node, but none until the node has asked its
+/// peers for theirs.
 ///
-/// Load pattern: a node restarts while the platform answers with an older value
-/// and its peers are further. Without the wait it would go into force with the
-/// older bundle, and the number at that node would go down over its restart.
+/// A node may restart while the platform still returns an older bundle than its peers have.
+/// If it did not wait for its peers it would activate the older bundle, and its bundle number
+/// would decrease across the restart.
 #[derive(Debug, Default)]
 pub struct Adoption {
     current: Option<AdoptedBundle>,
-    /// The latest offer so far, while the others are being asked.
-    best: Option<AdoptedBundle>,
-    asked: bool,
+    /// The latest offer so far, until the peers have been asked.
+    pending: Option<AdoptedBundle>,
+    peers_asked: bool,
 }
 
 impl Adoption {
-    /// The bundle in force.
+    /// Returns the active bundle.
     pub fn current(&self) -> Option<&AdoptedBundle> {
         self.current.as_ref()
     }
 
-    /// How an envelope stands to the latest one that is known here.
+    /// Compares an envelope with the latest one known to this node.
     pub fn compare(&self, envelope: &Envelope) -> OfferOrder {
-        let latest = self.current.as_ref().or(self.best.as_ref());
+        let latest = self.current.as_ref().or(self.pending.as_ref());
         OfferOrder::compare(envelope, latest.map(|a| a.envelope.as_ref()))
     }
 
-    /// A checked bundle is offered. Returns it if it comes into force now.
+    /// Offers a verified bundle. Returns it if it becomes active now.
     pub fn offer(&mut self, offer: AdoptedBundle) -> Option<AdoptedBundle> {
         if self.compare(&offer.envelope) != OfferOrder::Later {
             return None;
         }
-        if !self.asked {
-            self.best = Some(offer);
+        if !self.peers_asked {
+            self.pending = Some(offer);
             return None;
         }
         self.current = Some(offer.clone());
         Some(offer)
     }
 
-    /// The other nodes were asked. Returns the bundle that comes into force by it.
+    /// Records that the peers have been asked. Returns the bundle that is active from now on.
     pub fn peers_asked(&mut self) -> Option<AdoptedBundle> {
-        self.asked = true;
-        self.current = self.current.take().or(self.best.take());
+        self.peers_asked = true;
+        self.current = self.current.take().or(self.pending.take());
         self.current.clone()
     }
 }
--- a/src/bundle/bundle.rs
+++ b/src/bundle/bundle.rs
@@ -1,4 +1,4 @@
-//! The bundle's content, read from the INI text that operators write.
+//! The contents of a bundle, parsed from the INI text that operators write.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,15 +8,17 @@
 use crate::decide::{CallerWeights, Class, Repeat};
 use crate::settings::{Document, Section, SettingsError};
 
-/// How long a step is kept that nobody pulls: four waits of the longest pull.
-const ABANDONED: Duration = Duration::from_secs(120);
+/// Default time after which a step that is not pulled is dropped: four times the longest wait of
+/// a pull.
+const DEFAULT_ABANDON_AFTER: Duration = Duration::from_secs(120);
 
-/// What the fleet is to do, as one version.
+/// One version of the configuration of all nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Bundle {
-    /// Its number; later bundles have higher ones.
+    /// The number of the bundle; a later bundle has a higher number.
     pub number: u64,
-    /// 1 weighs only trainer idle time, 0 only staleness.
+    /// Trade-off between trainer idle time and staleness, from 0 to 1: at 1 only idle time counts,
+    /// at 0 only staleness.
     pub idle_weight: f64,
     /// The services, by name.
     pub services: BTreeMap<Name, ServiceSpec>,
@@ -27,22 +29,23 @@
 }
 
 impl Bundle {
-    /// Reads and checks a text; `file` names it in errors.
+    /// Parses and validates a text; `file` names it in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let doc = Document::parse(file, text)?;
         doc.check_sections(&["bundle"], &["service", "caller", "trainer"])?;
-        let head = doc.section("bundle")?;
-        let number = head.value("number")?;
-        let idle_weight = head.in_range("idle_weight", 0.0..=1.0, 0.5)?;
-        head.finish()?;
-        let services = read(&doc, "service", service)?;
-        let callers = read(&doc, "caller", |_, s| caller(s))?;
+        let bundle = doc.section("bundle")?;
+        let number = bundle.value("number")?;
+        let idle_weight = bundle.in_range("idle_weight", 0.0..=1.0, 0.5)?;
+        bundle.finish()?;
+        let services = read_named(&doc, "service", service)?;
+        let callers = read_named(&doc, "caller", |_, s| caller(s))?;
         let known = services.clone();
-        let trainers = read(&doc, "trainer", |_, s| trainer(s, &known))?;
+        let trainers = read_named(&doc, "trainer", |_, s| trainer(s, &known))?;
         Ok(Self { number, idle_weight, services, callers, trainers })
     }
 
-    /// The weights of callers and trainers. One name that is both has the trainer's.
+    /// Returns the weights of callers and trainers. A name that is both has the weight of the
+    /// trainer.
     pub fn caller_weights(&self) -> CallerWeights {
         let callers = self.callers.iter().map(|(name, c)| (name.clone(), c.weight));
         let trainers = self.trainers.iter().map(|(name, t)| (name.clone(), t.weight));
@@ -50,14 +53,15 @@
     }
 }
 
-fn read<T>(
+/// Reads every section `[kind NAME]` with `parse`.
+fn read_named<T>(
     doc: &Document,
     kind: &str,
-    one: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
+    parse: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
 ) -> Result<BTreeMap<Name, T>, SettingsError> {
     let mut all = BTreeMap::new();
     for (name, section) in doc.named_sections(kind) {
-        let item = one(name.clone(), &section)?;
+        let item = parse(name.clone(), &section)?;
         section.finish()?;
         all.insert(name, item);
     }
@@ -110,6 +114,6 @@
         service,
         staleness_bound: section.in_range("staleness", 0..=1_000, 1)?,
         weight: section.in_range("share", 1..=1_000, 1)?,
-        abandon_after: section.duration("abandoned", ABANDONED)?,
+        abandon_after: section.duration("abandoned", DEFAULT_ABANDON_AFTER)?,
     })
 }
--- a/src/bundle/envelope.rs
+++ b/src/bundle/envelope.rs
@@ -1,4 +1,4 @@
-//! A bundle with its digest and signatures, as the platform keeps it.
+//! A bundle with its digest and signatures, as the platform stores it.
 
 use std::collections::BTreeSet;
 
@@ -11,90 +11,91 @@
 use crate::Name;
 use crate::settings::SettingsError;
 
-/// Operators that have to sign a bundle.
-const SIGNERS: usize = 2;
+/// Number of different operators who must sign a bundle.
+const REQUIRED_SIGNERS: usize = 2;
 
-/// A bundle as it is proposed, kept and passed on.
+/// A bundle as it is proposed, stored and sent between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The bundle's number, the same as in the text.
     pub number: u64,
     /// The text that the operator wrote, byte for byte.
     pub text: String,
-    /// Who proposed it.
+    /// The operator who proposed it.
     pub author: Name,
-    /// Told from every other write by this, when a reply was lost.
+    /// A random number that identifies this write, so that it can be recognised after its reply
+    /// was lost.
     pub nonce: u64,
-    /// Sign-offs over the digest.
+    /// The signatures of operators over the digest.
     pub signatures: Vec<Signature>,
 }
 
-/// One operator's sign-off.
+/// The signature of one operator.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
     /// The operator.
     pub operator: Name,
-    /// ed25519 over the digest.
+    /// The ed25519 signature over the digest.
     #[serde_as(as = "Hex")]
     pub bytes: Vec<u8>,
 }
 
-/// Why an envelope is not taken.
+/// Why an envelope is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum BundleError {
-    /// The text does not check.
+    /// The text is invalid.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
-    /// The envelope's number is not the text's.
+    /// The envelope and the text have different numbers.
     #[error("the envelope says number {envelope}, the text says {text}")]
     NumberMismatch {
-        /// In the envelope.
+        /// The number in the envelope.
         envelope: u64,
-        /// In the text.
+        /// The number in the text.
         text: u64,
     },
-    /// A signature of someone who is no operator.
+    /// A signature names someone who is not an operator.
     #[error("{0} is not an operator")]
     UnknownOperator(Name),
-    /// A signature that does not fit.
-    #[error("the signature of {0} does not fit the bundle")]
+    /// A signature is not valid for the digest and the key of its operator.
+    #[error("the signature of {0} is not valid for this bundle")]
     InvalidSignature(Name),
-    /// A later bundle is in force.
-    #[error("bundle {current} is in force; {offered} is not later")]
+    /// The active bundle is not earlier than the offered one.
+    #[error("bundle {current} is active; bundle {offered} is not later")]
     NotLater {
-        /// In force.
+        /// The number of the active bundle.
         current: u64,
-        /// Offered.
+        /// The number of the offered bundle.
         offered: u64,
     },
-    /// Not enough operators signed.
+    /// Too few different operators have signed.
     #[error("{found} of {needed} operators have signed off; each counts once")]
     TooFewSignatures {
-        /// How many did.
+        /// The number of operators who have signed.
         found: usize,
-        /// How many have to.
+        /// The number of operators who must sign.
         needed: usize,
     },
 }
 
-/// Signs a digest.
+/// Signs a digest as `operator`.
 pub fn sign(operator: Name, key: &SigningKey, digest: &[u8; 32]) -> Signature {
     Signature { operator, bytes: key.sign(digest).to_bytes().to_vec() }
 }
 
 impl Envelope {
-    /// SHA-256 over the text.
+    /// Returns the SHA-256 digest of the text.
     pub fn digest(&self) -> [u8; 32] {
         Sha256::digest(self.text.as_bytes()).into()
     }
 
-    /// The total order of bundles: by number, then by digest.
+    /// Returns the key of the total order of bundles: by number, then by digest.
     pub fn order(&self) -> (u64, [u8; 32]) {
         (self.number, self.digest())
     }
 
-    /// Checks the text alone, not the signatures.
+    /// Validates the text and its number, but not the signatures.
     pub fn check(&self) -> Result<Bundle, BundleError> {
         let bundle = Bundle::parse(&format!("bundle {}", self.number), &self.text)?;
         if bundle.number != self.number {
@@ -103,7 +104,8 @@
         Ok(bundle)
     }
 
-    /// Checks text and signatures: two different operators signed this text.
+    /// Validates the text, and verifies that every signature is valid and that two different
+    /// operators have signed.
     pub fn verify(&self, operators: &Operators) -> Result<Bundle, BundleError> {
         let bundle = self.check()?;
         let digest = self.digest();
@@ -117,8 +119,11 @@
             key.verify(&digest, &bytes).map_err(|_| BundleError::InvalidSignature(name.clone()))?;
             signers.insert(name.clone());
         }
-        if signers.len() < SIGNERS {
-            return Err(BundleError::TooFewSignatures { found: signers.len(), needed: SIGNERS });
+        if signers.len() < REQUIRED_SIGNERS {
+            return Err(BundleError::TooFewSignatures {
+                found: signers.len(),
+                needed: REQUIRED_SIGNERS,
+            });
         }
         Ok(bundle)
     }
--- a/src/bundle/mod.rs
+++ b/src/bundle/mod.rs
@@ -1,4 +1,5 @@
-//! The bundle: what operators state, how it is checked, signed and adopted.
+//! The bundle is the configuration that operators write; this module parses, signs, verifies and
+//! adopts it.
 
 mod adoption;
 mod bundle;
--- a/src/bundle/spec.rs
+++ b/src/bundle/spec.rs
@@ -1,11 +1,11 @@
-//! The parts of a bundle.
+//! The sections of a bundle.
 
 use std::time::Duration;
 
 use crate::Name;
 use crate::decide::{Class, Repeat, ServiceLimits};
 
-/// What kind of upstream a service has.
+/// The kind of upstreams of a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceKind {
     /// Model engines.
@@ -14,16 +14,17 @@
     Plain,
 }
 
-/// What only model engines have.
+/// The part of a service that only model engines have.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineSpec {
-    /// The weight version that its upstreams are to serve.
+    /// `version`: the weight version that its upstreams must serve.
     pub version: u64,
-    /// Whether its upstreams refuse orders with an old fencing number.
+    /// `fenced`: whether its upstreams refuse orders with an outdated fencing token.
     pub fenced: bool,
-    /// The most upstreams that may swap at the same time, in percent.
+    /// `swapping`: maximum share of upstreams that may swap weights at the same time, in percent.
     pub swap_percent: u32,
-    /// Versions that the weight store hands out in a second, to all upstreams together.
+    /// `loads`: weight loads per second that the weight store can serve, for all upstreams
+    /// together.
     pub load_rate: u32,
 }
 
@@ -32,24 +33,25 @@
 pub struct ServiceSpec {
     /// Its name.
     pub name: Name,
-    /// For model engines, what they are to serve.
+    /// The settings of model engines; none for a plain service.
     pub engine: Option<EngineSpec>,
     /// Whether its calls may be repeated.
     pub repeat: Repeat,
-    /// Requests of one class that may wait at one node.
+    /// `queue`: maximum number of requests of one class that wait at one node.
     pub max_queued: usize,
-    /// Attempts in flight from one node at one upstream.
+    /// `concurrency`: maximum number of attempts in flight from one node to one upstream.
     pub max_concurrency: u32,
-    /// The part of the work that training keeps while live requests wait, in percent.
+    /// `training_floor`: share of the work reserved for training while live requests wait, in
+    /// percent.
     pub training_percent: u32,
-    /// Upstreams that one node uses, if there are more.
+    /// `subset`: maximum number of upstreams that one node uses.
     pub max_upstreams: usize,
-    /// How long a caller waits when it does not say.
+    /// `deadline`: how long a caller waits if its request sets no timeout.
     pub default_deadline: Duration,
 }
 
 impl ServiceSpec {
-    /// The limits as dispatch takes them.
+    /// Returns the limits for the dispatcher.
     pub fn limits(&self) -> ServiceLimits {
         ServiceLimits {
             max_queued: self.max_queued,
@@ -64,19 +66,19 @@
 pub struct CallerSpec {
     /// Its priority class.
     pub class: Class,
-    /// Its weight against other callers of its class.
+    /// `share`: its weight relative to other callers of its class.
     pub weight: u32,
 }
 
 /// A trainer: `[trainer NAME]`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TrainerSpec {
-    /// The service that makes its samples.
+    /// The service that generates its samples.
     pub service: Name,
-    /// How many versions the oldest token may be behind the trainer.
+    /// `staleness`: how many versions the oldest token of a sample may be behind the trainer.
     pub staleness_bound: u64,
-    /// Its weight against other trainers.
+    /// `share`: its weight relative to other trainers.
     pub weight: u32,
-    /// A step that nobody pulls for so long is dropped.
+    /// `abandoned`: time after which a step that is not pulled is dropped.
     pub abandon_after: Duration,
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,10 +1,10 @@
-//! What is wrong with a settings file or a bundle.
+//! Errors in a settings file or a bundle.
 
 use std::path::PathBuf;
 
 use crate::Name;
 
-/// Why an INI text was not taken. Each names the file, the section and the key.
+/// Why an INI text is invalid. Each error names the file and, where they apply, the section and key.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -12,20 +12,20 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The text is not INI.
+    /// A line is not valid in the INI dialect accepted here.
     #[error("{file}:{line}: {reason}")]
     Syntax {
         /// The file.
         file: Name,
-        /// Line number, from 1.
+        /// The line number, from 1.
         line: usize,
-        /// What is wrong.
+        /// Why the line is invalid.
         reason: String,
     },
-    /// A section that has to be there is not.
+    /// A required section is missing.
     #[error("{file}: section [{section}] is missing")]
     MissingSection {
         /// The file.
@@ -33,17 +33,17 @@
         /// The section.
         section: String,
     },
-    /// A section that nothing reads.
+    /// A section is not one of the known ones.
     #[error("{file}: section [{section}] is unknown; known are: {known}")]
     UnknownSection {
         /// The file.
         file: Name,
         /// The section.
         section: String,
-        /// What there could be.
+        /// The known sections.
         known: String,
     },
-    /// A key that has to be there is not.
+    /// A required key is missing or empty.
     #[error("{file}: [{section}] {key} is missing")]
     MissingKey {
         /// The file.
@@ -53,19 +53,19 @@
         /// The key.
         key: String,
     },
-    /// A section with free keys has too few of them.
+    /// A section with free keys has too few entries.
     #[error("{file}: [{section}] has {found} entries; at least {needed} are needed")]
     TooFewEntries {
         /// The file.
         file: Name,
         /// The section.
         section: String,
-        /// How many there are.
+        /// The number of entries.
         found: usize,
-        /// How many have to be there.
+        /// The smallest allowed number of entries.
         needed: usize,
     },
-    /// A key that nothing reads.
+    /// A key is not one of the known ones.
     #[error("{file}: [{section}] {key} is unknown; known are: {known}")]
     UnknownKey {
         /// The file.
@@ -74,10 +74,10 @@
         section: String,
         /// The key.
         key: String,
-        /// What there could be.
+        /// The known keys.
         known: String,
     },
-    /// A value that does not do.
+    /// A value does not parse or is out of bounds.
     #[error("{file}: [{section}] {key} = {value}: {reason}")]
     InvalidValue {
         /// The file.
@@ -88,7 +88,7 @@
         key: String,
         /// The value.
         value: String,
-        /// What is expected.
+        /// Why it is invalid, or what is expected.
         reason: String,
     },
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! INI settings of a process: typed, and every key checked before anything binds.
+//! Typed settings of a process, read from INI. Every key is validated before any address is bound.
 
 mod entry;
 mod error;
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -8,27 +8,27 @@
 use crate::Name;
 use crate::bundle::Operators;
 
-/// How long a call to the platform may take.
-const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long callers may keep an address answer.
-const ANSWER_TTL: Duration = Duration::from_secs(5);
-/// How much longer a draining node serves than callers keep an answer.
-const DRAIN_MARGIN: Duration = Duration::from_secs(2);
-/// How long a draining node waits for what is in flight.
-const DRAIN_GRACE: Duration = Duration::from_secs(60);
-
-/// Open connections of callers. At the planned size a node has about 13 requests a second;
-/// streams of a minute make 800 of them at once, and this leaves room for two and a half times
-/// as many.
-const CONNECTIONS: usize = 2_048;
-/// How long a caller may take to send the head of a request.
-const HEAD: Duration = Duration::from_secs(10);
-/// The longest timeout of a platform call: longer ones would hold up a drain.
-const LONGEST: Duration = Duration::from_secs(60);
-/// Operators that have to sign a bundle.
-const SIGNERS: usize = 2;
-
-/// Everything a node reads from its file.
+/// Default timeout of a call to the platform.
+const DEFAULT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Default time for which clients may cache the addresses of nodes.
+const DEFAULT_ADDRESS_TTL: Duration = Duration::from_secs(5);
+/// Default time for which a draining node still accepts requests after cached addresses expire.
+const DEFAULT_DRAIN_MARGIN: Duration = Duration::from_secs(2);
+/// Default time for which a draining node then waits for requests in flight.
+const DEFAULT_DRAIN_GRACE: Duration = Duration::from_secs(60);
+
+/// Default maximum number of open client connections. At the planned size a node receives about
+/// 13 requests per second; with streams of one minute about 800 are open at once. This limit
+/// allows two and a half times as many.
+const DEFAULT_MAX_CONNECTIONS: usize = 2_048;
+/// Default time in which a client must send the head of a request.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest allowed timeout; a longer one of a platform call would delay a drain.
+const MAX_TIMEOUT: Duration = Duration::from_secs(60);
+/// Smallest number of operators, because two must sign a bundle.
+const MIN_OPERATORS: usize = 2;
+
+/// The contents of a node's settings file.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Section `[node]`.
@@ -47,66 +47,67 @@
     pub log_level: String,
 }
 
-/// Who and where this node is.
+/// The name, location and listen addresses of a node.
 #[derive(Debug, Clone)]
 pub struct NodeSettings {
-    /// Its name, unlike every other node's.
+    /// Its name, which must be unique among the nodes.
     pub name: Name,
     /// Its region.
     pub region: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where callers and trainers connect.
+    /// `callers`: listen address for clients and trainers.
     pub client_address: SocketAddr,
-    /// Where other nodes connect.
+    /// `peers`: listen address for other nodes.
     pub peer_address: SocketAddr,
-    /// Where operators and metrics connect.
+    /// `admin`: listen address for operators and metrics.
     pub admin_address: SocketAddr,
 }
 
-/// Where the platform is.
+/// How to reach the platform.
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
     /// Its address.
     pub address: SocketAddr,
-    /// How long one call may take.
+    /// Timeout of a single call.
     pub timeout: Duration,
 }
 
-/// How this node finds the others.
+/// How a node finds the others.
 #[derive(Debug, Clone, Default)]
 pub struct PeerSettings {
-    /// Peer addresses to ask when the platform does not answer.
+    /// Peer addresses of some nodes, used when the platform does not answer.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// How this node stops.
+/// How a node drains before it stops.
 #[derive(Debug, Clone, Copy)]
 pub struct DrainSettings {
-    /// How long callers keep an address answer.
+    /// `ttl`: how long clients may cache the addresses of nodes.
     pub address_ttl: Duration,
-    /// How much longer the node serves than that.
+    /// How long the node still accepts requests after cached addresses expire.
     pub margin: Duration,
-    /// How long it waits for what is in flight after that.
+    /// How long it then waits for requests in flight.
     pub grace: Duration,
 }
 
-/// What callers' connections may take.
+/// Limits of client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// The most that are open at the callers' listener; more are refused.
+    /// `most`: maximum number of open client connections; further ones are refused.
     pub max_open: usize,
-    /// How long a caller may take to send the head of a request.
+    /// `head`: how long a client may take to send the head of a request.
     pub head_timeout: Duration,
 }
 
 impl Settings {
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn open(path: &Path) -> Result<Self, SettingsError> {
         Self::read(&Document::open(path)?)
     }
 
-    /// Checks a parsed text.
+    /// Validates a parsed document. An unknown section or key, a missing key, or a value out of
+    /// bounds is an error.
     pub fn read(doc: &Document) -> Result<Self, SettingsError> {
         let known = ["node", "platform", "peers", "drain", "connections", "operators", "log"];
         doc.check_sections(&known, &[])?;
@@ -119,20 +120,24 @@
                 .optional_section("connections")
                 .map_or(Ok(ConnectionSettings::default()), connections)?,
             operators: operators(doc.section("operators")?)?,
-            log_level: doc.optional_section("log").map_or(Ok("info".to_owned()), level)?,
+            log_level: doc.optional_section("log").map_or(Ok("info".to_owned()), log_level)?,
         })
     }
 }
 
 impl Default for ConnectionSettings {
     fn default() -> Self {
-        Self { max_open: CONNECTIONS, head_timeout: HEAD }
+        Self { max_open: DEFAULT_MAX_CONNECTIONS, head_timeout: DEFAULT_HEAD_TIMEOUT }
     }
 }
 
 impl Default for DrainSettings {
     fn default() -> Self {
-        Self { address_ttl: ANSWER_TTL, margin: DRAIN_MARGIN, grace: DRAIN_GRACE }
+        Self {
+            address_ttl: DEFAULT_ADDRESS_TTL,
+            margin: DEFAULT_DRAIN_MARGIN,
+            grace: DEFAULT_DRAIN_GRACE,
+        }
     }
 }
 
@@ -141,17 +146,17 @@
         name: section.required("name")?.into(),
         region: section.required("region")?.into(),
         zone: section.required("zone")?.into(),
-        client_address: told(&section, "callers")?,
-        peer_address: told(&section, "peers")?,
+        client_address: advertised_address(&section, "callers")?,
+        peer_address: advertised_address(&section, "peers")?,
         admin_address: section.value("admin")?,
     };
-    distinct(&section, &settings)?;
+    check_ports_differ(&section, &settings)?;
     section.finish()?;
     Ok(settings)
 }
 
-/// An address that is also told to others, so it has to be one that they can connect to.
-fn told(section: &Section<'_>, key: &str) -> Result<SocketAddr, SettingsError> {
+/// Reads an address that is also sent to others, so they must be able to connect to it.
+fn advertised_address(section: &Section<'_>, key: &str) -> Result<SocketAddr, SettingsError> {
     let address: SocketAddr = section.value(key)?;
     if address.ip().is_unspecified() {
         let reason = "expected the address that others connect to, not every interface";
@@ -160,8 +165,8 @@
     Ok(address)
 }
 
-/// Two listeners can't share a port; port 0 takes a free one.
-fn distinct(section: &Section<'_>, node: &NodeSettings) -> Result<(), SettingsError> {
+/// Checks that no two listeners share a port. Port 0 means any free port.
+fn check_ports_differ(section: &Section<'_>, node: &NodeSettings) -> Result<(), SettingsError> {
     let pairs = [
         ("peers", node.peer_address, "callers", node.client_address),
         ("admin", node.admin_address, "callers", node.client_address),
@@ -171,7 +176,7 @@
         let same =
             one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified();
         if same && one.port() == other.port() && one.port() != 0 {
-            let reason = format!("the port is taken by {other_key}");
+            let reason = format!("the port is already used by {other_key}");
             return Err(section.invalid_value(key, &one.to_string(), reason));
         }
     }
@@ -179,27 +184,28 @@
 }
 
 fn connections(section: Section<'_>) -> Result<ConnectionSettings, SettingsError> {
-    let head = section.duration("head", HEAD)?;
+    let head = section.duration("head", DEFAULT_HEAD_TIMEOUT)?;
     let settings = ConnectionSettings {
-        max_open: section.in_range("most", 1..=100_000, CONNECTIONS)?,
+        max_open: section.in_range("most", 1..=100_000, DEFAULT_MAX_CONNECTIONS)?,
         head_timeout: head,
     };
-    positive(&section, "head", head)?;
+    check_timeout(&section, "head", head)?;
     section.finish()?;
     Ok(settings)
 }
 
 fn operators(section: Section<'_>) -> Result<Operators, SettingsError> {
     let found = section.entries().len();
-    if found < SIGNERS {
-        return Err(section.too_few(found, SIGNERS));
+    if found < MIN_OPERATORS {
+        return Err(section.too_few(found, MIN_OPERATORS));
     }
     Operators::read(section)
 }
 
-fn positive(section: &Section<'_>, key: &str, value: Duration) -> Result<(), SettingsError> {
-    if value.is_zero() || value > LONGEST {
-        let reason = format!("expected more than 0s and at most {}s", LONGEST.as_secs());
+/// Checks that a timeout is more than zero and at most [`MAX_TIMEOUT`].
+fn check_timeout(section: &Section<'_>, key: &str, value: Duration) -> Result<(), SettingsError> {
+    if value.is_zero() || value > MAX_TIMEOUT {
+        let reason = format!("expected more than 0s and at most {}s", MAX_TIMEOUT.as_secs());
         return Err(section.invalid_value(key, &format!("{value:?}"), reason));
     }
     Ok(())
@@ -208,9 +214,9 @@
 fn platform(section: Section<'_>) -> Result<PlatformSettings, SettingsError> {
     let settings = PlatformSettings {
         address: section.value("address")?,
-        timeout: section.duration("timeout", PLATFORM_TIMEOUT)?,
+        timeout: section.duration("timeout", DEFAULT_PLATFORM_TIMEOUT)?,
     };
-    positive(&section, "timeout", settings.timeout)?;
+    check_timeout(&section, "timeout", settings.timeout)?;
     section.finish()?;
     Ok(settings)
 }
@@ -223,15 +229,15 @@
 
 fn drain(section: Section<'_>) -> Result<DrainSettings, SettingsError> {
     let settings = DrainSettings {
-        address_ttl: section.duration("ttl", ANSWER_TTL)?,
-        margin: section.duration("margin", DRAIN_MARGIN)?,
-        grace: section.duration("grace", DRAIN_GRACE)?,
+        address_ttl: section.duration("ttl", DEFAULT_ADDRESS_TTL)?,
+        margin: section.duration("margin", DEFAULT_DRAIN_MARGIN)?,
+        grace: section.duration("grace", DEFAULT_DRAIN_GRACE)?,
     };
     section.finish()?;
     Ok(settings)
 }
 
-fn level(section: Section<'_>) -> Result<String, SettingsError> {
+fn log_level(section: Section<'_>) -> Result<String, SettingsError> {
     let level = section.text("level").unwrap_or("info").to_owned();
     crate::logs::check_filter(&level)
         .map_err(|e| section.invalid_value("level", &level, e.reason))?;
--- a/src/settings/section.rs
+++ b/src/settings/section.rs
@@ -1,4 +1,4 @@
-//! A checked reader of INI: every key is taken by name and type, the rest is an error.
+//! A strict reader of INI: each key is read by name and type, and unknown keys are errors.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
 }
 
 impl Document {
-    /// Reads a file.
+    /// Reads and parses a file.
     pub fn open(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
@@ -32,7 +32,7 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let file: Name = file.into();
         syntax::check(&file, text)?;
-        // Quotes and backslashes are text: a path or a name means what it says.
+        // Quotes and backslashes are literal, so that paths and names are read as written.
         let literal =
             ParseOption { enabled_quote: false, enabled_escape: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, literal).map_err(|e| SettingsError::Syntax {
@@ -43,7 +43,7 @@
         Ok(Self { file, ini })
     }
 
-    /// The section of that name.
+    /// Returns the section `name`; an error if it is missing.
     pub fn section(&self, name: &str) -> Result<Section<'_>, SettingsError> {
         self.optional_section(name).ok_or_else(|| SettingsError::MissingSection {
             file: self.file.clone(),
@@ -51,18 +51,18 @@
         })
     }
 
-    /// The section of that name, if it is there.
+    /// Returns the section `name`, if it exists.
     pub fn optional_section(&self, name: &str) -> Option<Section<'_>> {
         let keys = self.ini.section(Some(name))?;
         Some(Section {
             file: self.file.clone(),
             name: name.to_owned(),
             keys,
-            taken: RefCell::default(),
+            read_keys: RefCell::default(),
         })
     }
 
-    /// The sections `[kind name]`, as (name, section).
+    /// Returns the sections `[kind NAME]`, as (NAME, section).
     pub fn named_sections<'a>(
         &'a self,
         kind: &'a str,
@@ -73,7 +73,7 @@
         })
     }
 
-    /// Checks that each section is one of `single`, or starts with a word of `many`.
+    /// Checks that the title of each section is one of `single`, or `KIND NAME` with a kind of `many`.
     pub fn check_sections(&self, single: &[&str], many: &[&str]) -> Result<(), SettingsError> {
         for title in self.ini.sections().flatten() {
             let word = title.split_once(' ').map(|(word, _)| word);
@@ -92,23 +92,23 @@
     }
 }
 
-/// One section. [`Section::finish`] fails on keys that nothing took.
+/// One section of a document. [`Section::finish`] fails on keys that were never read.
 #[derive(Debug)]
 pub struct Section<'a> {
     file: Name,
     name: String,
     keys: &'a Properties,
-    taken: RefCell<BTreeSet<String>>,
+    read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl Section<'_> {
-    /// The value of a key, if it is there.
+    /// Returns the value of a key, if it is present, without surrounding whitespace.
     pub fn text(&self, key: &str) -> Option<&str> {
-        self.taken.borrow_mut().insert(key.to_owned());
+        self.read_keys.borrow_mut().insert(key.to_owned());
         self.keys.get(key).map(str::trim)
     }
 
-    /// The value of a key that has to be there.
+    /// Returns the value of a required key, which must not be empty.
     pub fn required(&self, key: &str) -> Result<&str, SettingsError> {
         self.text(key).filter(|v| !v.is_empty()).ok_or_else(|| SettingsError::MissingKey {
             file: self.file.clone(),
@@ -117,7 +117,7 @@
         })
     }
 
-    /// A value of any type that parses from text.
+    /// Parses the value of a required key.
     pub fn value<T>(&self, key: &str) -> Result<T, SettingsError>
     where
         T: FromStr,
@@ -127,7 +127,7 @@
         text.parse().map_err(|e: T::Err| self.invalid_value(key, text, e.to_string()))
     }
 
-    /// The same, with a default.
+    /// Parses the value of a key, or returns `default` if the key is absent.
     pub fn value_or<T>(&self, key: &str, default: T) -> Result<T, SettingsError>
     where
         T: FromStr,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// A number within a range.
+    /// Parses a number and checks that it is in `range`.
     pub fn in_range<T>(
         &self,
         key: &str,
@@ -158,7 +158,7 @@
         Err(self.invalid_value(key, &value.to_string(), reason))
     }
 
-    /// A duration with a unit, such as `250ms` or `5s`.
+    /// Parses a duration with a unit, such as `250ms` or `5s`.
     pub fn duration(&self, key: &str, default: Duration) -> Result<Duration, SettingsError> {
         let Some(text) = self.text(key) else { return Ok(default) };
         humantime::parse_duration(text).map_err(|e| {
@@ -170,7 +170,7 @@
         })
     }
 
-    /// A list, separated by commas.
+    /// Parses a comma-separated list; an absent key is an empty list.
     pub fn list<T>(&self, key: &str) -> Result<Vec<T>, SettingsError>
     where
         T: FromStr,
@@ -183,7 +183,7 @@
             .collect()
     }
 
-    /// A choice of a closed set.
+    /// Returns the value in `set` that belongs to the word given for the key.
     pub fn choice<T: Copy>(
         &self,
         key: &str,
@@ -198,13 +198,13 @@
         })
     }
 
-    /// Every key and value, as they stand; for sections with free keys.
+    /// Returns every key with its unparsed value, for sections with free keys.
     pub fn entries(&self) -> Vec<(Name, &str)> {
-        self.taken.borrow_mut().extend(self.keys.iter().map(|(key, _)| key.to_owned()));
+        self.read_keys.borrow_mut().extend(self.keys.iter().map(|(key, _)| key.to_owned()));
         self.keys.iter().map(|(key, value)| (Name::from(key), value.trim())).collect()
     }
 
-    /// The error for a section with too few entries.
+    /// Returns the error for a section with too few entries.
     pub fn too_few(&self, found: usize, needed: usize) -> SettingsError {
         SettingsError::TooFewEntries {
             file: self.file.clone(),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// The error for a value that does not do.
+    /// Returns the error for an invalid value.
     pub fn invalid_value(&self, key: &str, value: &str, reason: String) -> SettingsError {
         SettingsError::InvalidValue {
             file: self.file.clone(),
@@ -225,17 +225,17 @@
         }
     }
 
-    /// Fails if the section has a key that nothing took.
+    /// Fails if the section has a key that was never read.
     pub fn finish(self) -> Result<(), SettingsError> {
-        let taken = self.taken.into_inner();
-        let unknown = self.keys.iter().map(|(key, _)| key).find(|key| !taken.contains(*key));
+        let known = self.read_keys.into_inner();
+        let unknown = self.keys.iter().map(|(key, _)| key).find(|key| !known.contains(*key));
         match unknown {
             None => Ok(()),
             Some(key) => Err(SettingsError::UnknownKey {
                 file: self.file,
                 section: self.name,
                 key: key.to_owned(),
-                known: taken.into_iter().collect::<Vec<_>>().join(", "),
+                known: known.into_iter().collect::<Vec<_>>().join(", "),
             }),
         }
     }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -137,7 +137,11 @@
     stdout(&operator.sign("4", "ben", "ben"));
     let lower = failure(&operator.apply("4"));
     assert_eq!(lower.status, 3);
-    assert!(lower.message.contains("bundle 5 is in force; 4 is not later"), "{}", lower.message);
+    assert!(
+        lower.message.contains("bundle 5 is active; bundle 4 is not later"),
+        "{}",
+        lower.message
+    );
 
     let high = operator.bundle("high.ini", &bundle(6, 1));
     stdout(&operator.propose(&high, "ada"));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -64,8 +64,8 @@
         ),
         ("callers = 127.0.0.1:7101", "callers = 127.0.0.1", "[node] callers = 127.0.0.1: invalid"),
         ("callers = 127.0.0.1:7101", "callers = 0.0.0.0:7101", "[node] callers = 0.0.0.0:7101"),
-        ("admin = 127.0.0.1:7301", "admin = 127.0.0.1:7201", "the port is taken by peers"),
-        ("admin = 127.0.0.1:7301", "admin = 0.0.0.0:7101", "the port is taken by callers"),
+        ("admin = 127.0.0.1:7301", "admin = 127.0.0.1:7201", "the port is already used by peers"),
+        ("admin = 127.0.0.1:7301", "admin = 0.0.0.0:7101", "the port is already used by callers"),
         ("level = info", "level = inof", "[log] level = inof: \"inof\" is none of"),
         ("most = 2048", "most = 0", "[connections] most = 0: expected 1 to 100000"),
         ("most = 2048", "most = many", "[connections] most = many: invalid digit"),
@@ -84,17 +84,17 @@
 fn dialects_are_errors() {
     let text = sample();
     let line = |bad: &str| wrong(&text.replacen("zone = gloshaugen", bad, 1));
-    assert!(line("zone = a\nzone = b").contains("[node] zone is there a second time"));
-    assert!(line("zone = a\n[node]").contains("section [node] is there a second time"));
-    assert!(line("zone = a ; the first").contains("zone: a comment stands on a line of its own"));
-    assert!(line("zone = # none").contains("zone: a comment stands on a line of its own"));
-    assert!(line("zone = a\\").contains("can't go on in the next"));
+    assert!(line("zone = a\nzone = b").contains("[node] zone is defined twice"));
+    assert!(line("zone = a\n[node]").contains("section [node] is defined twice"));
+    assert!(line("zone = a ; the first").contains("zone: a comment must be on a line of its own"));
+    assert!(line("zone = # none").contains("zone: a comment must be on a line of its own"));
+    assert!(line("zone = a\\").contains("can't continue on the next"));
     assert!(line("zone = a\nregion").contains("[node]: expected KEY = VALUE"));
     assert!(line("zone = a\n  region").contains("[node]: expected KEY = VALUE"));
     assert!(line("zone = a\n  ; indented").contains("[node]: expected KEY = VALUE"));
     assert!(line("zone: a").contains("[node]: expected KEY = VALUE"));
-    assert!(line("zone = a\u{7}").contains("control character"));
-    assert!(wrong(&format!("loose = 1\n{text}")).contains("key loose stands before"));
+    assert!(line("zone = a\u{7}").contains("control characters are not allowed"));
+    assert!(wrong(&format!("loose = 1\n{text}")).contains("key loose is before the first section"));
     assert!(wrong(&text.replacen("[drain]", "[drain", 1)).contains("after the section's ]"));
     let error = line("zone = a\nzone = b");
     assert!(error.starts_with("node.ini:11: "), "{error}");
