--- a/src/bin/mulberryctl.rs
+++ b/src/bin/mulberryctl.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! The command-line client for operators.
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
-    /// How results are printed.
+    /// Output format of results.
     #[arg(long, global = true, default_value = "text")]
     output: Output,
     #[command(subcommand)]
@@ -38,44 +38,44 @@
 enum Command {
     /// Make a signing key.
     Keygen {
-        /// Where the key is written; it must not exist.
+        /// File to write the key to; it must not exist.
         file: PathBuf,
     },
-    /// Bundles: check, propose, sign off, apply, and look.
+    /// Check, propose, sign off, apply and show bundles.
     #[command(subcommand)]
     Bundle(BundleCommand),
-    /// List the nodes, as one of them sees them.
+    /// List the nodes that a node knows.
     Nodes {
-        /// A node's admin address.
+        /// Admin address of a node.
         #[arg(long)]
         node: SocketAddr,
     },
-    /// List the upstreams.
+    /// List the upstreams that a node knows.
     Upstreams {
-        /// A node's admin address.
+        /// Admin address of a node.
         #[arg(long)]
         node: SocketAddr,
     },
-    /// Follow a rollout until every node has the bundle and every engine the version.
+    /// Follow a rollout until every node has the bundle and every engine its weight version.
     Rollout {
-        /// A node's admin address.
+        /// Admin address of a node.
         #[arg(long)]
         node: SocketAddr,
-        /// The bundle to wait for; without it, the latest that a node has.
+        /// Number of the bundle to wait for [default: the latest one that any node has].
         #[arg(long)]
         number: Option<u64>,
-        /// How long to wait, such as 30s; 0s looks once.
+        /// How long to wait, such as 30s; with 0s the state is read once.
         #[arg(long, default_value = "60s")]
         wait: humantime::Duration,
     },
-    /// Print the completions for a shell.
+    /// Print the completion script for a shell.
     Completions {
         /// The shell.
         shell: Shell,
     },
-    /// Count the refusals, by kind.
+    /// Show the number of refusals by kind.
     Refusals {
-        /// A node's admin address.
+        /// Admin address of a node.
         #[arg(long)]
         node: SocketAddr,
     },
@@ -85,53 +85,53 @@
 enum BundleCommand {
     /// Check a bundle file.
     Check {
-        /// The file.
+        /// The bundle file.
         file: PathBuf,
     },
-    /// Propose a bundle, signed by you.
+    /// Propose a bundle and sign it.
     Propose {
-        /// The file.
+        /// The bundle file.
         file: PathBuf,
         #[command(flatten)]
         signer: Signer,
     },
     /// Sign off a proposed bundle.
     SignOff {
-        /// Its number.
+        /// Number of the bundle.
         number: u64,
         #[command(flatten)]
         signer: Signer,
     },
-    /// Put a signed-off bundle into force.
+    /// Activate a bundle that has been signed off.
     Apply {
-        /// Its number.
+        /// Number of the bundle.
         number: u64,
-        /// The platform's address.
+        /// Address of the platform.
         #[arg(long)]
         platform: SocketAddr,
         /// An INI file with the section `[operators]`, such as a node's settings.
         #[arg(long)]
         operators: PathBuf,
     },
-    /// Show the bundle in force, or a proposed one.
+    /// Show the active bundle or a proposed one.
     Show {
-        /// The number of a proposed one.
+        /// Number of a proposed bundle [default: the active bundle].
         number: Option<u64>,
-        /// The platform's address.
+        /// Address of the platform.
         #[arg(long)]
         platform: SocketAddr,
     },
-    /// Show how a proposed bundle differs from the one in force.
+    /// Show the difference between the active bundle and a proposed one.
     Diff {
-        /// Its number.
+        /// Number of the bundle.
         number: u64,
-        /// The platform's address.
+        /// Address of the platform.
         #[arg(long)]
         platform: SocketAddr,
     },
-    /// List the bundles that were in force.
+    /// List the bundles that are or were active.
     History {
-        /// The platform's address.
+        /// Address of the platform.
         #[arg(long)]
         platform: SocketAddr,
     },
@@ -139,7 +139,7 @@
 
 #[derive(Debug, clap::Args)]
 struct Signer {
-    /// The platform's address.
+    /// Address of the platform.
     #[arg(long)]
     platform: SocketAddr,
     /// Your name as an operator.
@@ -157,7 +157,7 @@
     match run(args).await {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            report(output, &error);
+            print_error(output, &error);
             ExitCode::from(error.status())
         }
     }
@@ -170,7 +170,7 @@
             let public = commands::keygen(&file)?;
             print(output, &public, |p| p.clone());
         }
-        Command::Bundle(command) => bundle(output, command).await?,
+        Command::Bundle(command) => run_bundle(output, command).await?,
         Command::Nodes { node } => {
             let nodes: Vec<NodeInfo> = queries::state(node, "nodes").await?;
             print(output, &nodes, |all| lines(all, node_line));
@@ -180,7 +180,7 @@
             print(output, &upstreams, |all| lines(all, upstream_line));
         }
         Command::Rollout { node, number, wait } => {
-            let rollout = follow_rollout(node, number, wait.into(), progress).await;
+            let rollout = follow_rollout(node, number, wait.into(), show_progress).await;
             end_progress();
             print(output, &rollout?, RolloutProgress::summary);
         }
@@ -196,7 +196,7 @@
     Ok(())
 }
 
-async fn bundle(output: Output, command: BundleCommand) -> Result<(), CommandError> {
+async fn run_bundle(output: Output, command: BundleCommand) -> Result<(), CommandError> {
     match command {
         BundleCommand::Check { file } => {
             let bundle = queries::check(&file)?;
@@ -257,10 +257,9 @@
 }
 
 fn upstream_line(upstream: &UpstreamState) -> String {
-    let UpstreamState { name, service, zone, address, accepting: open, target_version: wanted } =
-        upstream;
-    let open = if *open { "open" } else { "closed" };
-    let wanted = wanted.map(|v| format!(" wanted version {v}")).unwrap_or_default();
+    let UpstreamState { name, service, zone, address, accepting, target_version } = upstream;
+    let open = if *accepting { "open" } else { "closed" };
+    let wanted = target_version.map(|v| format!(" wanted version {v}")).unwrap_or_default();
     format!("{name} {service} {zone} {address} {open}{wanted}")
 }
 
@@ -276,9 +275,10 @@
     }
 }
 
-/// A line that is written over, for people who watch; not in a file or a pipe.
+/// Shows the progress on a single line that each call overwrites. Prints nothing if standard error is
+/// not a terminal.
 #[allow(clippy::print_stderr)]
-fn progress(rollout: &RolloutProgress) {
+fn show_progress(rollout: &RolloutProgress) {
     if std::io::stderr().is_terminal() {
         eprint!("\r\x1b[2K{}", rollout.summary());
     }
@@ -292,7 +292,7 @@
 }
 
 #[allow(clippy::print_stderr)]
-fn report(output: Output, error: &CommandError) {
+fn print_error(output: Output, error: &CommandError) {
     match output {
         Output::Text => eprintln!("mulberryctl: {error}"),
         Output::Json => {
--- a/src/bin/mulberryd.rs
+++ b/src/bin/mulberryd.rs
@@ -1,4 +1,4 @@
-//! The daemon: one entry node.
+//! The daemon that runs one node.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,7 +8,7 @@
 use mulberrycourse::settings::Settings;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// An entry node of mulberrycourse.
+/// A node of mulberrycourse.
 #[derive(Debug, Parser)]
 #[command(version, about)]
 struct Args {
@@ -18,27 +18,27 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run the node until it is told to stop (SIGTERM or SIGINT), then drain.
+    /// Run the node until SIGTERM or SIGINT, then drain.
     Run {
-        /// The settings, in INI.
+        /// The settings file, in INI format.
         settings: PathBuf,
     },
-    /// Check the settings and say what is wrong; start nothing.
+    /// Check the settings and report errors, without starting the node.
     Check {
-        /// The settings, in INI.
+        /// The settings file, in INI format.
         settings: PathBuf,
     },
 }
 
 #[allow(clippy::print_stdout, clippy::print_stderr)]
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         Command::Run { settings } => run(settings),
         Command::Check { settings } => Settings::open(&settings)
             .map(|_| println!("{}: good", settings.display()))
             .map_err(Into::into),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("mulberryd: {e}");
@@ -47,9 +47,9 @@
     }
 }
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
-fn run(path: PathBuf) -> Result<(), Failure> {
+fn run(path: PathBuf) -> Result<(), BoxError> {
     let settings = Settings::open(&path)?;
     mulberrycourse::logs::start(&settings.log_level)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
--- a/src/cli/bundle_store.rs
+++ b/src/cli/bundle_store.rs
@@ -1,4 +1,4 @@
-//! Bundles at the platform, as operators read and write them.
+//! Reads and writes the bundles stored at the platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,46 +9,49 @@
 use crate::metrics::{Metrics, PlatformPurpose};
 use crate::node::{BUNDLE_HISTORY_PREFIX, CURRENT_BUNDLE_KEY, PROPOSED_BUNDLE_PREFIX};
 
-/// How long one call to the platform may take.
-const TIMEOUT: Duration = Duration::from_secs(5);
-/// How often a write is sent whose reply was lost and that has not taken effect.
-const WRITES: u32 = 3;
+/// Timeout of a call to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of times that a write is sent, if its reply is lost and it has not taken effect.
+const MAX_WRITE_ATTEMPTS: u32 = 3;
 
-/// The platform's bundles.
+/// The bundles stored at the platform.
 #[derive(Debug)]
 pub struct BundleStore {
     platform: PlatformClient,
 }
 
 impl BundleStore {
-    /// The bundles of the platform at an address.
+    /// Creates a client for the bundles of the platform at an address.
     pub fn new(address: std::net::SocketAddr) -> Self {
-        Self { platform: PlatformClient::new(address, TIMEOUT, Arc::new(Metrics::default())) }
+        Self {
+            platform: PlatformClient::new(address, PLATFORM_TIMEOUT, Arc::new(Metrics::default())),
+        }
     }
 
-    /// The bundle in force and the revision that wrote it, 0 for none.
+    /// Returns the active bundle and the revision that wrote it, 0 if there is none.
     pub async fn current(&self) -> Result<(Option<Envelope>, u64), CommandError> {
         self.read(CURRENT_BUNDLE_KEY).await
     }
 
-    /// A proposed bundle and the revision that wrote it, 0 for none.
+    /// Returns a proposed bundle and the revision that wrote it, 0 if there is none.
     pub async fn proposed(&self, number: u64) -> Result<(Option<Envelope>, u64), CommandError> {
         self.read(&key(PROPOSED_BUNDLE_PREFIX, number)).await
     }
 
-    /// The bundles that were in force, oldest first.
+    /// Returns all bundles that are or were active, oldest first.
     pub async fn history(&self) -> Result<Vec<Envelope>, CommandError> {
         let (kept, _) = self.platform.list(BUNDLE_HISTORY_PREFIX, PlatformPurpose::Bundle).await?;
         kept.iter().map(parse).collect()
     }
 
-    /// Writes a proposal if the last write was `expected`.
+    /// Writes a proposal if the revision of its key is still `expected`.
     pub async fn propose(&self, envelope: &Envelope, expected: u64) -> Result<(), CommandError> {
         self.write(&key(PROPOSED_BUNDLE_PREFIX, envelope.number), envelope, expected, Vec::new())
             .await
     }
 
-    /// Puts a bundle into force if the last write was `expected`.
+    /// Makes a bundle the active one if the revision of its key is still `expected`, and adds it to
+    /// the history.
     pub async fn apply(&self, envelope: &Envelope, expected: u64) -> Result<(), CommandError> {
         let also = vec![(key(BUNDLE_HISTORY_PREFIX, envelope.number), encode(envelope)?)];
         self.write(CURRENT_BUNDLE_KEY, envelope, expected, also).await
@@ -61,8 +64,9 @@
         }
     }
 
-    /// Writes, and settles what a lost reply leaves open: the write compares, so the same
-    /// write may be sent again.
+    /// Writes an envelope and the keys of `also` if the revision of `key` is still `expected`. If
+    /// the reply is lost, it finds out whether the write took effect. The write compares the
+    /// revision, so sending it again is safe.
     async fn write(
         &self,
         key: &str,
@@ -72,7 +76,7 @@
     ) -> Result<(), CommandError> {
         let value = encode(envelope)?;
         let mut unsure = None;
-        for _ in 0..WRITES {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
             let write = self.platform.compare_and_swap(
                 key,
                 expected,
@@ -83,10 +87,10 @@
             match write.await {
                 SwapOutcome::Done(_) => return Ok(()),
                 SwapOutcome::Conflict(kept) if unsure.is_some() => {
-                    return self.settled(kept.as_ref(), envelope, &also).await;
+                    return self.resolve_conflict(kept.as_ref(), envelope, &also).await;
                 }
                 SwapOutcome::Conflict(kept) => return Err(conflict(kept.as_ref(), envelope)),
-                // Not sent now says nothing of the attempt before.
+                // An unsent attempt says nothing about the outcome of the previous one.
                 SwapOutcome::Unsent(reason) => {
                     return Err(unsure
                         .map_or(CommandError::Unavailable(reason), CommandError::OutcomeUnknown));
@@ -96,7 +100,7 @@
                         return Err(CommandError::OutcomeUnknown(reason));
                     };
                     if kept.as_ref().map_or(0, |k| k.revision) != expected {
-                        return self.settled(kept.as_ref(), envelope, &also).await;
+                        return self.resolve_conflict(kept.as_ref(), envelope, &also).await;
                     }
                     unsure = Some(reason);
                 }
@@ -105,17 +109,17 @@
         Err(CommandError::OutcomeUnknown(unsure.unwrap_or_default()))
     }
 
-    /// The reply was lost, and the key was written since: by this write, or by another.
-    async fn settled(
+    /// Decides, after a lost reply, whether the write that changed the key was this one.
+    async fn resolve_conflict(
         &self,
         kept: Option<&VersionedValue>,
         ours: &Envelope,
         also: &[(String, Vec<u8>)],
     ) -> Result<(), CommandError> {
-        if kept.and_then(|k| parse(k).ok()).is_some_and(|theirs| holds(&theirs, ours)) {
+        if kept.and_then(|k| parse(k).ok()).is_some_and(|theirs| includes(&theirs, ours)) {
             return Ok(());
         }
-        // A later write may have covered this one; the history tells.
+        // A later write may have replaced this one; then the history still has it.
         for (key, _) in also {
             match self.platform.get(key, PlatformPurpose::Bundle).await {
                 Ok(Some(kept)) if parse(&kept).is_ok_and(|e| e.nonce == ours.nonce) => {
@@ -129,11 +133,11 @@
     }
 }
 
-/// Whether what is kept is our write, or one that was built upon it.
-fn holds(theirs: &Envelope, ours: &Envelope) -> bool {
-    let built_upon = theirs.digest() == ours.digest()
+/// Returns whether the stored envelope is our write or a later one that includes our signatures.
+fn includes(theirs: &Envelope, ours: &Envelope) -> bool {
+    let has_signatures = theirs.digest() == ours.digest()
         && ours.signatures.iter().all(|s| theirs.signatures.contains(s));
-    theirs.nonce == ours.nonce || built_upon
+    theirs.nonce == ours.nonce || has_signatures
 }
 
 fn key(prefix: &str, number: u64) -> String {
@@ -164,7 +168,7 @@
     }
 }
 
-/// How the second text differs from the first, as a unified diff.
+/// Returns a unified diff from the first text to the second.
 pub(super) fn difference(first: &str, second: &str) -> String {
     let diff = similar::TextDiff::from_lines(first, second);
     diff.unified_diff().context_radius(1).to_string()
--- a/src/cli/commands.rs
+++ b/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! Commands: what changes something.
+//! Commands of operators that change state.
 
 use std::path::Path;
 
@@ -8,10 +8,11 @@
 use crate::Name;
 use crate::bundle::{Bundle, BundleError, Envelope, Operators, sign};
 
-/// Makes a key, writes it to a file, and returns the public key in hex.
+/// Generates a signing key, writes it to a new file that only its owner can read, and returns the
+/// public key in hex. Fails if the file exists.
 pub fn keygen(path: &Path) -> Result<String, CommandError> {
     let key = SigningKey::from_bytes(&rand::random());
-    let fail = |e: std::io::Error| file(path, &e.to_string());
+    let fail = |e: std::io::Error| file_error(path, &e.to_string());
     let mut open = std::fs::OpenOptions::new();
     open.write(true).create_new(true);
     #[cfg(unix)]
@@ -22,23 +23,24 @@
     Ok(hex::encode(key.verifying_key().to_bytes()))
 }
 
-/// Reads a key from a file.
+/// Reads a signing key from a file.
 pub fn read_key(path: &Path) -> Result<SigningKey, CommandError> {
-    let text = std::fs::read_to_string(path).map_err(|e| file(path, &e.to_string()))?;
-    let bytes = hex::decode(text.trim()).map_err(|e| file(path, &e.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|e| file_error(path, &e.to_string()))?;
+    let bytes = hex::decode(text.trim()).map_err(|e| file_error(path, &e.to_string()))?;
     let bytes: [u8; 32] =
-        bytes.try_into().map_err(|_| file(path, "expected a key of 64 hex digits"))?;
+        bytes.try_into().map_err(|_| file_error(path, "expected a key of 64 hex digits"))?;
     Ok(SigningKey::from_bytes(&bytes))
 }
 
-/// Proposes a bundle, signed by its author.
+/// Proposes the bundle in a file, signed by its author. Proposing the same text again as the same
+/// author changes nothing.
 pub async fn propose(
     store: &BundleStore,
     path: &Path,
     author: Name,
     key: &SigningKey,
 ) -> Result<Envelope, CommandError> {
-    let text = std::fs::read_to_string(path).map_err(|e| file(path, &e.to_string()))?;
+    let text = std::fs::read_to_string(path).map_err(|e| file_error(path, &e.to_string()))?;
     let bundle = Bundle::parse(&path.display().to_string(), &text)?;
     let mut envelope = Envelope {
         number: bundle.number,
@@ -48,7 +50,7 @@
         signatures: Vec::new(),
     };
     envelope.signatures.push(sign(author, key, &envelope.digest()));
-    // The same proposal made again changes nothing.
+    // A repeated proposal is not written again.
     if let (Some(found), _) = store.proposed(envelope.number).await?
         && found.author == envelope.author
         && found.digest() == envelope.digest()
@@ -59,7 +61,7 @@
     Ok(envelope)
 }
 
-/// Adds a sign-off to a proposed bundle.
+/// Adds the signature of an operator to a proposed bundle.
 pub async fn sign_off(
     store: &BundleStore,
     number: u64,
@@ -76,14 +78,16 @@
         envelope.signatures.push(sign(operator.clone(), key, &envelope.digest()));
         envelope.nonce = rand::random();
         match store.propose(&envelope, revision).await {
-            // Another operator signed the same text meanwhile: both sign-offs are to stand.
+            // Another operator signed the same text at the same time. Retries on top of that
+            // write, so that both signatures are kept.
             Err(CommandError::Conflict { digest, .. }) if digest == hex::encode(first) => {}
-            done => return done.map(|()| envelope),
+            result => return result.map(|()| envelope),
         }
     }
 }
 
-/// Puts a signed-off bundle into force.
+/// Activates a proposed bundle that has the required signatures. Activating the active bundle
+/// again changes nothing; a bundle that is not later is an error.
 pub async fn apply(
     store: &BundleStore,
     number: u64,
@@ -106,6 +110,6 @@
     Ok(envelope)
 }
 
-fn file(path: &Path, reason: &str) -> CommandError {
+fn file_error(path: &Path, reason: &str) -> CommandError {
     CommandError::File { path: path.display().to_string(), reason: reason.to_owned() }
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's command failed, and the exit status of each.
+//! Errors of operators' commands, and the exit status of each.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,68 +9,68 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The input does not check.
+    /// The input is invalid.
     #[error(transparent)]
     Invalid(#[from] SettingsError),
-    /// The bundle is not taken.
+    /// The bundle is rejected.
     #[error(transparent)]
     Rejected(#[from] BundleError),
-    /// A file can't be read or written, or holds no key.
+    /// A file can't be read or written, or its contents can't be decoded.
     #[error("{path}: {reason}")]
     File {
         /// The file.
         path: String,
-        /// What is wrong.
+        /// Why it failed.
         reason: String,
     },
-    /// There is no such bundle.
+    /// The bundle does not exist.
     #[error("there is no bundle {0}")]
     UnknownBundle(String),
-    /// Another operator was first.
+    /// Another operator wrote the bundle first.
     #[error("conflict: {winner} was first with bundle {number}; difference:\n{difference}")]
     Conflict {
-        /// The operator who was first.
+        /// The author of the bundle that is stored.
         winner: String,
-        /// The number of that bundle.
+        /// The number of the stored bundle.
         number: u64,
-        /// Its digest, in hex.
+        /// The digest of the stored bundle, in hex.
         digest: String,
-        /// The lines that differ.
+        /// A unified diff from the stored bundle to the new one.
         difference: String,
     },
-    /// The platform or a node did not answer: nothing was changed.
+    /// The platform or a node did not answer; nothing was changed.
     #[error("nothing was changed: {0}")]
     Unavailable(String),
-    /// A rollout was not done in time.
-    #[error("not done in time: {0}")]
+    /// A rollout was not complete in time.
+    #[error("not complete in time: {0}")]
     TimedOut(String),
     /// The write may or may not have taken effect.
     #[error("the write may have taken effect; look with `bundle show`: {0}")]
     OutcomeUnknown(String),
 }
 
-/// A failure in JSON.
+/// A command error as it is printed in JSON.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorReport {
-    /// Its kind.
+    /// The kind of error.
     pub error: String,
     /// The exit status.
     pub status: u8,
-    /// For people.
+    /// A description for people.
     pub message: String,
-    /// For a conflict: who was first.
+    /// For a conflict: the author of the stored bundle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub winner: Option<String>,
-    /// For a conflict: the number of that bundle.
+    /// For a conflict: the number of the stored bundle.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub number: Option<u64>,
-    /// For a conflict: the difference, as a unified diff.
+    /// For a conflict: a unified diff from the stored bundle to the new one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub difference: Option<String>,
 }
 
 impl CommandError {
-    /// The exit status: documented in docs/OPERATORS.md.
+    /// Returns the exit status, which is documented in docs/OPERATORS.md.
     pub fn status(&self) -> u8 {
         match self {
             Self::Invalid(_) | Self::File { .. } => 2,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The failure's name in JSON.
+    /// Returns the name of the error kind in JSON.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Invalid(_) => "invalid",
@@ -97,7 +97,7 @@
         }
     }
 
-    /// What `--output json` prints on standard error.
+    /// Returns what `--output json` prints to standard error.
     pub fn report(&self) -> ErrorReport {
         let (winner, number, difference) = match self {
             Self::Conflict { winner, number, difference, .. } => {
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' commands and, apart from them, their queries.
+//! The operators' commands, which change state, and queries, which only read it.
 
 pub mod commands;
 pub mod queries;
--- a/src/cli/queries.rs
+++ b/src/cli/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: what only looks.
+//! Queries of operators, which only read state.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,10 +11,10 @@
 use crate::bundle::{Bundle, Envelope};
 use crate::edge::http::JsonClient;
 
-/// How long a node may take to answer.
-const LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of a request to a node.
+const NODE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Checks a bundle file.
+/// Reads and validates a bundle file.
 pub fn check(path: &Path) -> Result<Bundle, CommandError> {
     let text = std::fs::read_to_string(path).map_err(|e| CommandError::File {
         path: path.display().to_string(),
@@ -23,7 +23,7 @@
     Ok(Bundle::parse(&path.display().to_string(), &text)?)
 }
 
-/// A bundle: the proposed one of a number, or the one in force.
+/// Returns the proposed bundle with a number, or the active bundle if no number is given.
 pub async fn show(store: &BundleStore, number: Option<u64>) -> Result<Envelope, CommandError> {
     let (found, name) = match number {
         Some(number) => (store.proposed(number).await?.0, number.to_string()),
@@ -32,7 +32,7 @@
     found.ok_or(CommandError::UnknownBundle(name))
 }
 
-/// The lines in which a proposed bundle differs from the one in force.
+/// Returns a unified diff from the active bundle to a proposed one.
 pub async fn diff(store: &BundleStore, number: u64) -> Result<String, CommandError> {
     let proposed = show(store, Some(number)).await?;
     let current = store.current().await?.0;
@@ -40,7 +40,7 @@
     Ok(difference(&text, &proposed.text))
 }
 
-/// A state document of a node, from its admin address.
+/// Reads the state document `/v1/state/{what}` from the admin address of a node.
 pub async fn state<T: DeserializeOwned>(node: SocketAddr, what: &str) -> Result<T, CommandError> {
-    Ok(JsonClient::default().get(node, &format!("/v1/state/{what}"), LIMIT).await?)
+    Ok(JsonClient::default().get(node, &format!("/v1/state/{what}"), NODE_TIMEOUT).await?)
 }
--- a/src/client/caller/caller.rs
+++ b/src/client/caller/caller.rs
@@ -1,4 +1,4 @@
-//! A client for callers: finds a node, and takes only whole answers.
+//! The client for callers, which finds a node and returns only complete responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,39 +11,39 @@
 use crate::client::AddressBook;
 use crate::edge::http::{JsonClient, JsonClientError, full_body, read_body};
 
-/// The largest answer, in bytes.
-pub(super) const LIMIT: usize = 64 << 20;
+/// Maximum size of a response body, in bytes.
+pub(super) const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// Nodes that are tried for one request: more than can be gone from one kept answer
-/// without the service being gone.
-const NODES: u32 = 8;
+/// Maximum number of nodes that are tried for one request. More nodes than this can't have gone
+/// from one cached list of addresses unless the whole service is down.
+const MAX_NODES_TRIED: u32 = 8;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerResponse {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its body, or the joined text of a stream.
+    /// The body, or the joined text of a stream.
     pub body: Bytes,
     /// The id of the last event of a stream.
     pub last_event: Option<String>,
 }
 
-/// The client.
+/// A client that calls services on behalf of one caller.
 #[derive(Debug)]
 pub struct CallerClient {
     name: Name,
     book: AddressBook,
-    fetch: JsonClient,
+    http: JsonClient,
 }
 
 impl CallerClient {
-    /// A caller of that name.
+    /// Creates a client for the caller `name`. `seeds` are the addresses of some nodes.
     pub fn new(name: Name, seeds: Vec<SocketAddr>) -> Self {
-        Self { name, book: AddressBook::new(seeds), fetch: JsonClient::default() }
+        Self { name, book: AddressBook::new(seeds), http: JsonClient::default() }
     }
 
-    /// Calls a plain service. With a key the call runs at most once.
+    /// Calls a plain service. With an idempotency key the call runs at most once.
     pub async fn call(
         &self,
         service: &str,
@@ -59,16 +59,17 @@
         }
         let (_, response) = self.send(request).await?;
         let status = response.status();
-        let body = read_body(response.into_body(), LIMIT).await;
+        let body = read_body(response.into_body(), MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|e| CallerError::Partial(e.to_string()))?;
-        whole(status, body)
+        complete_response(status, body)
     }
 
-    /// Which nodes to use.
+    /// Returns the addresses of the nodes.
     pub(super) fn book(&self) -> &AddressBook {
         &self.book
     }
 
+    /// Builds a POST request for a path with the headers of this caller.
     pub(super) fn request(&self, path: &str, body: Bytes, timeout: Duration) -> Request<Bytes> {
         let mut request = Request::new(body);
         *request.method_mut() = Method::POST;
@@ -82,18 +83,18 @@
         request
     }
 
-    /// Sends a request to a node. One that takes no connection got nothing of the
-    /// request, so the next one is tried; any other failure is the caller's to judge.
+    /// Sends a request to a node. If no connection can be opened, nothing was sent, so the next node
+    /// is tried. Any other error is returned, because the request may have run.
     pub(super) async fn send(
         &self,
         request: Request<Bytes>,
     ) -> Result<(SocketAddr, http::Response<hyper::body::Incoming>), CallerError> {
-        for _ in 0..NODES {
+        for _ in 0..MAX_NODES_TRIED {
             let node = self.book.next_address().await.ok_or(CallerError::NoNode)?;
             let mut request = request.clone().map(full_body);
             let uri = format!("http://{node}{}", request.uri());
             *request.uri_mut() = uri.parse().unwrap_or_default();
-            match self.fetch.send(node, request).await {
+            match self.http.send(node, request).await {
                 Ok(response) => return Ok((node, response)),
                 Err(JsonClientError::Connect { .. }) => self.book.mark_failed(node),
                 Err(e) => {
@@ -106,13 +107,17 @@
     }
 }
 
-pub(super) fn whole(status: StatusCode, body: Bytes) -> Result<CallerResponse, CallerError> {
+/// Returns a received response, or the error if it is a problem document of the service.
+pub(super) fn complete_response(
+    status: StatusCode,
+    body: Bytes,
+) -> Result<CallerResponse, CallerError> {
     if status.is_success() {
         return Ok(CallerResponse { status, body, last_event: None });
     }
     match std::str::from_utf8(&body) {
         Ok(text) if text.contains("urn:mulberrycourse:") => Err(CallerError::refused(text)),
-        // The upstream's own answer, whatever its status.
+        // A response of the upstream itself, whatever its status.
         _ => Ok(CallerResponse { status, body, last_event: None }),
     }
 }
--- a/src/client/caller/mod.rs
+++ b/src/client/caller/mod.rs
@@ -1,4 +1,4 @@
-//! A client for callers.
+//! The client for callers.
 
 mod caller;
 mod error;
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The shipped clients of callers and trainers.
+//! Client libraries for callers and trainers.
 
 mod addresses;
 mod caller;
--- a/src/client/trainer.rs
+++ b/src/client/trainer.rs
@@ -1,8 +1,8 @@
-//! A client for trainers: submits a step and pulls its groups, each once.
+//! The client for trainers, which submits a step and pulls each of its groups once.
 //!
-//! The groups that the trainer has are its acknowledgement: they go along with
-//! every pull and every submission, so a node that never heard of the step makes
-//! only what is missing. A trainer that restarts goes on with what it kept.
+//! Every pull and every submission lists the groups that the trainer has received. The list is
+//! the acknowledgement, and a node that does not know the step generates only the missing groups.
+//! A trainer that restarts resumes from the groups it has stored.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,49 +17,49 @@
 use crate::edge::http::{JsonClient, JsonClientError};
 use crate::node::{PullGroupsRequest, PullGroupsResponse, SubmitStepRequest};
 
-/// Groups in one pull.
-const MOST: usize = 64;
+/// Maximum number of groups in one pull.
+const MAX_GROUPS_PER_PULL: usize = 64;
 /// How long a pull waits for the first group.
-const WAIT: Duration = Duration::from_secs(5);
-/// How long a call may take: the wait, with room.
-const LIMIT: Duration = Duration::from_secs(15);
-/// Pause after a node that did not answer.
-const PAUSE: Duration = Duration::from_millis(100);
-/// Failures in a row after which a step is given up.
-const FAILURES: u32 = 200;
+const PULL_WAIT: Duration = Duration::from_secs(5);
+/// Timeout of a call; longer than [`PULL_WAIT`].
+const CALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay before a retry after a failed call.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Number of failures in a row after which a step fails.
+const MAX_FAILURES: u32 = 200;
 
-/// Why a step did not become whole.
+/// Why a step did not complete.
 #[derive(Debug, thiserror::Error)]
 pub enum TrainerError {
-    /// No node answered for too long.
+    /// Too many calls in a row failed; holds their number.
     #[error("no node answered {0} times in a row")]
     NoNode(u32),
-    /// The service refused for good.
+    /// The service refused the step with a client error, which a retry would not change.
     #[error(transparent)]
     Refused(#[from] JsonClientError),
 }
 
-/// A step, whole or under way.
+/// The groups received of a step so far, and counts of what went wrong.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StepReport {
-    /// The groups by number.
+    /// The received groups, by number.
     pub groups: BTreeMap<u32, Group>,
-    /// Groups that came a second time, and were dropped. 0 if all is well.
+    /// Groups that were received a second time and dropped; 0 unless there is a fault.
     pub duplicates: u64,
-    /// Groups that came with samples missing, and were dropped. 0 if all is well.
+    /// Groups that were received with samples missing and dropped; 0 unless there is a fault.
     pub incomplete: u64,
-    /// Groups that were too old when they arrived, and were dropped.
+    /// Groups that were too old when they were received and were dropped.
     pub stale: u64,
-    /// Calls that failed and were made again.
+    /// Calls that failed and were retried.
     pub failures: u64,
 }
 
-/// The client.
+/// A client that runs the steps of one trainer.
 #[derive(Debug)]
 pub struct TrainerClient {
     name: Name,
     book: AddressBook,
-    fetch: JsonClient,
+    http: JsonClient,
     version: AtomicU64,
 }
 
@@ -70,42 +70,51 @@
     number: u64,
     spec: &'a StepSpec,
     report: StepReport,
-    /// Where the step is held.
+    /// The node that holds the step; none if it has to be submitted.
     node: Option<SocketAddr>,
-    /// Samples of unfinished groups that the last node gave along.
-    parts: Vec<Group>,
-    failed: u32,
+    /// Incomplete groups that a draining node returned; they are sent with the next submission.
+    partial_groups: Vec<Group>,
+    /// The number of failures in a row.
+    failures: u32,
 }
 
 impl TrainerClient {
-    /// A trainer of that name.
+    /// Creates a client for the trainer `name`. `seeds` are the addresses of some nodes.
     pub fn new(name: Name, seeds: Vec<SocketAddr>) -> Self {
         let book = AddressBook::for_trainer(seeds, name.clone());
-        Self { name, book, fetch: JsonClient::default(), version: AtomicU64::new(0) }
+        Self { name, book, http: JsonClient::default(), version: AtomicU64::new(0) }
     }
 
-    /// The trainer's weights are at this version now.
+    /// Sets the weight version of the trainer; a lower version than before is ignored.
     pub fn set_version(&self, version: u64) {
         self.version.fetch_max(version, Ordering::Relaxed);
     }
 
-    /// Submits a step and pulls until every group is there.
+    /// Submits a step and pulls until every group has been received.
     pub async fn run_step(&self, number: u64, spec: &StepSpec) -> Result<StepReport, TrainerError> {
         let mut pull = self.resume_step(number, spec, BTreeMap::new());
         while !pull.next_groups().await?.is_empty() {}
         Ok(pull.report)
     }
 
-    /// Goes on with a step of which these groups were kept; none for a new one.
+    /// Resumes a step of which the groups `stored` were received before; none for a new step.
     pub fn resume_step<'a>(
         &'a self,
         number: u64,
         spec: &'a StepSpec,
-        kept: BTreeMap<u32, Group>,
+        stored: BTreeMap<u32, Group>,
     ) -> StepPull<'a> {
         self.set_version(spec.version);
-        let report = StepReport { groups: kept, ..StepReport::default() };
-        StepPull { trainer: self, number, spec, report, node: None, parts: Vec::new(), failed: 0 }
+        let report = StepReport { groups: stored, ..StepReport::default() };
+        StepPull {
+            trainer: self,
+            number,
+            spec,
+            report,
+            node: None,
+            partial_groups: Vec::new(),
+            failures: 0,
+        }
     }
 
     fn path(&self, number: u64) -> String {
@@ -114,55 +123,55 @@
 }
 
 impl StepPull<'_> {
-    /// What came so far.
+    /// Returns what has been received so far.
     pub fn report(&self) -> &StepReport {
         &self.report
     }
 
-    /// Submits the step without asking for groups: while the trainer trains on the last
-    /// one, as many samples are made early as the bundle's `idle_weight` allows.
+    /// Submits the step without pulling groups. While the trainer trains on the previous step, the
+    /// service generates samples early, as many as the bundle's `idle_weight` allows.
     pub async fn prepare(&mut self) -> Result<(), TrainerError> {
-        while self.held().await?.is_none() {
-            self.failure().await?;
+        while self.submit().await?.is_none() {
+            self.record_failure().await?;
         }
         Ok(())
     }
 
-    /// The groups that come next; none once the step is whole. They count as
-    /// received with the next call: a trainer that has to survive its own restart
-    /// keeps them first.
+    /// Returns the next groups; none once the step is complete. They are acknowledged with the next
+    /// call, so a trainer that must survive its own restart stores them before that.
     pub async fn next_groups(&mut self) -> Result<Vec<Group>, TrainerError> {
         loop {
-            let Some(node) = self.held().await? else {
-                self.failure().await?;
+            let Some(node) = self.submit().await? else {
+                self.record_failure().await?;
                 continue;
             };
             match self.pull(node).await {
                 Ok(pulled) => {
-                    self.failed = 0;
+                    self.failures = 0;
                     if pulled.draining && !pulled.complete {
-                        self.leave(node);
+                        self.drop_node(node);
                     }
                     let complete = pulled.complete;
-                    let fresh = self.take(pulled);
+                    let fresh = self.accept(pulled);
                     if complete || !fresh.is_empty() {
                         return Ok(fresh);
                     }
                 }
                 Err(e) => {
-                    if gone(&e) {
+                    if is_unknown_step(&e) {
                         self.node = None;
                     } else {
-                        self.leave(node);
+                        self.drop_node(node);
                     }
-                    self.failure().await?;
+                    self.record_failure().await?;
                 }
             }
         }
     }
 
-    /// The node that holds the step, submitted there if need be; `None` if none answers.
-    async fn held(&mut self) -> Result<Option<SocketAddr>, TrainerError> {
+    /// Returns the node that holds the step, and submits the step if there is none; `None` if the
+    /// submission failed and can be retried.
+    async fn submit(&mut self) -> Result<Option<SocketAddr>, TrainerError> {
         if self.node.is_some() {
             return Ok(self.node);
         }
@@ -170,14 +179,14 @@
         let path = self.trainer.path(self.number);
         let submit = SubmitStepRequest {
             spec: StepSpec { version: self.version(), ..self.spec.clone() },
-            delivered: self.have(),
-            partial_groups: self.parts.clone(),
+            delivered: self.received_groups(),
+            partial_groups: self.partial_groups.clone(),
         };
-        let fetch = &self.trainer.fetch;
-        let sent = fetch.call::<_, serde_json::Value>(at, Method::PUT, &path, &submit, LIMIT);
+        let http = &self.trainer.http;
+        let sent = http.call::<_, serde_json::Value>(at, Method::PUT, &path, &submit, CALL_TIMEOUT);
         match sent.await {
             Ok(_) => {
-                self.parts.clear();
+                self.partial_groups.clear();
                 self.node = Some(at);
                 Ok(self.node)
             }
@@ -195,27 +204,27 @@
         let path = format!("{}/pull", self.trainer.path(self.number));
         let pull = PullGroupsRequest {
             version: self.version(),
-            delivered: self.have(),
-            max_groups: MOST,
-            wait_ms: WAIT.as_millis() as u64,
+            delivered: self.received_groups(),
+            max_groups: MAX_GROUPS_PER_PULL,
+            wait_ms: PULL_WAIT.as_millis() as u64,
         };
-        self.trainer.fetch.call(node, Method::POST, &path, &pull, LIMIT).await
+        self.trainer.http.call(node, Method::POST, &path, &pull, CALL_TIMEOUT).await
     }
 
-    /// Takes what is whole, new and, at this moment, fresh.
-    fn take(&mut self, pulled: PullGroupsResponse) -> Vec<Group> {
-        let floor = min_fresh_version(self.version(), pulled.staleness_bound);
+    /// Returns the groups that are complete, new and fresh enough now, and counts the others.
+    fn accept(&mut self, pulled: PullGroupsResponse) -> Vec<Group> {
+        let min_version = min_fresh_version(self.version(), pulled.staleness_bound);
         if pulled.draining {
-            self.parts = pulled.partial_groups;
+            self.partial_groups = pulled.partial_groups;
         }
         let mut fresh = Vec::new();
         for group in pulled.groups {
             if self.report.groups.contains_key(&group.group) {
                 self.report.duplicates += 1;
-            } else if !self.whole(&group) {
+            } else if !self.is_complete(&group) {
                 self.report.incomplete += 1;
-            } else if group.samples.iter().any(|s| s.oldest().is_some_and(|o| o < floor)) {
-                // Not acknowledged, so the node judges it again and makes it anew.
+            } else if group.samples.iter().any(|s| s.oldest().is_some_and(|o| o < min_version)) {
+                // It is not acknowledged, so the node checks it again and regenerates it.
                 self.report.stale += 1;
             } else {
                 self.report.groups.insert(group.group, group.clone());
@@ -225,12 +234,13 @@
         fresh
     }
 
-    fn whole(&self, group: &Group) -> bool {
+    /// Returns whether a group of the step has all of its samples.
+    fn is_complete(&self, group: &Group) -> bool {
         let Some(prompt) = self.spec.groups.get(group.group as usize) else { return false };
         group.samples.iter().map(|s| s.index).eq(0..prompt.samples)
     }
 
-    fn have(&self) -> Ranges {
+    fn received_groups(&self) -> Ranges {
         self.report.groups.keys().copied().collect()
     }
 
@@ -238,23 +248,25 @@
         self.trainer.version.load(Ordering::Relaxed)
     }
 
-    fn leave(&mut self, node: SocketAddr) {
+    /// Forgets the node that holds the step and marks it as failed.
+    fn drop_node(&mut self, node: SocketAddr) {
         self.trainer.book.mark_failed(node);
         self.node = None;
     }
 
-    async fn failure(&mut self) -> Result<(), TrainerError> {
-        self.failed += 1;
+    /// Counts a failure and waits before the retry; an error after [`MAX_FAILURES`] in a row.
+    async fn record_failure(&mut self) -> Result<(), TrainerError> {
+        self.failures += 1;
         self.report.failures += 1;
-        if self.failed >= FAILURES {
-            return Err(TrainerError::NoNode(self.failed));
+        if self.failures >= MAX_FAILURES {
+            return Err(TrainerError::NoNode(self.failures));
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
         Ok(())
     }
 }
 
-/// Whether the node answers but does not hold the step.
-fn gone(e: &JsonClientError) -> bool {
+/// Returns whether the node answered that it does not hold the step.
+fn is_unknown_step(e: &JsonClientError) -> bool {
     matches!(e, JsonClientError::Status { status: StatusCode::NOT_FOUND, .. })
 }
