--- a/benches/dispatch.rs
+++ b/benches/dispatch.rs
@@ -10,6 +10,7 @@
     UpstreamView, subset,
 };
 
+/// A dispatch for so many upstreams, spread over three availability zones.
 fn new_dispatch(upstreams: usize) -> Dispatch {
     let limits = ServiceLimits { max_queued: 1_000, max_concurrency: 16, training_percent: 10 };
     let mut dispatch = Dispatch::new(limits, "a".into(), 1);
@@ -25,6 +26,7 @@
     dispatch
 }
 
+/// Submits a request, sends it and ends its attempt.
 fn bench_decisions(c: &mut Criterion) {
     let mut group = c.benchmark_group("offer_send_end");
     for upstreams in [9, 32, 128, 1_100] {
@@ -62,6 +64,7 @@
     group.finish();
 }
 
+/// Chooses the upstreams of one node in the planned fleet.
 fn bench_subsets(c: &mut Criterion) {
     let nodes: Vec<String> = (0..380).map(|i| format!("n{i}")).collect();
     let upstreams: Vec<String> = (0..1_100).map(|i| format!("u{i}")).collect();
--- a/benches/places.rs
+++ b/benches/places.rs
@@ -14,6 +14,7 @@
 /// The models, which are distributed evenly over replicas and texts.
 const MODELS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
+/// A fleet of so many replicas, each with one model.
 fn new_fleet(replicas: usize) -> Fleet {
     let mut fleet = Fleet::new("z".into());
     for i in 0..replicas {
@@ -31,6 +32,7 @@
     fleet
 }
 
+/// The slot request of a text.
 fn slot_request(text: usize) -> SlotRequest {
     let model = MODELS[text % MODELS.len()];
     SlotRequest {
--- a/standins/src/bin/claims-bench.rs
+++ b/standins/src/bin/claims-bench.rs
@@ -54,6 +54,7 @@
     ExitCode::SUCCESS
 }
 
+/// A claim request with a key, fingerprint and nonce that follow from `number`.
 fn claim_request(number: u64) -> ClaimRequest {
     let key = ClaimKey::new("sync", "shop", &number.to_string());
     ClaimRequest { key, fingerprint: number, nonce: number, runner: "node-0".into() }
@@ -77,12 +78,12 @@
         }
         journal.tick(now);
         loop {
-            let steps = journal.take_actions();
-            if steps.is_empty() {
+            let actions = journal.take_actions();
+            if actions.is_empty() {
                 break;
             }
-            for step in steps {
-                match step {
+            for action in actions {
+                match action {
                     JournalAction::ReadHead => journal.head_read(Ok(None), now),
                     JournalAction::ReadSegments(_) => journal.segments_read(Ok(vec![]), now),
                     JournalAction::Swap { head, segment, .. } => {
@@ -98,11 +99,11 @@
             }
         }
     }
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     println!(
         "journal: {granted} claims, {:.2} us each, {:.1} claims a write, {} bytes written a claim, \
          {} bytes of memory a claim",
-        took.as_secs_f64() * 1e6 / granted as f64,
+        elapsed.as_secs_f64() * 1e6 / granted as f64,
         granted as f64 / swaps as f64,
         bytes as u64 / granted,
         resident_bytes().saturating_sub(before) / granted,
--- a/standins/src/bin/idle-bench.rs
+++ b/standins/src/bin/idle-bench.rs
@@ -42,6 +42,7 @@
     bundle_text(number, version).replace("idle_weight = 0.8", &format!("idle_weight = {weight}"))
 }
 
+/// A step of 24 groups of 4 samples, for one weight version.
 fn step_spec(version: u64) -> StepSpec {
     let prompt = |g| GroupSpec { prompt: format!("fan {version} {g}"), samples: 4, max_tokens: 64 };
     StepSpec { version, groups: (0..24).map(prompt).collect() }
--- a/standins/src/bin/members-bench.rs
+++ b/standins/src/bin/members-bench.rs
@@ -15,7 +15,7 @@
 /// Interval between two gossip rounds, as in the daemon.
 const ROUND_INTERVAL: Duration = Duration::from_millis(500);
 /// Gossip targets in a round, as in the daemon.
-const FANOUT: usize = 2;
+const GOSSIP_FANOUT: usize = 2;
 /// Bytes that a message takes besides its content: about 40 for HTTP/2 frames and indexed
 /// headers, and 52 for TCP over IPv4.
 const FRAMING_BYTES: usize = 92;
@@ -43,7 +43,9 @@
     /// The table that has stopped, if any.
     dead: Option<usize>,
     now: Duration,
+    /// Messages sent by all tables.
     messages: u64,
+    /// Encoded bytes of these messages, with framing.
     bytes: u64,
 }
 
@@ -121,7 +123,7 @@
                 continue;
             }
             self.tables[index].begin_round(self.now);
-            for target in self.tables[index].gossip_targets(FANOUT, self.now) {
+            for target in self.tables[index].gossip_targets(GOSSIP_FANOUT, self.now) {
                 let to = node_index(&target);
                 if self.dead == Some(to) {
                     self.tables[index].report_unreachable(&target, self.now);
@@ -196,6 +198,7 @@
     }
 }
 
+/// The record of a node with plausible values, so that its encoded size is realistic.
 fn member(index: usize) -> MemberRecord<NodeLocation> {
     let zones = ["gloshaugen", "elgeseter", "heimdal"];
     let octet = (index % 250 + 1) as u8;
@@ -216,6 +219,7 @@
     }
 }
 
+/// The index of a node, from its name.
 fn node_index(name: &str) -> usize {
     name.trim_start_matches("node-").parse().unwrap_or_default()
 }
--- a/standins/src/bin/slope.rs
+++ b/standins/src/bin/slope.rs
@@ -34,6 +34,7 @@
     page: PathBuf,
 }
 
+/// A mechanism to measure, or the update of the page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Mechanism {
     /// Control plane of a node: steady, at a rollout, during and after an outage of the platform,
@@ -52,6 +53,7 @@
 }
 
 impl Mechanism {
+    /// The name of the results file, without extension.
     fn name(self) -> &'static str {
         match self {
             Self::Fleet => "fleet",
@@ -63,6 +65,7 @@
         }
     }
 
+    /// The sizes that are measured unless the command line names others.
     fn default_sizes(self) -> &'static [u32] {
         match self {
             Self::Fleet => &[4, 16, 48],
--- a/standins/src/bin/training-bench.rs
+++ b/standins/src/bin/training-bench.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// Simulates rollouts with different limits on the share of engines that swap at the same time.
 fn rollout(engines: usize, nodes: usize, swap_ms: u64, loads: u32) {
     let swap = (swap_ms / TICK_DURATION.as_millis() as u64) as u32;
     println!("percent,chains,seconds,most_swapping,most_loads_a_second,looks,micros_a_node_second");
@@ -113,6 +114,7 @@
     wasted_percent: f64,
 }
 
+/// Compares the policies, with means over all seeds.
 fn stragglers(seeds: u64) {
     println!("policy,step_time,mean_tokens,p90_tokens,wasted_tokens_percent");
     for policy in [Policy::Number, Policy::Longest, Policy::Surplus] {
--- a/standins/src/experiment/upstream.rs
+++ b/standins/src/experiment/upstream.rs
@@ -49,6 +49,7 @@
 struct Running {
     /// The reading of the work clock at which it finishes.
     finish: f64,
+    /// Units of work that it takes, including prefill.
     work: f64,
 }
 
--- a/standins/src/slope/fleet_costs.rs
+++ b/standins/src/slope/fleet_costs.rs
@@ -172,11 +172,13 @@
         })
     }
 
+    /// Whether at least this bundle is in force at a node.
     async fn has_bundle(&self, at: &Daemon, number: u64) -> Result<bool, JsonClientError> {
         let state: BundleState = self.state(at, "bundle").await?;
         Ok(state.number >= number)
     }
 
+    /// Whether all engines serve weight version 2.
     fn engines_swapped<'a>(&'a self, _: &'a Daemon) -> Check<'a> {
         Box::pin(async move { Ok(self.fleet.engines.iter().all(|e| e.version() == Some(2))) })
     }
@@ -216,6 +218,7 @@
         (sum(false), sum(true))
     }
 
+    /// Reads the metrics of all nodes, one after another.
     async fn scrape_all(&self) -> Result<Vec<Scrape>, JsonClientError> {
         let mut all = Vec::new();
         for daemon in &self.daemons {
--- a/standins/src/slope/node_costs.rs
+++ b/standins/src/slope/node_costs.rs
@@ -52,6 +52,7 @@
         Ok(node)
     }
 
+    /// A client of the node, as the caller `shop`.
     fn caller(&self) -> CallerClient {
         CallerClient::new("shop".into(), vec![self.daemon.client_address])
     }
--- a/standins/src/slope/scrape.rs
+++ b/standins/src/slope/scrape.rs
@@ -28,11 +28,11 @@
         let bytes =
             bytes.map_err(|e| JsonClientError::Interrupted { to, reason: e.to_string() })?;
         let text = String::from_utf8_lossy(&bytes);
-        let pair = |line: &str| {
+        let parse_line = |line: &str| {
             let (series, value) = line.rsplit_once(' ')?;
             Some((series.to_owned(), value.parse().ok()?))
         };
-        let values = text.lines().filter(|l| !l.starts_with('#')).filter_map(pair).collect();
+        let values = text.lines().filter(|l| !l.starts_with('#')).filter_map(parse_line).collect();
         Ok(Self { values, bytes: bytes.len() })
     }
 
