--- a/standins/src/duties/ledger.rs
+++ b/standins/src/duties/ledger.rs
@@ -24,6 +24,7 @@
     pub accepted: bool,
 }
 
+/// What the platform recorded, and its faults.
 #[derive(Debug, Default)]
 struct State {
     /// The highest fencing token received.
@@ -37,7 +38,7 @@
     refused_calls: u32,
 }
 
-/// The platform. Clones share what it recorded.
+/// The platform, which records the reports and orders that it receives. Clones share the records.
 #[derive(Debug, Clone, Default)]
 pub struct DutyLedger {
     state: Arc<Mutex<State>>,
--- a/standins/src/plain/mod.rs
+++ b/standins/src/plain/mod.rs
@@ -62,8 +62,10 @@
     pub body: String,
 }
 
+/// What the server and the test's handle share.
 #[derive(Debug, Default)]
 struct Shared {
+    /// The calls that ran, in order.
     ledger: Mutex<Vec<RecordedCall>>,
     faults: Mutex<Faults>,
 }
--- a/standins/src/replicas/fleet.rs
+++ b/standins/src/replicas/fleet.rs
@@ -119,12 +119,12 @@
         self.state.lock().event_counts.insert(item.into(), events);
     }
 
-    /// All runs so far.
+    /// All runs so far, in order of their start.
     pub fn runs(&self) -> Vec<RecordedRun> {
         self.state.lock().runs.clone()
     }
 
-    /// All orders so far.
+    /// All orders so far, in order of receipt.
     pub fn orders(&self) -> Vec<RecordedOrder> {
         self.state.lock().orders.clone()
     }
@@ -139,6 +139,7 @@
         format!("{item}/{event}")
     }
 
+    /// Runs `work` on a replica under the lock; none if the replica does not exist.
     fn with<T>(&self, id: &str, work: impl FnOnce(&mut Replica) -> T) -> Option<T> {
         self.state.lock().replicas.get_mut(id).map(work)
     }
--- a/standins/src/rollout.rs
+++ b/standins/src/rollout.rs
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Advances a load by one tick and records a report.
     fn tick(&mut self) {
         self.loading = match self.loading {
             Some((version, 0)) => {
@@ -94,6 +95,7 @@
     nodes: Vec<(Name, Rollout)>,
     /// The frozen node, if any, and the owner of each engine while that node is frozen.
     owners: (Option<usize>, Vec<usize>),
+    /// The simulated time since the start.
     now: Duration,
 }
 
--- a/standins/src/weights/mod.rs
+++ b/standins/src/weights/mod.rs
@@ -11,6 +11,7 @@
 
 use crate::server::{Server, Service, ServiceResult, text_response};
 
+/// What the server and the test's handle share.
 #[derive(Debug)]
 struct Shared {
     /// Versions served per second.
