--- a/src/bundle/bundle.rs
+++ b/src/bundle/bundle.rs
@@ -30,10 +30,10 @@
     /// Reads and checks a text; `file` names it in errors.
     pub fn parse(file: &str, text: &str) -> Result<Self, SettingsError> {
         let doc = Document::parse(file, text)?;
-        doc.only(&["bundle"], &["service", "caller", "trainer"])?;
+        doc.check_sections(&["bundle"], &["service", "caller", "trainer"])?;
         let head = doc.section("bundle")?;
         let number = head.value("number")?;
-        let idle_weight = head.within("idle_weight", 0.0..=1.0, 0.5)?;
+        let idle_weight = head.in_range("idle_weight", 0.0..=1.0, 0.5)?;
         head.finish()?;
         let services = read(&doc, "service", service)?;
         let callers = read(&doc, "caller", |_, s| caller(s))?;
@@ -43,9 +43,9 @@
     }
 
     /// The weights of callers and trainers. One name that is both has the trainer's.
-    pub fn shares(&self) -> CallerWeights {
-        let callers = self.callers.iter().map(|(name, c)| (name.clone(), c.share));
-        let trainers = self.trainers.iter().map(|(name, t)| (name.clone(), t.share));
+    pub fn caller_weights(&self) -> CallerWeights {
+        let callers = self.callers.iter().map(|(name, c)| (name.clone(), c.weight));
+        let trainers = self.trainers.iter().map(|(name, t)| (name.clone(), t.weight));
         CallerWeights { weights: callers.chain(trainers).collect() }
     }
 }
@@ -56,7 +56,7 @@
     one: impl Fn(Name, &Section<'_>) -> Result<T, SettingsError>,
 ) -> Result<BTreeMap<Name, T>, SettingsError> {
     let mut all = BTreeMap::new();
-    for (name, section) in doc.named(kind) {
+    for (name, section) in doc.named_sections(kind) {
         let item = one(name.clone(), &section)?;
         section.finish()?;
         all.insert(name, item);
@@ -72,19 +72,19 @@
         ServiceKind::Engine => Some(EngineSpec {
             version: section.value("version")?,
             fenced: section.value_or("fenced", true)?,
-            swapping: section.within("swapping", 1..=100, 34)?,
-            loads: section.within("loads", 1..=100_000, 100)?,
+            swap_percent: section.in_range("swapping", 1..=100, 34)?,
+            load_rate: section.in_range("loads", 1..=100_000, 100)?,
         }),
     };
     Ok(ServiceSpec {
         name,
         engine,
         repeat: section.choice("repeat", &repeats, Repeat::Idempotent)?,
-        queue: section.within("queue", 1..=100_000, 1_000)?,
-        concurrency: section.within("concurrency", 1..=10_000, 16)?,
-        floor: section.within("training_floor", 0..=90, 10)?,
-        subset: section.within("subset", 2..=10_000, 32)?,
-        deadline: section.duration("deadline", Duration::from_secs(30))?,
+        max_queued: section.in_range("queue", 1..=100_000, 1_000)?,
+        max_concurrency: section.in_range("concurrency", 1..=10_000, 16)?,
+        training_percent: section.in_range("training_floor", 0..=90, 10)?,
+        max_upstreams: section.in_range("subset", 2..=10_000, 32)?,
+        default_deadline: section.duration("deadline", Duration::from_secs(30))?,
     })
 }
 
@@ -92,7 +92,7 @@
     let classes = [("live", Class::Live), ("training", Class::Training)];
     Ok(CallerSpec {
         class: section.choice("class", &classes, Class::Live)?,
-        share: section.within("share", 1..=1_000, 1)?,
+        weight: section.in_range("share", 1..=1_000, 1)?,
     })
 }
 
@@ -104,12 +104,12 @@
     let engine = services.get(&service).is_some_and(|s| s.engine.is_some());
     if !engine {
         let reason = "no [service] of kind = engine has this name".to_owned();
-        return Err(section.bad("service", &service, reason));
+        return Err(section.invalid_value("service", &service, reason));
     }
     Ok(TrainerSpec {
         service,
-        staleness: section.within("staleness", 0..=1_000, 1)?,
-        share: section.within("share", 1..=1_000, 1)?,
-        abandoned: section.duration("abandoned", ABANDONED)?,
+        staleness_bound: section.in_range("staleness", 0..=1_000, 1)?,
+        weight: section.in_range("share", 1..=1_000, 1)?,
+        abandon_after: section.duration("abandoned", ABANDONED)?,
     })
 }
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -3,10 +3,10 @@
 pub mod commands;
 pub mod queries;
 
-mod failure;
+mod bundle_store;
+mod error;
 mod rollout;
-mod store;
 
-pub use failure::{CommandError, ErrorReport};
+pub use bundle_store::BundleStore;
+pub use error::{CommandError, ErrorReport};
 pub use rollout::{RolloutProgress, follow_rollout};
-pub use store::BundleStore;
--- a/src/client/caller/caller.rs
+++ b/src/client/caller/caller.rs
@@ -26,7 +26,7 @@
     /// Its body, or the joined text of a stream.
     pub body: Bytes,
     /// The id of the last event of a stream.
-    pub last: Option<String>,
+    pub last_event: Option<String>,
 }
 
 /// The client.
@@ -89,15 +89,15 @@
         request: Request<Bytes>,
     ) -> Result<(SocketAddr, http::Response<hyper::body::Incoming>), CallerError> {
         for _ in 0..NODES {
-            let node = self.book.get().await.ok_or(CallerError::NoNode)?;
+            let node = self.book.next_address().await.ok_or(CallerError::NoNode)?;
             let mut request = request.clone().map(full_body);
             let uri = format!("http://{node}{}", request.uri());
             *request.uri_mut() = uri.parse().unwrap_or_default();
             match self.fetch.send(node, request).await {
                 Ok(response) => return Ok((node, response)),
-                Err(JsonClientError::Connect { .. }) => self.book.failed(node),
+                Err(JsonClientError::Connect { .. }) => self.book.mark_failed(node),
                 Err(e) => {
-                    self.book.failed(node);
+                    self.book.mark_failed(node);
                     return Err(e.into());
                 }
             }
@@ -108,11 +108,11 @@
 
 pub(super) fn whole(status: StatusCode, body: Bytes) -> Result<CallerResponse, CallerError> {
     if status.is_success() {
-        return Ok(CallerResponse { status, body, last: None });
+        return Ok(CallerResponse { status, body, last_event: None });
     }
     match std::str::from_utf8(&body) {
         Ok(text) if text.contains("urn:mulberrycourse:") => Err(CallerError::refused(text)),
         // The upstream's own answer, whatever its status.
-        _ => Ok(CallerResponse { status, body, last: None }),
+        _ => Ok(CallerResponse { status, body, last_event: None }),
     }
 }
--- a/src/decide/claim/resolve.rs
+++ b/src/decide/claim/resolve.rs
@@ -70,5 +70,5 @@
 
 fn in_progress() -> Resolution {
     let refusal = Refusal::new(Kind::InProgress, "another request holds the key");
-    Resolution::Refuse(refusal.after(IN_PROGRESS_RETRY_AFTER))
+    Resolution::Refuse(refusal.with_retry_after(IN_PROGRESS_RETRY_AFTER))
 }
--- a/src/edge/http/server.rs
+++ b/src/edge/http/server.rs
@@ -85,7 +85,7 @@
 
 /// Accepts connections and refuses those over the limit.
 async fn accept<H: Handler>(acceptor: Acceptor, shared: Arc<Shared<H>>, tracker: TaskTracker) {
-    let open = Arc::new(Semaphore::new(shared.limits.most));
+    let open = Arc::new(Semaphore::new(shared.limits.max_open));
     let refusals = Arc::new(Semaphore::new(MAX_OPEN_REFUSALS));
     while let Some((stream, from)) = acceptor.accept(&shared.cancel).await {
         if let Ok(permit) = open.clone().try_acquire_owned() {
@@ -97,7 +97,7 @@
             continue;
         }
         shared.handler.connection_refused(Kind::TooManyConnections);
-        tracing::warn!(event = "connection_refused", %from, most = shared.limits.most);
+        tracing::warn!(event = "connection_refused", %from, most = shared.limits.max_open);
         if let Ok(permit) = refusals.clone().try_acquire_owned() {
             tracker.spawn(async move {
                 let _ = tokio::time::timeout(REFUSAL_TIMEOUT, refuse(stream)).await;
@@ -117,12 +117,12 @@
         async move { Ok::<_, Infallible>(handler.handle(request, from).await) }
     });
     let mut builder = auto::Builder::new(TokioExecutor::new());
-    builder.http1().timer(TokioTimer::new()).header_read_timeout(shared.limits.head);
+    builder.http1().timer(TokioTimer::new()).header_read_timeout(shared.limits.head_timeout);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     // hyper's own limit for the head begins once the protocol version is known. This one covers
     // a client that does not send even that.
-    let head_timeout = tokio::time::sleep(shared.limits.head);
+    let head_timeout = tokio::time::sleep(shared.limits.head_timeout);
     tokio::pin!(head_timeout);
     let mut head_checked = false;
     let ended = loop {
@@ -149,7 +149,8 @@
 /// Answers the first request of a connection with a refusal and closes the connection.
 async fn refuse(stream: TcpStream) {
     let service = service_fn(|_: Request<Incoming>| async {
-        let refusal = Refusal::new(Kind::TooManyConnections, "try another node").after(RETRY_AFTER);
+        let refusal = Refusal::new(Kind::TooManyConnections, "try another node")
+            .with_retry_after(RETRY_AFTER);
         Ok::<_, Infallible>(problem_response(&refusal))
     });
     let mut builder = auto::Builder::new(TokioExecutor::new());
--- a/src/entry/app.rs
+++ b/src/entry/app.rs
@@ -206,9 +206,9 @@
     /// Returns all counters and gauges as text.
     pub fn metrics(&self) -> String {
         self.tally.open_jobs.set(self.owned_jobs.all().len() as i64);
-        self.tally.routes.set(self.routes().map_or(0, |r| r.version as i64));
-        self.tally.lines_dropped.set(crate::logs::dropped() as i64);
-        self.tally.text()
+        self.tally.routes_version.set(self.routes().map_or(0, |r| r.version as i64));
+        self.tally.dropped_lines.set(crate::logs::dropped_lines() as i64);
+        self.tally.text_format()
     }
 
     /// Whether a route that is not known here may have been added: the store does not answer, and
--- a/src/metrics/traffic.rs
+++ b/src/metrics/traffic.rs
@@ -1,46 +1,46 @@
-//! The bytes of one purpose, both ways.
+//! Counters of the bytes and messages of one purpose, in both directions.
 
 use prometheus_client::metrics::counter::Counter;
 
 use super::Direction;
 
-/// Counts messages and bytes of bodies and messages; heads and framing are not counted.
+/// Counts messages and the bytes of their bodies; headers and framing are not counted.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    sent: Counter,
-    received: Counter,
+    bytes_out: Counter,
+    bytes_in: Counter,
     messages_out: Counter,
     messages_in: Counter,
 }
 
 impl Traffic {
-    /// The counters of bytes and of messages, by way.
+    /// Takes the byte and message counters for each direction.
     pub(super) fn new(
         bytes: impl Fn(Direction) -> Counter,
         messages: impl Fn(Direction) -> Counter,
     ) -> Self {
         Self {
-            sent: bytes(Direction::Out),
-            received: bytes(Direction::In),
+            bytes_out: bytes(Direction::Out),
+            bytes_in: bytes(Direction::In),
             messages_out: messages(Direction::Out),
             messages_in: messages(Direction::In),
         }
     }
 
-    /// Bytes received so far.
+    /// Returns the number of bytes received so far.
     pub fn bytes_received(&self) -> u64 {
-        self.received.get()
+        self.bytes_in.get()
     }
 
-    /// Counts a message of so many bytes that this node sent.
-    pub fn sent(&self, bytes: usize) {
+    /// Counts a sent message with a body of `bytes` bytes.
+    pub fn count_sent(&self, bytes: usize) {
         self.messages_out.inc();
-        self.sent.inc_by(bytes as u64);
+        self.bytes_out.inc_by(bytes as u64);
     }
 
-    /// Counts a message of so many bytes that this node received.
-    pub fn received(&self, bytes: usize) {
+    /// Counts a received message with a body of `bytes` bytes.
+    pub fn count_received(&self, bytes: usize) {
         self.messages_in.inc();
-        self.received.inc_by(bytes as u64);
+        self.bytes_in.inc_by(bytes as u64);
     }
 }
--- a/src/node/addresses.rs
+++ b/src/node/addresses.rs
@@ -57,5 +57,5 @@
 fn addresses_of(app: &App, names: &[&str], nodes: &[NodeInfo]) -> Addresses {
     let address = |name: &&str| nodes.iter().find(|n| &*n.name == *name).map(|n| n.callers);
     let addresses = names.iter().filter_map(address).collect();
-    Addresses { addresses, ttl_ms: app.settings.drain.ttl.as_millis() as u64 }
+    Addresses { addresses, ttl_ms: app.settings.drain.address_ttl.as_millis() as u64 }
 }
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -76,7 +76,7 @@
             "/metrics" => {
                 // The tracker also counts the task of the listener itself.
                 let open = self.connections.len().saturating_sub(1);
-                app.metrics.held(StateKind::Connection, open);
+                app.metrics.set_entry_count(StateKind::Connection, open);
                 metrics_response(app)
             }
             "/v1/state/bundle" => match app.bundles.current() {
@@ -99,7 +99,7 @@
 }
 
 fn metrics_response(app: &App) -> Response<Body> {
-    let set_entries = |kind, count| app.metrics.held(kind, count);
+    let set_entries = |kind, count| app.metrics.set_entry_count(kind, count);
     set_entries(StateKind::Member, app.members.count());
     set_entries(StateKind::Upstream, app.upstreams.list().len());
     set_entries(StateKind::Step, app.steps.count());
@@ -113,7 +113,7 @@
     set_entries(StateKind::Waiting, waiting);
     set_entries(StateKind::Running, running);
     let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    let mut response = text_response(StatusCode::OK, app.metrics.text());
+    let mut response = text_response(StatusCode::OK, app.metrics.text_format());
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/src/node/claims/claim_guard.rs
+++ b/src/node/claims/claim_guard.rs
@@ -232,5 +232,5 @@
 fn unavailable(why: &str, after: Duration) -> Refusal {
     let detail =
         format!("{why}; this request did not run, an earlier one with the same key may have run");
-    Refusal::new(Kind::ClaimUnavailable, detail).after(after)
+    Refusal::new(Kind::ClaimUnavailable, detail).with_retry_after(after)
 }
--- a/src/node/completion.rs
+++ b/src/node/completion.rs
@@ -151,7 +151,7 @@
             }
             Ok(Ok(AttemptResult::Stale(version))) => {
                 let detail = format!("weight version {version} in the output is now too old");
-                return Err(stale(&detail).unsure(Kind::Stale));
+                return Err(stale(&detail).with_unknown_outcome(Kind::Stale));
             }
             Ok(Err(failure)) => {
                 tracing::info!(
@@ -179,12 +179,12 @@
     // A completion with tokens has run in part, whatever the outcome of the last attempt is.
     permit.retry(failure.outcome).await.map_err(|refusal| match progress.label.tokens() {
         0 => refusal,
-        _ => refusal.unsure(Kind::Truncated),
+        _ => refusal.with_unknown_outcome(Kind::Truncated),
     })
 }
 
 fn stale(detail: &str) -> Refusal {
-    Refusal::new(Kind::Stale, detail).after(STALE_RETRY_DELAY)
+    Refusal::new(Kind::Stale, detail).with_retry_after(STALE_RETRY_DELAY)
 }
 
 fn deadline_passed(progress: &Progress) -> Refusal {
--- a/src/node/steps/sampling.rs
+++ b/src/node/steps/sampling.rs
@@ -54,7 +54,7 @@
     let Some(service) = adopted.bundle.services.get(&active.trainer_spec.service) else {
         return 0;
     };
-    app.upstreams.of_service(&service.name).len() * service.concurrency as usize
+    app.upstreams.of_service(&service.name).len() * service.max_concurrency as usize
 }
 
 /// Makes attempts at a sample until its slot is filled or no longer needed.
@@ -86,8 +86,8 @@
                     ?slot,
                     %refusal,
                 );
-                app.metrics.refused(refusal.kind);
-                tokio::time::sleep(refusal.after.unwrap_or(RETRY_DELAY)).await;
+                app.metrics.count_refusal(refusal.kind);
+                tokio::time::sleep(refusal.retry_after.unwrap_or(RETRY_DELAY)).await;
             }
         }
     }
@@ -106,7 +106,7 @@
 }
 
 fn record_discarded(app: &App, active: &ActiveStep, slot: Slot) {
-    app.metrics.discarded.inc();
+    app.metrics.discarded_samples.inc();
     tracing::info!(event = "sample_discarded", trainer = %active.trainer, ?slot);
 }
 
--- a/src/node/upstreams.rs
+++ b/src/node/upstreams.rs
@@ -168,7 +168,7 @@
     for (service, dispatcher) in app.dispatchers() {
         let mut vms = app.upstreams.of_service(&service);
         if let Some(spec) = adopted.bundle.services.get(&service) {
-            subsets.retain_subset(app, &service, &mut vms, spec.subset);
+            subsets.retain_subset(app, &service, &mut vms, spec.max_upstreams);
         }
         let views: Vec<_> = vms.iter().map(|vm| (view(vm), vm.address)).collect();
         dispatcher.set_upstreams(&views);
--- a/src/settings/node.rs
+++ b/src/settings/node.rs
@@ -44,7 +44,7 @@
     /// Section `[operators]`: who may sign a bundle.
     pub operators: Operators,
     /// `[log] level`: a filter such as `info` or `mulberrycourse=debug`.
-    pub level: String,
+    pub log_level: String,
 }
 
 /// Who and where this node is.
@@ -57,11 +57,11 @@
     /// Its availability zone.
     pub zone: Name,
     /// Where callers and trainers connect.
-    pub callers: SocketAddr,
+    pub client_address: SocketAddr,
     /// Where other nodes connect.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Where operators and metrics connect.
-    pub admin: SocketAddr,
+    pub admin_address: SocketAddr,
 }
 
 /// Where the platform is.
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct DrainSettings {
     /// How long callers keep an address answer.
-    pub ttl: Duration,
+    pub address_ttl: Duration,
     /// How much longer the node serves than that.
     pub margin: Duration,
     /// How long it waits for what is in flight after that.
@@ -95,9 +95,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionSettings {
     /// The most that are open at the callers' listener; more are refused.
-    pub most: usize,
+    pub max_open: usize,
     /// How long a caller may take to send the head of a request.
-    pub head: Duration,
+    pub head_timeout: Duration,
 }
 
 impl Settings {
@@ -109,30 +109,30 @@
     /// Checks a parsed text.
     pub fn read(doc: &Document) -> Result<Self, SettingsError> {
         let known = ["node", "platform", "peers", "drain", "connections", "operators", "log"];
-        doc.only(&known, &[])?;
+        doc.check_sections(&known, &[])?;
         Ok(Self {
             node: node(doc.section("node")?)?,
             platform: platform(doc.section("platform")?)?,
-            peers: doc.optional("peers").map(peers).transpose()?.unwrap_or_default(),
-            drain: doc.optional("drain").map_or(Ok(DrainSettings::default()), drain)?,
+            peers: doc.optional_section("peers").map(peers).transpose()?.unwrap_or_default(),
+            drain: doc.optional_section("drain").map_or(Ok(DrainSettings::default()), drain)?,
             connections: doc
-                .optional("connections")
+                .optional_section("connections")
                 .map_or(Ok(ConnectionSettings::default()), connections)?,
             operators: operators(doc.section("operators")?)?,
-            level: doc.optional("log").map_or(Ok("info".to_owned()), level)?,
+            log_level: doc.optional_section("log").map_or(Ok("info".to_owned()), level)?,
         })
     }
 }
 
 impl Default for ConnectionSettings {
     fn default() -> Self {
-        Self { most: CONNECTIONS, head: HEAD }
+        Self { max_open: CONNECTIONS, head_timeout: HEAD }
     }
 }
 
 impl Default for DrainSettings {
     fn default() -> Self {
-        Self { ttl: ANSWER_TTL, margin: DRAIN_MARGIN, grace: DRAIN_GRACE }
+        Self { address_ttl: ANSWER_TTL, margin: DRAIN_MARGIN, grace: DRAIN_GRACE }
     }
 }
 
@@ -141,9 +141,9 @@
         name: section.required("name")?.into(),
         region: section.required("region")?.into(),
         zone: section.required("zone")?.into(),
-        callers: told(&section, "callers")?,
-        peers: told(&section, "peers")?,
-        admin: section.value("admin")?,
+        client_address: told(&section, "callers")?,
+        peer_address: told(&section, "peers")?,
+        admin_address: section.value("admin")?,
     };
     distinct(&section, &settings)?;
     section.finish()?;
@@ -155,7 +155,7 @@
     let address: SocketAddr = section.value(key)?;
     if address.ip().is_unspecified() {
         let reason = "expected the address that others connect to, not every interface";
-        return Err(section.bad(key, &address.to_string(), reason.to_owned()));
+        return Err(section.invalid_value(key, &address.to_string(), reason.to_owned()));
     }
     Ok(address)
 }
@@ -163,16 +163,16 @@
 /// Two listeners can't share a port; port 0 takes a free one.
 fn distinct(section: &Section<'_>, node: &NodeSettings) -> Result<(), SettingsError> {
     let pairs = [
-        ("peers", node.peers, "callers", node.callers),
-        ("admin", node.admin, "callers", node.callers),
-        ("admin", node.admin, "peers", node.peers),
+        ("peers", node.peer_address, "callers", node.client_address),
+        ("admin", node.admin_address, "callers", node.client_address),
+        ("admin", node.admin_address, "peers", node.peer_address),
     ];
     for (key, one, other_key, other) in pairs {
         let same =
             one.ip() == other.ip() || one.ip().is_unspecified() || other.ip().is_unspecified();
         if same && one.port() == other.port() && one.port() != 0 {
             let reason = format!("the port is taken by {other_key}");
-            return Err(section.bad(key, &one.to_string(), reason));
+            return Err(section.invalid_value(key, &one.to_string(), reason));
         }
     }
     Ok(())
@@ -180,17 +180,19 @@
 
 fn connections(section: Section<'_>) -> Result<ConnectionSettings, SettingsError> {
     let head = section.duration("head", HEAD)?;
-    let settings =
-        ConnectionSettings { most: section.within("most", 1..=100_000, CONNECTIONS)?, head };
+    let settings = ConnectionSettings {
+        max_open: section.in_range("most", 1..=100_000, CONNECTIONS)?,
+        head_timeout: head,
+    };
     positive(&section, "head", head)?;
     section.finish()?;
     Ok(settings)
 }
 
 fn operators(section: Section<'_>) -> Result<Operators, SettingsError> {
-    let found = section.all().len();
+    let found = section.entries().len();
     if found < SIGNERS {
-        return Err(section.few(found, SIGNERS));
+        return Err(section.too_few(found, SIGNERS));
     }
     Operators::read(section)
 }
@@ -198,7 +200,7 @@
 fn positive(section: &Section<'_>, key: &str, value: Duration) -> Result<(), SettingsError> {
     if value.is_zero() || value > LONGEST {
         let reason = format!("expected more than 0s and at most {}s", LONGEST.as_secs());
-        return Err(section.bad(key, &format!("{value:?}"), reason));
+        return Err(section.invalid_value(key, &format!("{value:?}"), reason));
     }
     Ok(())
 }
@@ -221,7 +223,7 @@
 
 fn drain(section: Section<'_>) -> Result<DrainSettings, SettingsError> {
     let settings = DrainSettings {
-        ttl: section.duration("ttl", ANSWER_TTL)?,
+        address_ttl: section.duration("ttl", ANSWER_TTL)?,
         margin: section.duration("margin", DRAIN_MARGIN)?,
         grace: section.duration("grace", DRAIN_GRACE)?,
     };
@@ -231,7 +233,8 @@
 
 fn level(section: Section<'_>) -> Result<String, SettingsError> {
     let level = section.text("level").unwrap_or("info").to_owned();
-    crate::logs::check(&level).map_err(|e| section.bad("level", &level, e.reason))?;
+    crate::logs::check_filter(&level)
+        .map_err(|e| section.invalid_value("level", &level, e.reason))?;
     section.finish()?;
     Ok(level)
 }
--- a/standins/src/experiment/simulation.rs
+++ b/standins/src/experiment/simulation.rs
@@ -313,7 +313,7 @@
     fn record_refusal(&mut self, ticket: Ticket, refusal: &Refusal) {
         let Some(mut request) = self.requests.remove(&ticket) else { return };
         self.update_counted(&mut request);
-        let retry_after = refusal.after.unwrap_or(Duration::from_secs(1));
+        let retry_after = refusal.retry_after.unwrap_or(Duration::from_secs(1));
         let result = self.result_index(request.source);
         if request.counted {
             *self.results[result].refused.entry(refusal.kind).or_default() += 1;
--- a/standins/src/slope/node_costs.rs
+++ b/standins/src/slope/node_costs.rs
@@ -9,10 +9,10 @@
 use tokio::time::Instant;
 
 use super::{MeasureError, Scrape, Table};
-use crate::caller::completion;
-use crate::daemon::{Daemon, Folder};
+use crate::caller::completion_request;
+use crate::daemon::{Daemon, TempDir};
 use crate::engine::EngineSettings;
-use crate::fleet::{Fleet, Signers, bundle as bundle_text};
+use crate::fleet::{Fleet, Signers, bundle_text};
 use crate::trainer;
 
 /// Calls in one measurement.
@@ -40,7 +40,7 @@
         engines: usize,
         settings: EngineSettings,
     ) -> Result<Self, MeasureError> {
-        let folder = Folder::open()?;
+        let folder = TempDir::create()?;
         let fleet = Fleet::spawn(0, engines, settings).await?;
         let platform = fleet.platform.address();
         let daemon = Daemon::spawn(exe, "node", &fleet, platform, folder.path())?;
@@ -53,12 +53,12 @@
     }
 
     fn caller(&self) -> CallerClient {
-        CallerClient::new("shop".into(), vec![self.daemon.callers])
+        CallerClient::new("shop".into(), vec![self.daemon.client_address])
     }
 
     /// The processor time of the node so far, in seconds, and its resident memory, in bytes.
     async fn usage(&self) -> Result<(f64, f64), MeasureError> {
-        let scrape = Scrape::fetch(self.daemon.admin, &self.client).await?;
+        let scrape = Scrape::fetch(self.daemon.admin_address, &self.client).await?;
         let seconds = scrape.get("mulberry_processor_seconds_total");
         Ok((seconds, scrape.get("mulberry_resident_bytes")))
     }
@@ -78,7 +78,7 @@
     table.add("plain", size, "processor microseconds a call", micros(after - before, succeeded));
 
     let (before, _) = node.usage().await?;
-    let requests = (0..200).map(|n| completion("patter", n, MAX_STREAM_TOKENS));
+    let requests = (0..200).map(|n| completion_request("patter", n, MAX_STREAM_TOKENS));
     let streams = requests.map(|request| {
         let caller = &caller;
         async move { caller.stream(&request, CALL_TIMEOUT).await }
@@ -107,7 +107,7 @@
     let node = SingleNode::spawn(exe, 1, EngineSettings::default()).await?;
     let caller = node.caller();
     let writes = || {
-        let calls = node.fleet.platform.calls();
+        let calls = node.fleet.platform.call_counts();
         calls.get("/v3/kv/txn").copied().unwrap_or(0)
             + calls.get("/v3/kv/put").copied().unwrap_or(0)
     };
@@ -139,16 +139,16 @@
 pub async fn measure_handover(exe: &str, size: u32, table: &mut Table) -> Result<(), MeasureError> {
     let engines = EngineSettings {
         token_time: Duration::from_micros(500),
-        batch: 64,
+        batch_size: 64,
         ..EngineSettings::default()
     };
     let node = SingleNode::spawn(exe, 16, engines).await?;
     let (before, at_rest) = node.usage().await?;
-    let client = TrainerClient::new("coach".into(), vec![node.daemon.callers]);
+    let client = TrainerClient::new("coach".into(), vec![node.daemon.client_address]);
     let prompt =
         GroupSpec { prompt: "force card".to_owned(), samples: SAMPLES_PER_GROUP, max_tokens: 8 };
     let began = Instant::now();
-    let run = trainer::run(&client, 1, 1, &prompt, size / SAMPLES_PER_GROUP, Duration::ZERO);
+    let run = trainer::run_steps(&client, 1, 1, &prompt, size / SAMPLES_PER_GROUP, Duration::ZERO);
     tokio::pin!(run);
     let mut peak = at_rest;
     let tally = loop {
@@ -162,7 +162,7 @@
     let (after, _) = node.usage().await?;
     let tally = tally.unwrap_or_default();
     table.add("step", size, "samples received", tally.samples as f64);
-    table.add("step", size, "groups that came twice", tally.doubled as f64);
+    table.add("step", size, "groups that came twice", tally.duplicates as f64);
     table.add("step", size, "seconds of the step", began.elapsed().as_secs_f64());
     table.add("step", size, "resident bytes above rest", peak - at_rest);
     table.add("step", size, "processor microseconds a sample", micros(after - before, size));
--- a/tests/departures.rs
+++ b/tests/departures.rs
@@ -51,7 +51,7 @@
     let before = fleet.stock[0].ledger().len();
 
     fleet.platform.set_vms(live.clone());
-    let reads = || fleet.platform.calls().get("/vms").copied().unwrap_or_default();
+    let reads = || fleet.platform.call_counts().get("/vms").copied().unwrap_or_default();
     let reads_before = reads();
     while reads() < reads_before + 24 {
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/tests/invalid_groups.rs
+++ b/tests/invalid_groups.rs
@@ -12,8 +12,8 @@
 use mulberrycourse::edge::http::read_body;
 use mulberrycourse::node::{PullGroupsRequest, PullGroupsResponse};
 use serde_json::json;
-use standins::fleet::ANY;
-use standins::server::{Answer, Cut, Server, Service, json as answer};
+use standins::fleet::ANY_PORT;
+use standins::server::{ConnectionCut, Server, Service, ServiceResult, json_response};
 
 /// A node that returns one group for each pull, regardless of the groups that the trainer has.
 struct Node {
@@ -24,17 +24,20 @@
 }
 
 impl Service for Node {
-    async fn answer(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn handle(self: Arc<Self>, request: Request<Incoming>) -> ServiceResult {
         let path = request.uri().path().to_owned();
         if path == "/v1/addresses" {
             let addresses = self.address.get().into_iter().collect::<Vec<_>>();
-            return answer(StatusCode::OK, &json!({ "addresses": addresses, "ttl_ms": 60_000 }));
+            return json_response(
+                StatusCode::OK,
+                &json!({ "addresses": addresses, "ttl_ms": 60_000 }),
+            );
         }
-        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| Cut)?;
+        let body = read_body(request.into_body(), 1 << 20).await.map_err(|_| ConnectionCut)?;
         if !path.ends_with("/pull") {
-            return answer(StatusCode::OK, &json!({}));
+            return json_response(StatusCode::OK, &json!({}));
         }
-        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| Cut)?;
+        let pull: PullGroupsRequest = serde_json::from_slice(&body).map_err(|_| ConnectionCut)?;
         let index = self.pull_count.fetch_add(1, Ordering::Relaxed) as usize;
         let group = self.pulls[index.min(self.pulls.len() - 1)].clone();
         let response = PullGroupsResponse {
@@ -44,7 +47,7 @@
             draining: false,
             partial_groups: Vec::new(),
         };
-        answer(StatusCode::OK, &response)
+        json_response(StatusCode::OK, &response)
     }
 }
 
@@ -72,17 +75,17 @@
         group(1, &[5, 5]),
     ];
     let node = Arc::new(Node { pulls, pull_count: AtomicU64::new(0), address: Default::default() });
-    let server = Server::bind(ANY, node.clone()).await.unwrap();
+    let server = Server::bind(ANY_PORT, node.clone()).await.unwrap();
     node.address.set(server.address()).unwrap();
     let trainer = TrainerClient::new("coach".into(), vec![server.address()]);
     let group_spec = GroupSpec { prompt: "deal".to_owned(), samples: 2, max_tokens: 1 };
     let spec = StepSpec { version: 4, groups: vec![group_spec; 2] };
-    trainer.advance(5);
-    let mut pull = trainer.resume(1, &spec, BTreeMap::new());
-    assert_eq!(pull.next().await.unwrap(), [group(0, &[5, 4])]);
-    assert_eq!(pull.next().await.unwrap(), [group(1, &[5, 5])]);
-    assert_eq!(pull.next().await.unwrap(), []);
+    trainer.set_version(5);
+    let mut pull = trainer.resume_step(1, &spec, BTreeMap::new());
+    assert_eq!(pull.next_groups().await.unwrap(), [group(0, &[5, 4])]);
+    assert_eq!(pull.next_groups().await.unwrap(), [group(1, &[5, 5])]);
+    assert_eq!(pull.next_groups().await.unwrap(), []);
     let report = pull.report();
-    assert_eq!((report.stale, report.thin, report.doubled), (1, 2, 2));
+    assert_eq!((report.stale, report.incomplete, report.duplicates), (1, 2, 2));
     assert_eq!(report.groups[&0], group(0, &[5, 4]));
 }
--- a/tests/load_invariants.rs
+++ b/tests/load_invariants.rs
@@ -222,7 +222,7 @@
                 DispatchAction::Refuse { ticket, refusal } => {
                     let state = self.pending.remove(&ticket);
                     assert_eq!(state, Some(State::Waiting), "refused while it ran, or twice");
-                    assert!(refusal.after.is_some());
+                    assert!(refusal.retry_after.is_some());
                     if self.may_have_run.contains(&ticket) {
                         assert_ne!(refusal.run(), RunStatus::NotRun, "an attempt may have run");
                     }
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -32,7 +32,7 @@
 /// Each refusal and retry reason is there at 0 before it first happens.
 #[test]
 fn every_series_is_there_at_zero() {
-    let text = Metrics::default().text();
+    let text = Metrics::default().text_format();
     for kind in Kind::ALL {
         assert_eq!(value(&text, &format!("mulberry_refusals_total{{kind=\"{kind}\"}}")), 0.0);
     }
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_running_node_counts() {
     let fleet = Fleet::spawn(2, 2, EngineSettings::default()).await.unwrap();
-    let caller = CallerClient::new("shop".into(), fleet.callers());
+    let caller = CallerClient::new("shop".into(), fleet.client_addresses());
     caller.call("nowhere", "/", "", None, Duration::from_secs(5)).await.unwrap_err();
     let mut refusals = 0.0;
     for node in &fleet.nodes {
@@ -97,7 +97,7 @@
 async fn health_and_readiness() {
     let fleet = Fleet::spawn(0, 1, EngineSettings::default()).await.unwrap();
     let mut settings = fleet.settings(0);
-    settings.drain.ttl = Duration::from_secs(600);
+    settings.drain.address_ttl = Duration::from_secs(600);
     let node = Node::spawn(settings).await.unwrap();
     let admin = node.admin_address();
     assert_eq!(text(admin, "/healthz").await, (StatusCode::OK, "ok\n".into()));
