--- a/src/decide/claim/commits.rs
+++ b/src/decide/claim/commits.rs
@@ -31,7 +31,7 @@
                 self.commit_applied(commit, revision, sealing, now);
             }
             // A failed compare against a revision that is not newer comes from a lagging
-            // replica of the platform's store and does not tell whether the swap was applied.
+            // replica of the platform's store and does not show whether the swap was applied.
             SwapResult::Conflict(Some((_, revision))) if revision <= commit.expected => {
                 commit.may_be_applied = true;
                 if sealing {
--- a/src/decide/client_nodes.rs
+++ b/src/decide/client_nodes.rs
@@ -46,7 +46,9 @@
     }
     let mut chosen: Vec<CandidateNode<'a>> =
         ranked.iter().take(MAX_CLIENT_NODES).map(|(.., node)| *node).collect();
-    if let (Some(last), Some(other)) = (chosen.last().copied(), best_elsewhere(&chosen, &ranked)) {
+    if let (Some(last), Some(other)) =
+        (chosen.last().copied(), best_in_other_zone(&chosen, &ranked))
+    {
         chosen.retain(|n| *n != last);
         chosen.push(other);
     }
@@ -54,7 +56,7 @@
 }
 
 /// Returns the best node of another zone if all chosen nodes are in one zone.
-fn best_elsewhere<'a>(
+fn best_in_other_zone<'a>(
     chosen: &[CandidateNode<'a>],
     ranked: &[(bool, u64, CandidateNode<'a>)],
 ) -> Option<CandidateNode<'a>> {
--- a/src/decide/early_samples.rs
+++ b/src/decide/early_samples.rs
@@ -1,7 +1,7 @@
 //! How many samples of a trainer's next step start before its weights are available.
 //!
 //! Load pattern: while a trainer trains, the engines have nothing to do for it, and while
-//! they make its samples, the trainer is idle. Samples that start early fill the gap, and
+//! they generate its samples, the trainer is idle. Samples that start early fill the gap, and
 //! are one version older when they are used. The bundle's `idle_weight` sets which matters
 //! more: the more samples start early, the less the trainer is idle, and the older they are.
 
--- a/src/decide/fleet/replica.rs
+++ b/src/decide/fleet/replica.rs
@@ -59,7 +59,7 @@
     /// Load pattern: the steps of several trainers begin at once, each at a different node, and
     /// each node assumes that every slot is free. With six nodes at ten replicas of six slots,
     /// 188 samples of 400 were refused in the first two seconds, and 230 more waited at a replica
-    /// for longer than an answer may take and were begun again elsewhere. So a replica gets one
+    /// for longer than an answer may take and were started again elsewhere. So a replica gets one
     /// sample at a time, and the next one once the answer to it has reported the load, within
     /// milliseconds; only a replica that just reported that no other node uses it is filled at
     /// once.
--- a/src/decide/latency.rs
+++ b/src/decide/latency.rs
@@ -1,6 +1,6 @@
 //! Estimate of the time that an upstream takes for a unit of cost.
 //!
-//! Load pattern: requests differ a thousandfold in tokens, so a plain mean of latencies tells
+//! Load pattern: requests differ a thousandfold in tokens, so a plain mean of latencies says
 //! more about the requests than about the upstream. Divided by its expected cost, a latency
 //! can be compared between upstreams and over time.
 
--- a/src/decide/outcome.rs
+++ b/src/decide/outcome.rs
@@ -43,7 +43,7 @@
 
 /// Whether a request may have run in any of its attempts.
 ///
-/// The last attempt alone does not tell: one that could not connect may follow one
+/// The last attempt alone does not decide: one that could not connect may follow one
 /// that broke off after the request ran. Once a request may have run, that stays so.
 ///
 /// ```
--- a/src/decide/step.rs
+++ b/src/decide/step.rs
@@ -100,7 +100,7 @@
     /// The latest weight version of the trainer.
     version: u64,
     filled: BTreeMap<Slot, Sample>,
-    /// Slots that have not begun, in the order in which they will.
+    /// Slots whose samples have not started, in the order in which they will.
     waiting: VecDeque<Slot>,
     running: BTreeSet<Slot>,
     /// Numbers of the groups that the trainer has.
@@ -126,15 +126,15 @@
     /// Returns the slots to start now, so that at most `max_running` run; they count as running
     /// from now on.
     pub fn start(&mut self, max_running: usize) -> Vec<Slot> {
-        let mut begun = Vec::new();
+        let mut started = Vec::new();
         while self.running.len() < max_running
             && let Some(slot) = self.waiting.pop_front()
         {
             if self.wanted(slot) && self.running.insert(slot) {
-                begun.push(slot);
+                started.push(slot);
             }
         }
-        begun
+        started
     }
 
     /// Returns the slots to start before the trainer asks for the step: as [`Step::start`], but
--- a/src/edge/http/collect.rs
+++ b/src/edge/http/collect.rs
@@ -32,21 +32,21 @@
 }
 
 /// Collects the pieces of a body until its end, for as long as they arrive fast enough for
-/// `transfer`. The transfer began at `begun`.
+/// `transfer`. The transfer began at `started`.
 pub async fn collect_while_received(
     mut pieces: impl Stream<Item = Result<Bytes, String>> + Unpin,
     mut transfer: Transfer,
-    begun: Instant,
+    started: Instant,
 ) -> Result<Bytes, CollectError> {
     let mut body = BytesMut::new();
     loop {
-        let piece = tokio::time::timeout_at(begun + transfer.deadline(), pieces.next()).await;
+        let piece = tokio::time::timeout_at(started + transfer.deadline(), pieces.next()).await;
         let Some(piece) = piece.map_err(|_| CollectError::Timeout(transfer.received_bytes()))?
         else {
             return Ok(body.freeze());
         };
         let piece = piece.map_err(CollectError::Interrupted)?;
-        transfer.record_received(piece.len(), begun.elapsed());
+        transfer.record_received(piece.len(), started.elapsed());
         append(&mut body, &piece).map_err(CollectError::Interrupted)?;
     }
 }
--- a/src/edge/peer/client.rs
+++ b/src/edge/peer/client.rs
@@ -135,23 +135,24 @@
         bytes: Vec<u8>,
         timeout: Duration,
     ) -> Result<BytesMut, PeerError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut transfer = Transfer::new(timeout, bytes.len());
         let late = |transfer: Transfer| PeerError::Timeout {
             to,
             timeout,
             received: transfer.received_bytes(),
         };
-        let head = tokio::time::timeout_at(begun + transfer.deadline(), self.send(to, bytes)).await;
+        let head =
+            tokio::time::timeout_at(started + transfer.deadline(), self.send(to, bytes)).await;
         let mut body = head.map_err(|_| late(transfer))??;
         let mut reply = BytesMut::new();
         loop {
             let piece = tokio::time::timeout_at(
-                begun + transfer.deadline(),
+                started + transfer.deadline(),
                 read_piece(&mut body, &mut reply),
             );
             match piece.await {
-                Ok(Some(Ok(piece))) => transfer.record_received(piece, begun.elapsed()),
+                Ok(Some(Ok(piece))) => transfer.record_received(piece, started.elapsed()),
                 Ok(Some(Err(reason))) => return Err(PeerError::Interrupted { to, reason }),
                 Ok(None) => return Ok(reply),
                 Err(_) => return Err(late(transfer)),
--- a/src/edge/peer/server.rs
+++ b/src/edge/peer/server.rs
@@ -148,7 +148,7 @@
             (handler.handle(request).await, traffic)
         }
         Err(e) => {
-            tracing::warn!(event = "peer_undecodable", error = %e);
+            tracing::warn!(event = "peer_request_undecodable", error = %e);
             respond_with(&mut respond, StatusCode::BAD_REQUEST, Vec::new());
             return;
         }
@@ -159,7 +159,7 @@
             respond_with(&mut respond, StatusCode::OK, bytes);
         }
         Err(e) => {
-            tracing::error!(event = "peer_unencodable", error = %e);
+            tracing::error!(event = "peer_reply_unencodable", error = %e);
             respond_with(&mut respond, StatusCode::INTERNAL_SERVER_ERROR, Vec::new());
         }
     }
--- a/src/edge/schema/schema.rs
+++ b/src/edge/schema/schema.rs
@@ -43,7 +43,7 @@
     fn replica_id(&self, key: &str) -> Name;
     /// Decodes an entry of the list of replicas.
     fn parse_replica(&self, key: &str, value: &[u8]) -> Result<ListedReplica, String>;
-    /// The write that tells the operator that a node has handed over everything that must not be
-    /// lost.
+    /// The write that reports to the operator that a node has handed over everything that must not
+    /// be lost.
     fn retirement_done(&self, node: &str) -> Put;
 }
