--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -149,7 +149,11 @@
     stdout(&operator.sign("6", "ben", "eve"));
     let forged = failure(&operator.apply("6"));
     assert_eq!(forged.status, 3);
-    assert!(forged.message.contains("signature of ben does not fit"), "{}", forged.message);
+    assert!(
+        forged.message.contains("signature of ben is not valid for this bundle"),
+        "{}",
+        forged.message
+    );
     let next = operator.bundle("next.ini", &bundle_text(7, 1));
     stdout(&operator.propose(&next, "ada"));
     stdout(&operator.sign("7", "eve", "eve"));
