--- a/src/edge/peer/server.rs
+++ b/src/edge/peer/server.rs
@@ -90,7 +90,7 @@
     let mut connection = match handshake.await {
         Ok(Ok(connection)) => connection,
         Ok(Err(e)) => {
-            tracing::warn!(event = "peer_garbage", %from, error = %e);
+            tracing::warn!(event = "peer_handshake_failed", %from, error = %e);
             return;
         }
         Err(_) => {
--- a/src/entry/entry_node.rs
+++ b/src/entry/entry_node.rs
@@ -38,7 +38,7 @@
     ) -> Self {
         let app = App::new(settings, ports, peers);
         let (node, life) = (&app.settings.name, &app.incarnation);
-        tracing::info!(event = "process_begins", %node, %life);
+        tracing::info!(event = "process_started", %node, %life);
         if app.settings.has_disk {
             app.spawn(follow(app.clone(), Topic::Retirements));
         }
@@ -67,7 +67,7 @@
     /// client should connect any more; the listeners have to serve until then.
     pub async fn drain(&self) {
         self.app.draining.store(true, Ordering::Relaxed);
-        tracing::info!(event = "process_leaves", node = %self.app.settings.name);
+        tracing::info!(event = "process_draining", node = %self.app.settings.name);
         self.app.stop.cancel();
         if self.app.settings.client_address.is_none() {
             return;
--- a/src/entry/follow/apply.rs
+++ b/src/entry/follow/apply.rs
@@ -86,11 +86,11 @@
                 let mut versions = self.versions.lock();
                 let known = versions.entry(model.clone()).or_insert(version);
                 *known = version.max(*known);
-                tracing::info!(event = "version_named", %model, version);
+                tracing::info!(event = "version_announced", %model, version);
             }
             Ok(Some(Directive::Retire { node, within })) => self.retire(&node, within),
             Err(reason) => {
-                tracing::error!(event = "notice_unreadable", key = %item.key, %reason);
+                tracing::error!(event = "directive_unreadable", key = %item.key, %reason);
             }
         }
     }
@@ -115,7 +115,7 @@
     /// Removes a replica from the list.
     fn remove_replica(&self, id: &str) {
         if self.slots.fleet.lock().remove(id) {
-            tracing::info!(event = "replica_gone", replica = %id);
+            tracing::info!(event = "replica_removed", replica = %id);
         }
     }
 
--- a/src/entry/follow/follower.rs
+++ b/src/entry/follow/follower.rs
@@ -92,7 +92,7 @@
         if let (Err(_), false, Some(feed_topic)) = (&result, self.loaded, self.topic.feed_topic())
             && let Some(peer_update) = self.app.fetch_stale(feed_topic).await
         {
-            tracing::info!(event = "old_view_taken", topic = self.topic.as_str());
+            tracing::info!(event = "stale_snapshot_applied", topic = self.topic.as_str());
             if self.topic == Topic::Routes {
                 self.app.stale_routes.store(true, Ordering::Relaxed);
             }
@@ -134,11 +134,11 @@
         match &peer_update.update {
             FeedUpdate::Snapshot { page, .. } => {
                 let revision = page.revision;
-                tracing::info!(event = "whole_heard", topic, %from, revision, bytes);
+                tracing::info!(event = "snapshot_received", topic, %from, revision, bytes);
             }
             FeedUpdate::Changes(watched) if self.topic == Topic::Routes && bytes > 0 => {
                 let revision = watched.revision;
-                tracing::info!(event = "routes_heard", %from, revision, bytes);
+                tracing::info!(event = "routes_received", %from, revision, bytes);
             }
             FeedUpdate::Changes(_) => {}
         }
--- a/src/entry/leader.rs
+++ b/src/entry/leader.rs
@@ -53,7 +53,7 @@
         tokio::select! {
             () = app.stop.cancelled() => return,
             fence = acquire_leadership(&app) => {
-                tracing::info!(event = "orders_held", fence);
+                tracing::info!(event = "leadership_acquired", fence);
                 tokio::select! {
                     () = app.stop.cancelled() => {}
                     () = issue_orders(&app, fence) => {}
@@ -62,7 +62,7 @@
                     () = run_autoscaling(&app, fence) => {}
                     () = follow(app.clone(), Topic::Versions) => {}
                 }
-                tracing::info!(event = "orders_given_up", fence);
+                tracing::info!(event = "leadership_released", fence);
                 app.wait_out_last_order().await;
                 let txn = Txn::when(LEADER_KEY, fence).remove(LEADER_KEY);
                 if let Err(e) = app.store.txn(txn).await {
--- a/src/entry/peer/requests.rs
+++ b/src/entry/peer/requests.rs
@@ -63,9 +63,9 @@
             Ok(_) | Err(_) => ForwardOutcome::Unsure,
         };
         if passed == ForwardOutcome::Kept {
-            tracing::info!(event = "job_passed_on", job = %spec.id, %to);
+            tracing::info!(event = "job_forwarded", job = %spec.id, %to);
         } else {
-            tracing::info!(event = "job_not_passed_on", job = %spec.id, %to, ?passed, ?reply);
+            tracing::info!(event = "job_not_forwarded", job = %spec.id, %to, ?passed, ?reply);
         }
         passed
     }
--- a/src/entry/registration.rs
+++ b/src/entry/registration.rs
@@ -41,7 +41,7 @@
     let TxnOutcome::Done(written) = app.store.txn(txn).await? else { return Ok(()) };
     *app.lease.lock() = Lease { id: lease, valid_until: sent + ttl, key_revision: written };
     app.registered.store(true, Ordering::Relaxed);
-    tracing::info!(event = "node_listed", life = %app.incarnation, lease);
+    tracing::info!(event = "node_registered", life = %app.incarnation, lease);
     app.notify_view_change();
     let mut pause = ttl / RENEWALS_PER_TTL;
     loop {
--- a/src/entry/runner.rs
+++ b/src/entry/runner.rs
@@ -75,7 +75,7 @@
         });
         let Some(owned) = self.owned_jobs.insert(&id, owned) else { return };
         let unfinished = owned.texts.lock().len();
-        tracing::info!(event = "job_begins", job = %id, listed = count, todo = todo.len(), unfinished);
+        tracing::info!(event = "job_started", job = %id, listed = count, todo = todo.len(), unfinished);
         for (index, item) in todo.into_iter().enumerate() {
             let (app, owned) = (self.clone(), owned.clone());
             let stop = owned.stop.clone();
--- a/src/entry/sample.rs
+++ b/src/entry/sample.rs
@@ -40,7 +40,7 @@
     }
     app.tally.count_sample(if dead { SampleEnd::Dead } else { SampleEnd::Completed });
     let job = owned.job.lock().spec.id.clone();
-    tracing::info!(event = "sample_made", %job, item = %item.id, dead);
+    tracing::info!(event = "sample_finished", %job, item = %item.id, dead);
 }
 
 /// Generates the text and requests its score. The sample is dead if either fails for good.
@@ -126,7 +126,7 @@
                 }
             }
             AttemptResult::Continue(end) => {
-                tracing::info!(event = "sample_goes_on", item = %item.id, %replica, events, reason = ?end);
+                tracing::info!(event = "sample_continued", item = %item.id, %replica, events, reason = ?end);
             }
         }
         avoid.push(replica);
--- a/src/entry/takeover.rs
+++ b/src/entry/takeover.rs
@@ -145,7 +145,7 @@
     match app.store.txn(txn).await {
         Ok(TxnOutcome::Done(revision)) => {
             app.tally.count_job_event(JobEvent::Taken);
-            tracing::info!(event = "job_taken", %job, from = %seen.value.incarnation, revision);
+            tracing::info!(event = "job_taken_over", %job, from = %seen.value.incarnation, revision);
             resume_job(app, job, Stored { value, revision }).await
         }
         // Another node has taken the job over, or its trainer has ended it.
--- a/src/entry/usage/report.rs
+++ b/src/entry/usage/report.rs
@@ -71,7 +71,7 @@
             Ok(TermState::Current) => {}
             Ok(TermState::Over) => return,
             Err(e) => {
-                tracing::warn!(event = "usage_not_fixed", fence = fencing_token, error = %e);
+                tracing::warn!(event = "usage_report_not_written", fence = fencing_token, error = %e);
                 next = None;
                 app.fallback_store.wait_for_recovery(INITIAL_RETRY_DELAY).await;
             }
@@ -111,7 +111,7 @@
         let missing = total.unclosed.len();
         let requests: u64 = fixed.counts.values().sum();
         tracing::info!(
-            event = "usage_fixed",
+            event = "usage_report_written",
             window,
             requests,
             missing,
--- a/src/entry/usage/sharing.rs
+++ b/src/entry/usage/sharing.rs
@@ -61,7 +61,7 @@
                     acknowledged.insert(at, notes.clone());
                 }
                 reply => {
-                    tracing::info!(event = "usage_not_noted", to = %at, ?reply);
+                    tracing::info!(event = "usage_not_acknowledged", to = %at, ?reply);
                     failed = true;
                 }
             }
@@ -86,7 +86,7 @@
         let rejected = usage.ledger.lock().record(incarnation, notes, present);
         if !rejected.is_empty() {
             let life = incarnation;
-            tracing::warn!(event = "usage_of_other_times", %life, windows = ?rejected, present);
+            tracing::warn!(event = "usage_windows_rejected", %life, windows = ?rejected, present);
         }
     }
 
--- a/src/node/claims/journal_store.rs
+++ b/src/node/claims/journal_store.rs
@@ -26,7 +26,7 @@
         Ok(None) => Ok(None),
         Ok(Some(value)) => parse_head(&value).map(|head| Some((head, value.revision))),
         Err(e) => {
-            tracing::warn!(event = "claim_head_unread", partition, error = %e);
+            tracing::warn!(event = "claim_head_read_failed", partition, error = %e);
             Err(())
         }
     }
@@ -44,7 +44,7 @@
     prefix.pop();
     let listed = platform.list(&prefix, PlatformPurpose::Claim).await;
     let (values, _) = listed.map_err(|e| {
-        tracing::warn!(event = "claim_segments_unread", partition, error = %e);
+        tracing::warn!(event = "claim_segments_read_failed", partition, error = %e);
     })?;
     let segments = values.iter().filter_map(|v| decode::<Segment>(&v.value).ok());
     let mut wanted: Vec<Segment> = segments.filter(|s| range.contains(&s.number)).collect();
@@ -91,11 +91,15 @@
     match decode::<PartitionHead>(&value.value) {
         Ok(head) if head.format == FORMAT_VERSION => Ok(head),
         Ok(head) => {
-            tracing::error!(event = "claim_format", key = value.key, format = head.format);
+            tracing::error!(
+                event = "claim_format_unsupported",
+                key = value.key,
+                format = head.format
+            );
             Err(())
         }
         Err(e) => {
-            tracing::error!(event = "claim_head_garbled", key = value.key, error = %e);
+            tracing::error!(event = "claim_head_malformed", key = value.key, error = %e);
             Err(())
         }
     }
--- a/src/node/node.rs
+++ b/src/node/node.rs
@@ -160,7 +160,7 @@
         let all_finished = async { tokio::join!(self.connections.wait(), calls.wait()) };
         let finished = tokio::time::timeout(drain.grace, all_finished).await.is_ok();
         if !finished {
-            tracing::error!(event = "drain_cut", left = self.connections.len());
+            tracing::error!(event = "drain_timed_out", left = self.connections.len());
         }
         claims::flush(&self.app).await;
         self.app.handle_event(LifecycleEvent::RequestsFinished);
--- a/src/node/quarantine.rs
+++ b/src/node/quarantine.rs
@@ -195,7 +195,7 @@
         );
         let sent = join_all(send_to_peers(app, notice));
         if tokio::time::timeout(NOTICE_WAIT, sent).await.is_err() {
-            tracing::info!(event = "suspect_told_late", upstream = %self.in_flight.upstream);
+            tracing::info!(event = "crash_notice_late", upstream = %self.in_flight.upstream);
         }
     }
 
@@ -351,7 +351,7 @@
         tokio::time::sleep(delay).await;
     }
     if let Err(e) = peers.request(to, &request, PEER_TIMEOUT).await {
-        tracing::info!(event = "suspect_not_told", %to, error = %e);
+        tracing::info!(event = "crash_notice_not_sent", %to, error = %e);
     }
 }
 
--- a/src/node/upstreams.rs
+++ b/src/node/upstreams.rs
@@ -140,7 +140,7 @@
     match app.platform.vms().await {
         Ok(vms) => app.upstreams.set_list(vms, &app),
         // The node keeps using the last list that it has read.
-        Err(e) => tracing::debug!(event = "vms_unread", error = %e),
+        Err(e) => tracing::debug!(event = "vms_read_failed", error = %e),
     }
 }
 
