--- a/src/entry/submit.rs
+++ b/src/entry/submit.rs
@@ -24,7 +24,7 @@
 pub(super) const VALUE_RESERVE_BYTES: usize = 4_096;
 /// How long the write of a submission is retried. A trainer's own timeout for the answer is a
 /// few seconds.
-const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
+const WRITE_RETRY_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// The delay between attempts to write a submission.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
@@ -152,7 +152,7 @@
                 Err(StoreError::Compacted) => "compacted".to_owned(),
             };
             tracing::warn!(event = "submission_not_written", job = %spec.id, unsure = outcome_unknown, %reason);
-            if self.now().saturating_sub(started_at) > WRITE_TIMEOUT {
+            if self.now().saturating_sub(started_at) > WRITE_RETRY_TIMEOUT {
                 // An outage that has just ended must not cost a training step: the store is
                 // probed once, and the write is tried once more.
                 if !probed && self.fallback_store.probe(&job_record_key(&spec.id)).await {
