--- a/src/entry/peer/server.rs
+++ b/src/entry/peer/server.rs
@@ -131,9 +131,7 @@
     /// Makes a call to the store for another node. Refused if this node does not reach the store.
     async fn store(&self, request: StoreRequest) -> Result<StoreReply, StoreError> {
         if !self.app.reaches_store() {
-            return Err(StoreError::Refused(
-                "this node does not reach the store either".to_owned(),
-            ));
+            return Err(StoreError::Refused("not reached from here either".to_owned()));
         }
         let store = &self.app.direct_store;
         match request {
